--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -1,11 +1,13 @@
 // This package: what users and workers ask over HTTP, and how it is answered.
+
+import type { World } from '../context/context.js';
+import type { ControllerNode } from '../controller/controllernode.js';
 import type { Shown } from '../http/admission.js';
 import { bad, later, parseBody, wrongMethod } from '../http/replies.js';
 import type { HttpReply, HttpRequest } from '../http/server.js';
-import { fitCount } from '../plan/profile.js';
-import { Unavailable } from '../shard/answers.js';
-import type { ControllerNode } from '../shards/node.js';
-import { StateFailure } from '../state/store.js';
+import { fitCount } from '../plan/capacityprofile.js';
+import { Unavailable } from '../scheduler/responses.js';
+import { StateFailure } from '../state/statestore.js';
 import {
   isJobId,
   type JobSpec,
@@ -17,7 +19,6 @@
   writeStatus,
 } from '../wire/users.js';
 import { readReport, WORKER_PATHS, writeRedirect } from '../wire/workers.js';
-import type { World } from '../world/world.js';
 
 const JOB_PATH = /^\/api\/jobs\/([^/]+)(?:\/([^/]+))?$/;
 
--- a/src/supply/supply.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -3,17 +3,17 @@
 import { CloudFailure } from '../cloud/cloud.js';
 import type { Log } from '../config/log.js';
 import { mostMachines } from '../config/settings.js';
+import type { World } from '../context/context.js';
 import { NotOwner } from '../jobs/records.js';
-import { KEYS, type MachineRecord, readMachineRecord } from '../keys/keys.js';
+import { type Amounts, fitCount } from '../plan/capacityprofile.js';
 import { BOOKED_TASKS } from '../plan/plan.js';
-import { type Amounts, fitCount } from '../plan/profile.js';
-import { chooseRentals, type RentOption, type Shortage } from '../plan/rent.js';
-import { StateFailure } from '../state/store.js';
+import { chooseRentals, type RentOption, type Shortage } from '../plan/rentalchoice.js';
+import { KEYS, type MachineRecord, readMachineRecord } from '../schema/schema.js';
+import { StateFailure } from '../state/statestore.js';
 import { RELEASE_LIMIT, RENT_LIMIT, type Rental } from '../wire/cloud.js';
 import type { Condition, Entry } from '../wire/state.js';
-import type { Fleet } from '../workers/fleet.js';
 import { type Machine, SICK_ERRORS } from '../workers/machine.js';
-import type { World } from '../world/world.js';
+import type { Fleet } from '../workers/machineregistry.js';
 
 /** An idle machine is kept for long where nearly all tasks must start sooner than it boots, for some time where many. */
 const KEEP_LONG_MS = 180_000;
--- a/src/supply/moves.ts
+++ b/src/autoscaler/rebalancing.ts
@@ -1,6 +1,6 @@
-import { fitCount } from '../plan/profile.js';
+import { fitCount } from '../plan/capacityprofile.js';
 import { PRIORITY } from '../wire/users.js';
-import { type Gossip, kindName, type Need, type Spare } from './gossip.js';
+import { type Gossip, kindName, type Need, type Spare } from './shardstatus.js';
 
 /** Lesser work elsewhere is stopped for urgent tasks only when they would wait longer than this, one machine at a time. */
 const CLEAR_WAIT_S = 8;
--- a/src/feed/feed.ts
+++ b/src/changefeed/changefeed.ts
@@ -2,14 +2,14 @@
 import { type Clock, pause } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
 import type { Mesh } from '../peer/mesh.js';
-import type { StateStore } from '../state/store.js';
+import type { StateStore } from '../state/statestore.js';
 import type { Change } from '../wire/state.js';
-import { Followers } from './followers.js';
-import { ChangeLog } from './log.js';
+import { ChangeLog } from './changelog.js';
 import { FEED_OPS, readChangesAnswer, readChangesQuestion, readHeadAnswer } from './messages.js';
-import { watchPaceMs } from './pace.js';
-import { type Present, SOURCES_PER_REGION, type SourceOrder, sourceOrder } from './sources.js';
-import { Suspects } from './suspects.js';
+import { Suspects } from './sourcehealth.js';
+import { type Present, SOURCES_PER_REGION, type SourceOrder, sourceOrder } from './sourceorder.js';
+import { Followers } from './subscribers.js';
+import { watchPaceMs } from './watchpacing.js';
 
 /** What a copy of the keys reads from; the state service itself serves as well. */
 export type ChangeSource = Pick<StateStore, 'list' | 'watch'>;
--- a/src/feed/messages.ts
+++ b/src/changefeed/messages.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
 import type { Change } from '../wire/state.js';
-import type { Batch } from './log.js';
+import type { Batch } from './changelog.js';
 
 /** What followers ask a node that passes changes on, and what it answers. */
 export const FEED_OPS = { changes: 'changes', head: 'changesHead' } as const;
--- a/src/feed/followers.ts
+++ b/src/changefeed/subscribers.ts
@@ -1,5 +1,5 @@
 import type { Clock, Timer } from '../clock/clock.js';
-import type { ChangeLog } from './log.js';
+import type { ChangeLog } from './changelog.js';
 import type { ChangesAnswer, ChangesQuestion, HeadAnswer } from './messages.js';
 
 interface Waiting {
--- a/src/cloud/cloud.ts
+++ b/src/cloud/cloud.ts
@@ -1,7 +1,7 @@
 // This package: dealings with the cloud: its requests, within its rate.
 import type { Clock } from '../clock/clock.js';
 import { HttpFailure, type Requester } from '../http/client.js';
-import { Limiter, Overloaded } from '../state/limiter.js';
+import { Limiter, Overloaded } from '../state/ratelimiter.js';
 import {
   CLOUD_PATHS,
   type ListedMachine,
--- a/src/condor/matcher.ts
+++ b/src/condor/matcher.ts
@@ -2,10 +2,10 @@
 import { asNumber, evaluate } from '../classad/evaluate.js';
 import { namesAsked } from '../classad/flatten.js';
 import { parseExpr } from '../classad/parser.js';
+import type { Catalog, Matcher, Names } from '../context/context.js';
 import type { Match, PlanMachine } from '../plan/model.js';
 import type { MachineType } from '../wire/cloud.js';
 import type { MatchSpec } from '../wire/users.js';
-import type { Catalog, Matcher, Names } from '../world/world.js';
 
 /** Attributes that change with what a machine holds. */
 const LOADS = ['loadavg', 'totalloadavg', 'freecpus', 'freememory', 'freegpus'];
--- a/src/condor/records.ts
+++ b/src/condor/records.ts
@@ -1,7 +1,7 @@
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import * as v from 'valibot';
-import { KEYS } from '../keys/keys.js';
-import { StateFailure, type StateStore } from '../state/store.js';
+import { KEYS } from '../schema/schema.js';
+import { StateFailure, type StateStore } from '../state/statestore.js';
 import type { Condition, Write } from '../wire/state.js';
 import type { Submission } from './procs.js';
 
--- a/src/world/world.ts
+++ b/src/context/context.ts
@@ -4,10 +4,10 @@
 import type { Log } from '../config/log.js';
 import type { Settings } from '../config/settings.js';
 import type { Requester } from '../http/client.js';
-import { NameTable } from '../names/names.js';
+import { NameTable } from '../interning/nametable.js';
+import type { Amounts } from '../plan/capacityprofile.js';
 import type { Match } from '../plan/model.js';
-import type { Amounts } from '../plan/profile.js';
-import type { StateStore } from '../state/store.js';
+import type { StateStore } from '../state/statestore.js';
 import type { ListedMachine, MachineType } from '../wire/cloud.js';
 import type { MatchSpec } from '../wire/users.js';
 
--- a/src/shards/cloudwatch.ts
+++ b/src/controller/cloudpoller.ts
@@ -1,7 +1,7 @@
 import { pause } from '../clock/clock.js';
-import { KEYS } from '../keys/keys.js';
-import type { World } from '../world/world.js';
-import type { Mirror } from './mirror.js';
+import type { World } from '../context/context.js';
+import { KEYS } from '../schema/schema.js';
+import type { Mirror } from './clusterstatecache.js';
 import type { Ownership } from './ownership.js';
 
 const LIST_MS = 5000;
--- a/src/shards/mirror.ts
+++ b/src/controller/clusterstatecache.ts
@@ -1,6 +1,6 @@
+import type { ChangeSource } from '../changefeed/changefeed.js';
 import { type Clock, pause } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
-import type { ChangeSource } from '../feed/feed.js';
 import type { Entry } from '../wire/state.js';
 
 const WAIT_MS = 10_000;
--- a/src/shards/node.ts
+++ b/src/controller/controllernode.ts
@@ -1,34 +1,35 @@
 // This package: who owns what: members, claims, leader, routing, stored requests.
+
+import { readGossip, readNeed } from '../autoscaler/shardstatus.js';
+import { FEED_OPS } from '../changefeed/messages.js';
 import { nodeLease } from '../config/bounds.js';
 import { regionOfNode } from '../config/settings.js';
-import { FEED_OPS } from '../feed/messages.js';
+import type { World } from '../context/context.js';
 import type { Job, JobEntry } from '../jobs/job.js';
 import { readSpec } from '../jobs/records.js';
+import type { Mesh } from '../peer/mesh.js';
+import { readClaims } from '../scheduler/dependencytracker.js';
+import { type StatusAnswer, type SubmitAnswer, Unavailable } from '../scheduler/responses.js';
 import {
   KEYS,
   MATCH_PROTOCOL_VERSION,
   PROTOCOL_VERSION,
   readHolder,
   readMachineRecord,
-} from '../keys/keys.js';
-import type { Mesh } from '../peer/mesh.js';
-import { type StatusAnswer, type SubmitAnswer, Unavailable } from '../shard/answers.js';
-import { readClaims } from '../shard/waiting.js';
+} from '../schema/schema.js';
 import { STANDBY_OPS } from '../standby/messages.js';
-import { readGossip, readNeed } from '../supply/gossip.js';
 import type { Entry } from '../wire/state.js';
 import type { JobSpec, ListedJob } from '../wire/users.js';
 import type { Report } from '../wire/workers.js';
-import type { World } from '../world/world.js';
-import { CloudWatch } from './cloudwatch.js';
+import { CloudWatch } from './cloudpoller.js';
 import type { UnassignedMachine } from './leader.js';
-import { Members } from './members.js';
-import { PEER_OPS } from './operations.js';
-import { Owners, STORED_OPS } from './owners.js';
+import { Members } from './membership.js';
+import { Owners, STORED_OPS } from './ownerclient.js';
 import { Ownership } from './ownership.js';
-import { RATES_OP, Rates } from './rates.js';
+import { PEER_OPS } from './peeroperations.js';
+import { RATES_OP, Rates } from './rateallocator.js';
 import { Routing } from './routing.js';
-import type { Standbys } from './standbys.js';
+import type { Standbys } from './standbycoordinator.js';
 import { StoredRequests } from './storedrequests.js';
 
 export type ReportAnswer =
--- a/src/shards/leader.ts
+++ b/src/controller/leader.ts
@@ -1,13 +1,13 @@
+import { chooseClearing, chooseReservation, matchSpares, shardFor } from '../autoscaler/rebalancing.js';
+import type { Gossip, Need } from '../autoscaler/shardstatus.js';
 import { mostMachines } from '../config/settings.js';
+import type { World } from '../context/context.js';
 import { valueBytes } from '../jobs/records.js';
-import { KEYS, type MachineRecord, readTeamAssignment } from '../keys/keys.js';
-import { StateFailure } from '../state/store.js';
-import type { Gossip, Need } from '../supply/gossip.js';
-import { chooseClearing, chooseReservation, matchSpares, shardFor } from '../supply/moves.js';
+import { KEYS, type MachineRecord, readTeamAssignment } from '../schema/schema.js';
+import { StateFailure } from '../state/statestore.js';
 import type { ListedMachine } from '../wire/cloud.js';
 import { readReport, WORKER_PATHS } from '../wire/workers.js';
-import type { World } from '../world/world.js';
-import type { Mirror } from './mirror.js';
+import type { Mirror } from './clusterstatecache.js';
 
 /** What a machine that nobody has been given says of itself. */
 export interface UnassignedMachine {
--- a/src/shards/members.ts
+++ b/src/controller/membership.ts
@@ -1,11 +1,11 @@
+import { ChangeFeed } from '../changefeed/changefeed.js';
+import type { Present } from '../changefeed/sourceorder.js';
 import { type Clock, DRIFT, pause } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
-import { ChangeFeed } from '../feed/feed.js';
-import type { Present } from '../feed/sources.js';
-import { type Holder, KEYS, readHolder } from '../keys/keys.js';
-import { StateFailure, type StateStore } from '../state/store.js';
+import { type Holder, KEYS, readHolder } from '../schema/schema.js';
+import { StateFailure, type StateStore } from '../state/statestore.js';
 import type { Condition, Write } from '../wire/state.js';
-import { Mirror } from './mirror.js';
+import { Mirror } from './clusterstatecache.js';
 
 /** Of its lease, when a node renews it, and how long it waits for the answer. */
 const RENEW_SHARE = 1 / 4;
--- a/src/shards/owners.ts
+++ b/src/controller/ownerclient.ts
@@ -1,14 +1,14 @@
+import type { Need } from '../autoscaler/shardstatus.js';
+import type { World } from '../context/context.js';
 import type { JobEntry } from '../jobs/job.js';
-import { standing } from '../jobs/standing.js';
-import { MATCH_PROTOCOL_VERSION, PROTOCOL_VERSION } from '../keys/keys.js';
+import { standing } from '../jobs/jobstatus.js';
 import { Answered, type Mesh } from '../peer/mesh.js';
-import { NOT_READY, type Others, OwnerAway, Unavailable } from '../shard/answers.js';
-import type { Shard } from '../shard/shard.js';
-import { type Claim, readStandings, type Standing } from '../shard/waiting.js';
-import type { Need } from '../supply/gossip.js';
-import type { World } from '../world/world.js';
-import type { Members } from './members.js';
-import { PEER_OPS } from './operations.js';
+import { type Claim, readStandings, type Standing } from '../scheduler/dependencytracker.js';
+import { NOT_READY, type Others, OwnerAway, Unavailable } from '../scheduler/responses.js';
+import type { Shard } from '../scheduler/shard.js';
+import { MATCH_PROTOCOL_VERSION, PROTOCOL_VERSION } from '../schema/schema.js';
+import type { Members } from './membership.js';
+import { PEER_OPS } from './peeroperations.js';
 import type { StoredRequests } from './storedrequests.js';
 
 const ASK_MS = 3500;
--- a/src/shards/deputy.ts
+++ b/src/controller/ownerlessadmission.ts
@@ -1,11 +1,11 @@
+import type { World } from '../context/context.js';
 import { JobRecords, NotOwner } from '../jobs/records.js';
-import { KEYS } from '../keys/keys.js';
-import { type SubmitAnswer, Unavailable } from '../shard/answers.js';
-import { defaultDueS } from '../shard/planner.js';
-import { StateFailure } from '../state/store.js';
+import { defaultDueS } from '../scheduler/planner.js';
+import { type SubmitAnswer, Unavailable } from '../scheduler/responses.js';
+import { KEYS } from '../schema/schema.js';
+import { StateFailure } from '../state/statestore.js';
 import type { JobSpec } from '../wire/users.js';
-import type { World } from '../world/world.js';
-import type { Members } from './members.js';
+import type { Members } from './membership.js';
 
 /** When the owner that comes back, or comes next, is asked for the job, and how often again until it answers. */
 const FIRST_MS = 500;
--- a/src/shards/ownership.ts
+++ b/src/controller/ownership.ts
@@ -1,17 +1,17 @@
 import { pause } from '../clock/clock.js';
-import { KEYS, readMachineRecord } from '../keys/keys.js';
-import type { Others } from '../shard/answers.js';
-import { Shard } from '../shard/shard.js';
-import { termIsNew } from '../standby/checks.js';
-import type { Taken } from '../standby/follower.js';
-import type { Keeper } from '../standby/keeper.js';
+import type { World } from '../context/context.js';
+import type { Others } from '../scheduler/responses.js';
+import { Shard } from '../scheduler/shard.js';
+import { KEYS, readMachineRecord } from '../schema/schema.js';
+import type { Taken } from '../standby/standbyreplicas.js';
+import type { Keeper } from '../standby/standbyreplicator.js';
+import { termIsNew } from '../standby/takeoverchecks.js';
 import { WORKER_PATHS } from '../wire/workers.js';
 import { nextReportMs } from '../workers/machine.js';
-import type { World } from '../world/world.js';
 import { Leader, type LeaderHooks } from './leader.js';
-import type { Members } from './members.js';
-import { Reach } from './reach.js';
-import type { Standbys } from './standbys.js';
+import type { Members } from './membership.js';
+import type { Standbys } from './standbycoordinator.js';
+import { Reach } from './workerconnectivity.js';
 
 const CLAIM_MS = 200;
 /** How long a shard stays its dead home node's to take again. */
--- a/src/shards/rates.ts
+++ b/src/controller/rateallocator.ts
@@ -1,9 +1,9 @@
 import * as v from 'valibot';
+import type { World } from '../context/context.js';
 import type { Mesh } from '../peer/mesh.js';
-import { shareRate } from '../state/shares.js';
-import type { StateRates, StateStore } from '../state/store.js';
-import type { World } from '../world/world.js';
-import type { Members } from './members.js';
+import { shareRate } from '../state/rateallocation.js';
+import type { StateRates, StateStore } from '../state/statestore.js';
+import type { Members } from './membership.js';
 
 /** What a node asks the leader: its demands; the answer is its shares. */
 export const RATES_OP = 'rates';
--- a/src/shards/routing.ts
+++ b/src/controller/routing.ts
@@ -1,16 +1,16 @@
+import type { World } from '../context/context.js';
 import { isGuest, type JobEntry } from '../jobs/job.js';
+import { standing, waits } from '../jobs/jobstatus.js';
 import { findJob } from '../jobs/records.js';
-import { standing, waits } from '../jobs/standing.js';
-import { readTeamAssignment } from '../keys/keys.js';
-import { OwnerAway, type StatusAnswer, type SubmitAnswer, Unavailable } from '../shard/answers.js';
-import type { Shard } from '../shard/shard.js';
-import { StateFailure } from '../state/store.js';
+import { OwnerAway, type StatusAnswer, type SubmitAnswer, Unavailable } from '../scheduler/responses.js';
+import type { Shard } from '../scheduler/shard.js';
+import { readTeamAssignment } from '../schema/schema.js';
+import { StateFailure } from '../state/statestore.js';
 import type { JobSpec, ListedJob } from '../wire/users.js';
-import type { World } from '../world/world.js';
-import { Deputy } from './deputy.js';
-import type { Members } from './members.js';
-import { PEER_OPS } from './operations.js';
-import type { Owners } from './owners.js';
+import type { Members } from './membership.js';
+import type { Owners } from './ownerclient.js';
+import { Deputy } from './ownerlessadmission.js';
+import { PEER_OPS } from './peeroperations.js';
 
 const ROUTES_KEPT = 20_000;
 /** Jobs on one page of a list: a request must not cost an owner much. */
--- a/src/shards/standbys.ts
+++ b/src/controller/standbycoordinator.ts
@@ -1,12 +1,12 @@
-import { KEYS, readMachineRecord } from '../keys/keys.js';
+import type { World } from '../context/context.js';
 import type { Mesh } from '../peer/mesh.js';
-import { chooseStandby, StruckOff } from '../standby/choice.js';
-import { Follower, type Taken } from '../standby/follower.js';
-import { Keeper } from '../standby/keeper.js';
+import { KEYS, readMachineRecord } from '../schema/schema.js';
+import { RecordCopy } from '../standby/jobrecordreplica.js';
 import { readStandKey } from '../standby/messages.js';
-import { RecordCopy } from '../standby/records.js';
-import type { World } from '../world/world.js';
-import type { Members } from './members.js';
+import { Follower, type Taken } from '../standby/standbyreplicas.js';
+import { Keeper } from '../standby/standbyreplicator.js';
+import { chooseStandby, StruckOff } from '../standby/standbyselection.js';
+import type { Members } from './membership.js';
 
 const TELL_MS = 15_000;
 /** Machines of the shards are counted no more often than this. */
--- a/src/shards/storedrequests.ts
+++ b/src/controller/storedrequests.ts
@@ -1,10 +1,10 @@
 import * as v from 'valibot';
 import { pause, type Timer } from '../clock/clock.js';
-import { KEYS } from '../keys/keys.js';
-import { StateFailure } from '../state/store.js';
+import type { World } from '../context/context.js';
+import { KEYS } from '../schema/schema.js';
+import { StateFailure } from '../state/statestore.js';
 import type { Entry } from '../wire/state.js';
-import type { World } from '../world/world.js';
-import type { Mirror } from './mirror.js';
+import type { Mirror } from './clusterstatecache.js';
 
 const requestValue = v.object({
   shard: v.number(),
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -1,9 +1,10 @@
 // This package: jobs, their tasks and their records, as their owner and the state service have them.
+
+import type { Amounts } from '../plan/capacityprofile.js';
 import type { Match } from '../plan/model.js';
-import type { Amounts } from '../plan/profile.js';
 import type { JobSpec, JobStatus } from '../wire/users.js';
 import type { Held } from '../workers/machine.js';
-import { TaskSet } from './bits.js';
+import { TaskSet } from './taskset.js';
 
 /** An accepted job as its owner holds it. */
 export interface Job {
--- a/src/jobs/standing.ts
+++ b/src/jobs/jobstatus.ts
@@ -1,4 +1,4 @@
-import { StateFailure, type StateStore } from '../state/store.js';
+import { StateFailure, type StateStore } from '../state/statestore.js';
 import type { JobEntry } from './job.js';
 import { findJob, readParts } from './records.js';
 
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -1,10 +1,10 @@
 import * as v from 'valibot';
-import { KEYS } from '../keys/keys.js';
-import { StateFailure, type StateStore, type TxnResult } from '../state/store.js';
+import { KEYS } from '../schema/schema.js';
+import { StateFailure, type StateStore, type TxnResult } from '../state/statestore.js';
 import type { Condition, Entry, Write } from '../wire/state.js';
 import type { JobSpec } from '../wire/users.js';
-import { chunkTasks } from './bits.js';
 import type { Job, JobEntry, JobRecord } from './job.js';
+import { chunkTasks } from './taskset.js';
 
 const specValue = v.object({
   id: v.string(),
--- a/src/check/lending.ts
+++ b/src/modelcheck/lending.ts
@@ -1,5 +1,11 @@
-import type { HomeRecord, LendingLimits, LendingMessage, PartnerRecord, Step } from '../overflow/lending.js';
-import * as lending from '../overflow/lending.js';
+import type {
+  HomeRecord,
+  LendingLimits,
+  LendingMessage,
+  PartnerRecord,
+  Step,
+} from '../federation/lending.js';
+import * as lending from '../federation/lending.js';
 import type { Model } from './explore.js';
 
 /** The transitions that are looked at: those of production, or with one of them broken. */
--- a/src/check/promise.ts
+++ b/src/modelcheck/standbylease.ts
@@ -1,7 +1,7 @@
 import { DRIFT } from '../clock/clock.js';
-import * as checks from '../standby/checks.js';
-import type { Pledge, Vigil } from '../standby/promise.js';
-import * as promise from '../standby/promise.js';
+import type { Pledge, Vigil } from '../standby/standbylease.js';
+import * as promise from '../standby/standbylease.js';
+import * as checks from '../standby/takeoverchecks.js';
 import * as machine from '../workers/machine.js';
 import type { Model } from './explore.js';
 
--- a/src/plan/model.ts
+++ b/src/plan/model.ts
@@ -1,4 +1,4 @@
-import type { Amounts } from './profile.js';
+import type { Amounts } from './capacityprofile.js';
 
 /** What a job asks of a machine beyond its size, type and zone; most jobs ask nothing. */
 export interface Match {
--- a/src/plan/plan.ts
+++ b/src/plan/plan.ts
@@ -1,6 +1,7 @@
 // This package: the plan: pure functions of machines and jobs, no I/O.
+
+import { type Amounts, fitCount, Profile } from './capacityprofile.js';
 import type { Booking, KeptPlace, PlanJob, PlanMachine, TeamCap } from './model.js';
-import { type Amounts, fitCount, Profile } from './profile.js';
 
 /** Beyond so many tasks of one job, the rest is estimated instead of booked. */
 export const BOOKED_TASKS = 256;
--- a/src/plan/rent.ts
+++ b/src/plan/rentalchoice.ts
@@ -1,6 +1,6 @@
+import type { Amounts } from './capacityprofile.js';
+import { fitCount } from './capacityprofile.js';
 import type { Match } from './model.js';
-import type { Amounts } from './profile.js';
-import { fitCount } from './profile.js';
 
 /** A kind of machine that may be rented. */
 export interface RentOption {
--- a/src/plan/preempt.ts
+++ b/src/plan/victimchoice.ts
@@ -1,4 +1,4 @@
-import { type Amounts, fitCount } from './profile.js';
+import { type Amounts, fitCount } from './capacityprofile.js';
 
 /** A task that may be stopped to make room. */
 export interface Victim<T> {
--- a/src/controller.ts
+++ b/src/program/controllerprogram.ts
@@ -1,18 +1,18 @@
 import { randomUUID } from 'node:crypto';
 import { Command, InvalidArgumentError, Option } from 'commander';
-import { Api, claimOf } from './api/routes.js';
-import { quickClock } from './clock/clock.js';
-import { Cloud } from './cloud/cloud.js';
-import { nodeLease } from './config/bounds.js';
-import { LEVELS, makeLog } from './config/log.js';
-import { loadSettings, partSockets, type Settings, SettingsError } from './config/settings.js';
-import { version } from './config/version.js';
-import { HttpClient } from './http/client.js';
-import { HttpServer } from './http/server.js';
-import { PeerMesh } from './peer/mesh.js';
-import { ControllerNode } from './shards/node.js';
-import { StateStore } from './state/store.js';
-import { Catalog, Names, type World } from './world/world.js';
+import { Api, claimOf } from '../api/routes.js';
+import { quickClock } from '../clock/clock.js';
+import { Cloud } from '../cloud/cloud.js';
+import { nodeLease } from '../config/bounds.js';
+import { LEVELS, makeLog } from '../config/log.js';
+import { loadSettings, partSockets, type Settings, SettingsError } from '../config/settings.js';
+import { version } from '../config/version.js';
+import { Catalog, Names, type World } from '../context/context.js';
+import { ControllerNode } from '../controller/controllernode.js';
+import { HttpClient } from '../http/client.js';
+import { HttpServer } from '../http/server.js';
+import { PeerMesh } from '../peer/mesh.js';
+import { StateStore } from '../state/statestore.js';
 
 const EXIT_SETTINGS = 2;
 const EXIT_BIND = 3;
@@ -78,10 +78,10 @@
   };
   // Optional parts cost nothing where they are not enabled.
   const condor = options.condor
-    ? await Promise.all([import('./condor/matcher.js'), import('./condor/service.js')])
+    ? await Promise.all([import('../condor/matcher.js'), import('../condor/service.js')])
     : null;
   if (condor) world.matcher = new condor[0].ClassAdMatcher(names, world.catalog);
-  const standbys = options.standby ? (await import('./shards/standbys.js')).Standbys : null;
+  const standbys = options.standby ? (await import('../controller/standbycoordinator.js')).Standbys : null;
   const node = new ControllerNode(world, standbys);
   const api = new Api(world, node);
   if (condor) {
--- a/src/shard/waiting.ts
+++ b/src/scheduler/dependencytracker.ts
@@ -1,8 +1,8 @@
 import * as v from 'valibot';
 import type { Log } from '../config/log.js';
+import type { World } from '../context/context.js';
 import type { Job, JobEntry } from '../jobs/job.js';
 import { type JobSpec, PRIORITY } from '../wire/users.js';
-import type { World } from '../world/world.js';
 
 /** Owners of jobs that are needed elsewhere are asked this often, all jobs of a shard with one question. */
 const ASK_MS = 1000;
--- a/src/shard/questions.ts
+++ b/src/scheduler/jobrequests.ts
@@ -1,15 +1,15 @@
 import type { Log } from '../config/log.js';
+import type { World } from '../context/context.js';
 import { type Job, type JobEntry, jobStatus } from '../jobs/job.js';
+import { waits } from '../jobs/jobstatus.js';
 import { type JobRecords, NotOwner } from '../jobs/records.js';
-import { waits } from '../jobs/standing.js';
 import type { JobSpec, ListedJob } from '../wire/users.js';
-import type { World } from '../world/world.js';
-import { NOT_READY, OwnerAway, type StatusAnswer, type SubmitAnswer, Unavailable } from './answers.js';
+import type { Waiting } from './dependencytracker.js';
+import type { JobTable } from './jobtable.js';
 import type { Planner } from './planner.js';
-import type { Progress } from './progress.js';
-import type { JobTable } from './table.js';
-import { Turns } from './turns.js';
-import type { Waiting } from './waiting.js';
+import { NOT_READY, OwnerAway, type StatusAnswer, type SubmitAnswer, Unavailable } from './responses.js';
+import { Turns } from './retryafterpacer.js';
+import type { Progress } from './taskprogress.js';
 
 /** A new job is turned away when it would wait longer than this to be stored. */
 const ACCEPT_WAIT_MS = 700;
--- a/src/shard/table.ts
+++ b/src/scheduler/jobtable.ts
@@ -1,10 +1,10 @@
 import { Mutex } from 'async-mutex';
+import { NOWHERE, type World } from '../context/context.js';
 import { type Job, jobStatus, makeJob } from '../jobs/job.js';
-import type { Amounts } from '../plan/profile.js';
+import type { Amounts } from '../plan/capacityprofile.js';
 import type { JobSpec } from '../wire/users.js';
 import type { Held } from '../workers/machine.js';
-import { NOWHERE, type World } from '../world/world.js';
-import type { StatusAnswer } from './answers.js';
+import type { StatusAnswer } from './responses.js';
 
 interface Ended {
   status: 'done' | 'cancelled';
--- a/src/shard/planinput.ts
+++ b/src/scheduler/planinput.ts
@@ -1,13 +1,13 @@
+import type { PendingRental } from '../autoscaler/autoscaler.js';
+import type { World } from '../context/context.js';
 import { type Job, openTasks } from '../jobs/job.js';
+import type { Amounts } from '../plan/capacityprofile.js';
 import type { HeldBooking, KeptPlace, PlanJob, PlanMachine } from '../plan/model.js';
 import { Plan } from '../plan/plan.js';
-import type { Amounts } from '../plan/profile.js';
-import type { RentOption } from '../plan/rent.js';
-import type { PendingRental } from '../supply/supply.js';
-import type { Fleet } from '../workers/fleet.js';
+import type { RentOption } from '../plan/rentalchoice.js';
 import type { Held, Machine } from '../workers/machine.js';
-import type { World } from '../world/world.js';
-import type { Estimates } from './estimates.js';
+import type { Fleet } from '../workers/machineregistry.js';
+import type { Estimates } from './runtimeestimates.js';
 
 export interface PlanInputHooks {
   /** Whose a task is and what it takes; null when nobody remembers. */
--- a/src/shard/planner.ts
+++ b/src/scheduler/planner.ts
@@ -1,21 +1,21 @@
+import type { Supply } from '../autoscaler/autoscaler.js';
+import type { World } from '../context/context.js';
 import { type Job, kindAllowed, restPriority, withinGuarantee } from '../jobs/job.js';
+import { type Amounts, fitCount } from '../plan/capacityprofile.js';
 import type { PlanJob } from '../plan/model.js';
 import type { Plan } from '../plan/plan.js';
-import { type Amounts, fitCount } from '../plan/profile.js';
-import type { Supply } from '../supply/supply.js';
 import { PRIORITY } from '../wire/users.js';
-import type { Fleet } from '../workers/fleet.js';
 import type { Machine } from '../workers/machine.js';
-import type { World } from '../world/world.js';
-import { Ageing } from './ageing.js';
-import { Aims } from './aims.js';
-import type { Demand } from './demand.js';
-import type { Estimates } from './estimates.js';
+import type { Fleet } from '../workers/machineregistry.js';
+import type { Waiting } from './dependencytracker.js';
+import type { JobTable } from './jobtable.js';
 import { book, type PlanInput } from './planinput.js';
 import type { Preemption } from './preemption.js';
-import type { Starts } from './starts.js';
-import type { JobTable } from './table.js';
-import type { Waiting } from './waiting.js';
+import { Ageing } from './priorityaging.js';
+import type { Demand } from './resourcedemand.js';
+import type { Estimates } from './runtimeestimates.js';
+import { Aims } from './servicelevelobjectives.js';
+import type { Starts } from './taskdispatcher.js';
 
 /** A job without a deadline gets one at so many times the finish that the plans allow. */
 const DEFAULT_SLACK = 1.5;
--- a/src/shard/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -1,12 +1,12 @@
+import { kindName, type Need } from '../autoscaler/shardstatus.js';
 import type { Log } from '../config/log.js';
+import type { World } from '../context/context.js';
 import { type Job, kindAllowed, openCount } from '../jobs/job.js';
-import { chooseVictims, type PreemptMachine } from '../plan/preempt.js';
-import { type Amounts, fitCount } from '../plan/profile.js';
-import { kindName, type Need } from '../supply/gossip.js';
+import { type Amounts, fitCount } from '../plan/capacityprofile.js';
+import { chooseVictims, type PreemptMachine } from '../plan/victimchoice.js';
 import { PRIORITY } from '../wire/users.js';
-import type { Fleet } from '../workers/fleet.js';
 import type { Held, Machine } from '../workers/machine.js';
-import type { World } from '../world/world.js';
+import type { Fleet } from '../workers/machineregistry.js';
 
 /** Room is not made twice for a job within the pause, and not looked for again at once when there is none to be made. */
 const PREEMPT_PAUSE_MS = 12_000;
--- a/src/shard/ageing.ts
+++ b/src/scheduler/priorityaging.ts
@@ -1,8 +1,8 @@
+import type { World } from '../context/context.js';
 import type { Job } from '../jobs/job.js';
 import { PRIORITY } from '../wire/users.js';
-import type { World } from '../world/world.js';
-import type { Aims } from './aims.js';
-import type { Estimates } from './estimates.js';
+import type { Estimates } from './runtimeestimates.js';
+import type { Aims } from './servicelevelobjectives.js';
 
 /** A job has aged when no more than this share of the time for its last aim is left to start in. */
 const AGED_SHARE = 0.5;
--- a/src/shard/telling.ts
+++ b/src/scheduler/replicationsource.ts
@@ -1,11 +1,11 @@
+import type { World } from '../context/context.js';
 import type { Job } from '../jobs/job.js';
-import type { FeedSource } from '../standby/feed.js';
-import type { Keeper } from '../standby/keeper.js';
 import type { FeedRecord } from '../standby/messages.js';
-import type { Fleet } from '../workers/fleet.js';
+import type { FeedSource } from '../standby/replicationstream.js';
+import type { Keeper } from '../standby/standbyreplicator.js';
 import type { Held, Machine } from '../workers/machine.js';
-import type { World } from '../world/world.js';
-import type { Estimates } from './estimates.js';
+import type { Fleet } from '../workers/machineregistry.js';
+import type { Estimates } from './runtimeestimates.js';
 
 export interface TellingHooks {
   /** Whether all machines on which tasks of a job may be are known, so that it is surely nowhere else. */
--- a/src/shard/demand.ts
+++ b/src/scheduler/resourcedemand.ts
@@ -1,16 +1,16 @@
+import { kindKey, type Supply } from '../autoscaler/autoscaler.js';
+import { type Gossip, kindName } from '../autoscaler/shardstatus.js';
+import type { World } from '../context/context.js';
 import { type Job, kindAllowed, openCount, restPriority, zoneRoom } from '../jobs/job.js';
+import { type Amounts, fitCount } from '../plan/capacityprofile.js';
 import type { Booking } from '../plan/model.js';
 import type { Plan } from '../plan/plan.js';
-import { type Amounts, fitCount } from '../plan/profile.js';
-import type { Shortage } from '../plan/rent.js';
-import { type Gossip, kindName } from '../supply/gossip.js';
-import { kindKey, type Supply } from '../supply/supply.js';
+import type { Shortage } from '../plan/rentalchoice.js';
 import { PRIORITY } from '../wire/users.js';
-import type { Fleet } from '../workers/fleet.js';
 import type { Machine } from '../workers/machine.js';
-import type { World } from '../world/world.js';
-import type { Estimates } from './estimates.js';
+import type { Fleet } from '../workers/machineregistry.js';
 import type { Preemption } from './preemption.js';
+import type { Estimates } from './runtimeestimates.js';
 
 /** A shortage goes to the leader first; renting begins when nobody had a machine to give. */
 const RENT_AFTER_MS = 900;
--- a/src/shard/answers.ts
+++ b/src/scheduler/responses.ts
@@ -1,6 +1,6 @@
 import type { JobEntry } from '../jobs/job.js';
 import type { JobStatus } from '../wire/users.js';
-import type { Claim, Standing } from './waiting.js';
+import type { Claim, Standing } from './dependencytracker.js';
 
 /** What an owner answers about its jobs, and what it needs of the other owners. */
 
--- a/src/shard/estimates.ts
+++ b/src/scheduler/runtimeestimates.ts
@@ -1,7 +1,7 @@
+import type { World } from '../context/context.js';
 import type { Job } from '../jobs/job.js';
 import type { JobSpec } from '../wire/users.js';
 import type { Held } from '../workers/machine.js';
-import type { World } from '../world/world.js';
 
 /** How long tasks run: the owners' estimates, and what their classes have shown. */
 export class Estimates {
--- a/src/shard/draining.ts
+++ b/src/scheduler/spotdraining.ts
@@ -1,7 +1,7 @@
 import type { Job } from '../jobs/job.js';
-import type { Fleet } from '../workers/fleet.js';
 import type { Held } from '../workers/machine.js';
-import type { Estimates } from './estimates.js';
+import type { Fleet } from '../workers/machineregistry.js';
+import type { Estimates } from './runtimeestimates.js';
 
 /** Stops are sent this much before the last moment. */
 const LEAD_MS = 4000;
--- a/src/shard/starts.ts
+++ b/src/scheduler/taskdispatcher.ts
@@ -1,12 +1,12 @@
 import type { Log } from '../config/log.js';
+import type { World } from '../context/context.js';
 import { type Job, kindAllowed, restPriority } from '../jobs/job.js';
+import { type Amounts, fitCount } from '../plan/capacityprofile.js';
 import type { Plan } from '../plan/plan.js';
-import { type Amounts, fitCount } from '../plan/profile.js';
-import { machineUsable, needsMet } from '../standby/checks.js';
+import { machineUsable, needsMet } from '../standby/takeoverchecks.js';
 import { PRIORITY } from '../wire/users.js';
-import type { Fleet, StartOrder } from '../workers/fleet.js';
 import type { Held, Machine } from '../workers/machine.js';
-import type { World } from '../world/world.js';
+import type { Fleet, StartOrder } from '../workers/machineregistry.js';
 
 const ATTEMPTS_PER_TERM = 2 ** 20;
 /**
--- a/src/shard/progress.ts
+++ b/src/scheduler/taskprogress.ts
@@ -1,13 +1,13 @@
 import { pause } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
+import type { World } from '../context/context.js';
 import type { Job } from '../jobs/job.js';
 import { type JobRecords, type LoadedJob, NotOwner } from '../jobs/records.js';
-import type { Fleet, GoneWhy } from '../workers/fleet.js';
 import { type Held, type Machine, noteImage } from '../workers/machine.js';
-import type { World } from '../world/world.js';
-import type { Estimates } from './estimates.js';
-import type { FailureTracker } from './failures.js';
-import type { JobTable } from './table.js';
+import type { Fleet, GoneWhy } from '../workers/machineregistry.js';
+import type { FailureTracker } from './failuretracker.js';
+import type { JobTable } from './jobtable.js';
+import type { Estimates } from './runtimeestimates.js';
 
 /** Completed tasks of a job are stored no more often than this, until the last one. */
 const GATHER_MS = 2000;
--- a/src/shard/unseen.ts
+++ b/src/scheduler/unreconciledmachines.ts
@@ -1,10 +1,10 @@
 import type { Log } from '../config/log.js';
+import type { World } from '../context/context.js';
 import type { Job } from '../jobs/job.js';
-import type { Amounts } from '../plan/profile.js';
-import { surelyNowhere } from '../standby/checks.js';
-import type { Warmth } from '../standby/copy.js';
-import type { Fleet } from '../workers/fleet.js';
-import type { World } from '../world/world.js';
+import type { Amounts } from '../plan/capacityprofile.js';
+import type { Warmth } from '../standby/shardreplica.js';
+import { surelyNowhere } from '../standby/takeoverchecks.js';
+import type { Fleet } from '../workers/machineregistry.js';
 
 /** Machines that are there answer the first question of a new owner within this. */
 const GREET_MS = 2500;
--- a/src/shard/inheritance.ts
+++ b/src/scheduler/warmstart.ts
@@ -1,9 +1,9 @@
+import type { World } from '../context/context.js';
 import type { Job } from '../jobs/job.js';
-import type { Warmth } from '../standby/copy.js';
+import type { Warmth } from '../standby/shardreplica.js';
 import type { Held, Machine } from '../workers/machine.js';
 import { noteImage } from '../workers/machine.js';
-import type { World } from '../world/world.js';
-import type { Estimates } from './estimates.js';
+import type { Estimates } from './runtimeestimates.js';
 
 /**
  * What a shard's new owner takes over from the one before it, where that told its standby. All of it are hints: images and
--- a/src/standby/records.ts
+++ b/src/standby/jobrecordreplica.ts
@@ -1,10 +1,10 @@
 import { Mutex } from 'async-mutex';
 import type { Log } from '../config/log.js';
+import type { World } from '../context/context.js';
 import { type LoadedJob, readChunk, readLoaded, shardOfRecord } from '../jobs/records.js';
-import { KEYS } from '../keys/keys.js';
+import { KEYS } from '../schema/schema.js';
 import type { Entry } from '../wire/state.js';
-import type { World } from '../world/world.js';
-import { recordsComplete } from './checks.js';
+import { recordsComplete } from './takeoverchecks.js';
 
 /** Changes are read no more often than this while there are some, and not at all while there are none. */
 const READ_EVERY_MS = 5000;
--- a/src/standby/follower.ts
+++ b/src/standby/standbyreplicas.ts
@@ -1,9 +1,9 @@
 import type { Log } from '../config/log.js';
 import type { LoadedJob } from '../jobs/records.js';
-import { WarmCopy, type Warmth } from './copy.js';
+import type { RecordCopy } from './jobrecordreplica.js';
 import { readAssumeMessage, readStandMessage, type StandAnswer } from './messages.js';
-import { answering, claiming, mayClaim, PROMISE_MS, releasing, type Vigil } from './promise.js';
-import type { RecordCopy } from './records.js';
+import { WarmCopy, type Warmth } from './shardreplica.js';
+import { answering, claiming, mayClaim, PROMISE_MS, releasing, type Vigil } from './standbylease.js';
 
 const LOOK_MS = 125;
 /**
--- a/src/standby/keeper.ts
+++ b/src/standby/standbyreplicator.ts
@@ -1,14 +1,22 @@
 import { pause } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
-import { type Holder, KEYS } from '../keys/keys.js';
+import type { World } from '../context/context.js';
 import type { Mesh } from '../peer/mesh.js';
-import { StateFailure } from '../state/store.js';
+import { type Holder, KEYS } from '../schema/schema.js';
+import { StateFailure } from '../state/statestore.js';
 import type { Condition } from '../wire/state.js';
-import type { World } from '../world/world.js';
-import type { StruckOff } from './choice.js';
-import { Feed, type FeedSource } from './feed.js';
 import { type FeedRecord, readStandAnswer, readStandKey, STANDBY_OPS, type StandKey } from './messages.js';
-import { acknowledged, mayAct, type Pledge, PROMISE_MS, sending, struckOff, UNBOUND } from './promise.js';
+import { Feed, type FeedSource } from './replicationstream.js';
+import {
+  acknowledged,
+  mayAct,
+  type Pledge,
+  PROMISE_MS,
+  sending,
+  struckOff,
+  UNBOUND,
+} from './standbylease.js';
+import type { StruckOff } from './standbyselection.js';
 
 /** The owner's messages to its standby. */
 const EVERY_MS = 800;
--- a/src/standby/checks.ts
+++ b/src/standby/takeoverchecks.ts
@@ -1,4 +1,4 @@
-import type { Warmth } from './copy.js';
+import type { Warmth } from './shardreplica.js';
 
 /**
  * What is checked before a shard's new owner decides (docs/standby.md). What the former owner told is a hint; each check
--- a/src/state/store.ts
+++ b/src/state/statestore.ts
@@ -15,7 +15,7 @@
   writeLeaseRequest,
   writeTxn,
 } from '../wire/state.js';
-import { Limiter, Overloaded } from './limiter.js';
+import { Limiter, Overloaded } from './ratelimiter.js';
 
 /** `done` false: the request surely had no effect. True: it may have had, or may yet have. */
 export class StateFailure extends Error {
--- a/tests/aims.test.ts
+++ b/tests/aims.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Aims, RANKS } from '../src/shard/aims.js';
+import { Aims, RANKS } from '../src/scheduler/servicelevelobjectives.js';
 import { FakeCluster, job } from './support/cluster.js';
 
 const objectives = [
--- a/tests/changes.test.ts
+++ b/tests/changes.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import type { ChangeSource } from '../src/feed/feed.js';
-import { ChangeLog } from '../src/feed/log.js';
-import { watchPaceMs } from '../src/feed/pace.js';
-import { sourceOrder } from '../src/feed/sources.js';
-import { Mirror } from '../src/shards/mirror.js';
+import type { ChangeSource } from '../src/changefeed/changefeed.js';
+import { ChangeLog } from '../src/changefeed/changelog.js';
+import { sourceOrder } from '../src/changefeed/sourceorder.js';
+import { watchPaceMs } from '../src/changefeed/watchpacing.js';
+import { Mirror } from '../src/controller/clusterstatecache.js';
 import type { Change } from '../src/wire/state.js';
 import { FakeClock } from './support/clock.js';
 import { FakeCluster, job } from './support/cluster.js';
--- a/tests/condor/matching.ts
+++ b/tests/condor/matching.ts
@@ -4,9 +4,9 @@
  *     node target/check/tests/condor/matching.js
  */
 import { ClassAdMatcher } from '../../src/condor/matcher.js';
+import { Catalog, Names } from '../../src/context/context.js';
 import type { Match, PlanJob, PlanMachine } from '../../src/plan/model.js';
 import { Plan } from '../../src/plan/plan.js';
-import { Catalog, Names } from '../../src/world/world.js';
 
 const names = new Names();
 const catalog = new Catalog(names);
--- a/tests/deaf.test.ts
+++ b/tests/deaf.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { Reach } from '../src/controller/workerconnectivity.js';
 import type { Worker } from '../src/emulator/worker.js';
-import { Reach } from '../src/shards/reach.js';
 import { FakeClock } from './support/clock.js';
 import { FakeCluster, job, LEASE_S } from './support/cluster.js';
 
--- a/tests/failures.test.ts
+++ b/tests/failures.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import pino from 'pino';
 import { type Job, makeJob } from '../src/jobs/job.js';
-import { FailureTracker } from '../src/shard/failures.js';
+import { FailureTracker } from '../src/scheduler/failuretracker.js';
 import { readJob } from '../src/wire/users.js';
 import { type Machine, SICK_ERRORS } from '../src/workers/machine.js';
 import { FakeCluster, job } from './support/cluster.js';
--- a/tests/feed.test.ts
+++ b/tests/feed.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { chooseStandby, StruckOff } from '../src/standby/choice.js';
-import { WarmCopy } from '../src/standby/copy.js';
-import { Feed } from '../src/standby/feed.js';
 import { BATCH_MOST, type FeedRecord, readStandMessage } from '../src/standby/messages.js';
+import { Feed } from '../src/standby/replicationstream.js';
+import { WarmCopy } from '../src/standby/shardreplica.js';
+import { chooseStandby, StruckOff } from '../src/standby/standbyselection.js';
 
 const only = (job: string, machines: string[] | null): FeedRecord => ({ t: 'only', job, machines });
 const at = (job: string, machine: string) => ({ job, machine });
--- a/tests/plan.test.ts
+++ b/tests/plan.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import { chooseReservation, matchSpares, shardFor } from '../src/autoscaler/rebalancing.js';
+import { assignTeams } from '../src/controller/leader.js';
 import { makeJob, withinGuarantee } from '../src/jobs/job.js';
 import { Plan } from '../src/plan/plan.js';
-import { chooseVictims } from '../src/plan/preempt.js';
-import { chooseRental } from '../src/plan/rent.js';
-import { assignTeams } from '../src/shards/leader.js';
-import { chooseReservation, matchSpares, shardFor } from '../src/supply/moves.js';
+import { chooseRental } from '../src/plan/rentalchoice.js';
+import { chooseVictims } from '../src/plan/victimchoice.js';
 import type { JobSpec } from '../src/wire/users.js';
 import { machine, planJob, size } from './support/plan.js';
 
--- a/tests/rates.test.ts
+++ b/tests/rates.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Limiter } from '../src/state/limiter.js';
-import { shareRate } from '../src/state/shares.js';
+import { shareRate } from '../src/state/rateallocation.js';
+import { Limiter } from '../src/state/ratelimiter.js';
 import { FakeClock } from './support/clock.js';
 import { FakeCluster, job } from './support/cluster.js';
 
--- a/tests/reach.test.ts
+++ b/tests/reach.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Reach } from '../src/shards/reach.js';
+import { Reach } from '../src/controller/workerconnectivity.js';
 import { FakeClock } from './support/clock.js';
 import { FakeCluster, job } from './support/cluster.js';
 
--- a/tests/standby/check.ts
+++ b/tests/standby/check.ts
@@ -1,6 +1,6 @@
-import { explore, wander } from '../../src/check/explore.js';
-import { type Bounds, GUARDED, PRODUCTION, promiseModel } from '../../src/check/promise.js';
 import { Random } from '../../src/emulator/random.js';
+import { explore, wander } from '../../src/modelcheck/explore.js';
+import { type Bounds, GUARDED, PRODUCTION, promiseModel } from '../../src/modelcheck/standbylease.js';
 
 // Walks the promise between owner and standby much further than the tests do; some minutes, in a process of its own.
 const STATES = 1_500_000;
--- a/tests/support/feeds.ts
+++ b/tests/support/feeds.ts
@@ -1,11 +1,11 @@
 import pino from 'pino';
+import { ChangeFeed } from '../../src/changefeed/changefeed.js';
+import type { Present } from '../../src/changefeed/sourceorder.js';
 import { pause } from '../../src/clock/clock.js';
+import { Mirror } from '../../src/controller/clusterstatecache.js';
 import { StateService } from '../../src/emulator/state.js';
-import { ChangeFeed } from '../../src/feed/feed.js';
-import type { Present } from '../../src/feed/sources.js';
 import type { Mesh } from '../../src/peer/mesh.js';
-import { Mirror } from '../../src/shards/mirror.js';
-import { StateStore } from '../../src/state/store.js';
+import { StateStore } from '../../src/state/statestore.js';
 import { FakeClock } from './clock.js';
 import { FakeNet } from './net.js';
 
--- a/tests/waiting.test.ts
+++ b/tests/waiting.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
+import type { World } from '../src/context/context.js';
 import { makeJob } from '../src/jobs/job.js';
 import type { Plan } from '../src/plan/plan.js';
-import { Starts } from '../src/shard/starts.js';
+import { Starts } from '../src/scheduler/taskdispatcher.js';
 import { readJob } from '../src/wire/users.js';
-import type { Fleet } from '../src/workers/fleet.js';
 import type { Machine } from '../src/workers/machine.js';
-import type { World } from '../src/world/world.js';
+import type { Fleet } from '../src/workers/machineregistry.js';
 import { FakeCluster, job } from './support/cluster.js';
 
 const status = (body: unknown) => (body as { status: string }).status;
--- a/tests/wire.test.ts
+++ b/tests/wire.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseSettings, SettingsError } from '../src/config/settings.js';
-import { chunkTasks, TaskSet } from '../src/jobs/bits.js';
+import { chunkTasks, TaskSet } from '../src/jobs/taskset.js';
 import { encodeFrame, FrameReader } from '../src/peer/frames.js';
 import { readJob } from '../src/wire/users.js';
 import { readReport } from '../src/wire/workers.js';
--- a/tests/writes.test.ts
+++ b/tests/writes.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import pino from 'pino';
 import { nodeLease } from '../src/config/bounds.js';
-import { Mirror } from '../src/shards/mirror.js';
+import { Mirror } from '../src/controller/clusterstatecache.js';
 import type { Change } from '../src/wire/state.js';
 import { busy, NODES } from './support/busy.js';
 import { FakeClock } from './support/clock.js';
