--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -1,13 +1,13 @@
 // This package: what users and workers ask over HTTP, and how it is answered.
 
-import type { World } from '../context/context.js';
+import type { ControllerContext } from '../context/context.js';
 import type { ControllerNode } from '../controller/controllernode.js';
 import type { Shown } from '../http/admission.js';
 import { bad, later, parseBody, wrongMethod } from '../http/replies.js';
 import type { HttpReply, HttpRequest } from '../http/server.js';
 import { fitCount } from '../plan/capacityprofile.js';
-import { Unavailable } from '../scheduler/responses.js';
-import { StateFailure } from '../state/statestore.js';
+import { UnavailableError } from '../scheduler/responses.js';
+import { StateStoreError } from '../state/statestore.js';
 import {
   isJobId,
   type JobSpec,
@@ -18,13 +18,13 @@
   writeJobList,
   writeStatus,
 } from '../wire/users.js';
-import { readReport, WORKER_PATHS, writeRedirect } from '../wire/workers.js';
+import { readHeartbeat, WORKER_PATHS, writeRedirect } from '../wire/workers.js';
 
 const JOB_PATH = /^\/api\/jobs\/([^/]+)(?:\/([^/]+))?$/;
 
 /** Whom a request seems to come from, before anything of it has been checked. */
 export function claimOf(path: string): Shown {
-  if (path === WORKER_PATHS.report) return 'worker';
+  if (path === WORKER_PATHS.heartbeat) return 'worker';
   return path === USER_PATHS.health ? 'health' : 'user';
 }
 
@@ -34,7 +34,7 @@
   readonly mounts = new Map<string, (r: HttpRequest) => Promise<HttpReply>>();
 
   constructor(
-    private readonly world: World,
+    private readonly context: ControllerContext,
     private readonly node: ControllerNode,
   ) {}
 
@@ -42,8 +42,8 @@
     try {
       return await this.route(request);
     } catch (error) {
-      if (error instanceof Unavailable || error instanceof StateFailure) {
-        this.world.log.debug({ path: request.path, error: error.message }, 'not now');
+      if (error instanceof UnavailableError || error instanceof StateStoreError) {
+        this.context.log.debug({ path: request.path, error: error.message }, 'not now');
         return later(503, 1, error.message);
       }
       throw error;
@@ -54,11 +54,11 @@
     if (r.path === USER_PATHS.health) {
       if (r.method !== 'GET') return wrongMethod('GET');
       const health = this.node.healthy
-        ? { status: 200, body: writeHealth(this.node.members.mirror.revision) }
+        ? { status: 200, body: writeHealth(this.node.membership.stateCache.revision) }
         : later(503, 1, 'starting');
       return { ...health, from: 'health' };
     }
-    if (r.path === WORKER_PATHS.report) return r.method === 'POST' ? this.report(r) : wrongMethod('POST');
+    if (r.path === WORKER_PATHS.heartbeat) return r.method === 'POST' ? this.report(r) : wrongMethod('POST');
     if (r.path === USER_PATHS.jobs) {
       if (r.method === 'GET') return this.list(r);
       return r.method === 'POST' ? this.submit(r) : wrongMethod('GET, POST');
@@ -73,12 +73,12 @@
   }
 
   private report(r: HttpRequest): HttpReply {
-    const report = readReport(parseBody(r.body));
+    const report = readHeartbeat(parseBody(r.body));
     if (!report) {
-      this.world.log.info('a report that cannot be read');
+      this.context.log.info('a report that cannot be read');
       return { status: 400, body: { error: 'not a report' } };
     }
-    const answer = this.node.report(report);
+    const answer = this.node.onHeartbeat(report);
     // Who names a machine that is nobody's has shown nothing.
     if (answer.kind === 'orders') return { status: 200, body: answer.body, from: 'worker' };
     if (answer.kind === 'redirect') return { status: 421, body: writeRedirect(answer.node), from: 'worker' };
@@ -90,7 +90,7 @@
     if (typeof body !== 'object' || body === null || Array.isArray(body)) return bad('not a JSON object');
     const spec = readJob(body);
     if (typeof spec === 'string') return bad(spec);
-    if (!this.world.catalog.known) return later(503, 1, 'machine types are not known yet');
+    if (!this.context.catalog.known) return later(503, 1, 'machine types are not known yet');
     const never = this.neverRuns(spec);
     if (never !== null) {
       // A job that was accepted once is never refused, whatever the machine types are now.
@@ -108,10 +108,10 @@
   }
 
   private neverRuns(spec: JobSpec): string | null {
-    const { teams } = this.world.settings;
+    const { teams } = this.context.settings;
     const team = teams.find((t) => t.name === spec.team);
     if (teams.length > 0 && !team) return `unknown team ${spec.team}`;
-    const fits = this.world.catalog
+    const fits = this.context.catalog
       .all()
       .some(
         ([, t]) =>
--- a/src/autoscaler/autoscaler.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -1,19 +1,19 @@
 // This package: machines: renting and returning them, and which shard they go to.
 import { pause } from '../clock/clock.js';
-import { CloudFailure } from '../cloud/cloud.js';
+import { CloudError } from '../cloud/cloud.js';
 import type { Log } from '../config/log.js';
 import { mostMachines } from '../config/settings.js';
-import type { World } from '../context/context.js';
-import { NotOwner } from '../jobs/records.js';
+import type { ControllerContext } from '../context/context.js';
+import { NotOwnerError } from '../jobs/records.js';
 import { type Amounts, fitCount } from '../plan/capacityprofile.js';
-import { BOOKED_TASKS } from '../plan/plan.js';
+import { MAX_RESERVED_TASKS } from '../plan/plan.js';
 import { chooseRentals, type RentOption, type Shortage } from '../plan/rentalchoice.js';
 import { KEYS, type MachineRecord, readMachineRecord } from '../schema/schema.js';
-import { StateFailure } from '../state/statestore.js';
+import { StateStoreError } from '../state/statestore.js';
 import { RELEASE_LIMIT, RENT_LIMIT, type Rental } from '../wire/cloud.js';
 import type { Condition, Entry } from '../wire/state.js';
-import { type Machine, SICK_ERRORS } from '../workers/machine.js';
-import type { Fleet } from '../workers/machineregistry.js';
+import { MAX_CONSECUTIVE_ERRORS, type Machine } from '../workers/machine.js';
+import type { MachineRegistry } from '../workers/machineregistry.js';
 
 /** An idle machine is kept for long where nearly all tasks must start sooner than it boots, for some time where many. */
 const KEEP_LONG_MS = 180_000;
@@ -68,7 +68,7 @@
 }
 
 /** A shard's machines come and go here: their records, rentals, and what is given back. */
-export class Supply {
+export class Autoscaler {
   /** Machines that are being given to another shard or back to the cloud. */
   readonly moving = new Set<string>();
   readonly rentals = new Set<PendingRental>();
@@ -77,14 +77,14 @@
   private readonly claimedAt: number;
 
   constructor(
-    private readonly world: World,
+    private readonly context: ControllerContext,
     private readonly index: number,
     private readonly term: number,
-    private readonly fleet: Fleet,
+    private readonly registry: MachineRegistry,
     private readonly log: Log,
     private readonly hooks: SupplyHooks,
   ) {
-    this.claimedAt = world.clock.now();
+    this.claimedAt = context.clock.now();
   }
 
   private get owned(): Condition {
@@ -96,7 +96,7 @@
     return (
       this.rentals.size < MAX_PENDING_RENTALS &&
       now >= this.cloudPause.until &&
-      this.fleet.machines.size < mostMachines(this.world.settings.limits.maxSockets) &&
+      this.registry.machines.size < mostMachines(this.context.settings.limits.maxSockets) &&
       this.options(now).length > 0
     );
   }
@@ -106,7 +106,7 @@
     const places = MAX_PENDING_RENTALS - this.rentals.size;
     if (short.length === 0 || places <= 0 || now < this.cloudPause.until) return;
     // A shard has no more machines than its owner has connections for.
-    let room = mostMachines(this.world.settings.limits.maxSockets) - this.fleet.machines.size;
+    let room = mostMachines(this.context.settings.limits.maxSockets) - this.registry.machines.size;
     for (const r of this.rentals) room -= r.count;
     const wanted = [];
     for (const w of chooseRentals(short, this.options(now), RENT_LIMIT).slice(0, places)) {
@@ -120,15 +120,15 @@
   }
 
   private record(m: Machine, change: Partial<MachineRecord> = {}): MachineRecord {
-    const now = this.world.clock.now();
+    const now = this.context.clock.now();
     return {
       shard: this.index,
       addr: m.addr,
-      type: this.world.names.types.name(m.type),
-      zone: this.world.names.zones.name(m.zone),
+      type: this.context.names.types.name(m.type),
+      zone: this.context.names.zones.name(m.zone),
       spot: m.spot,
-      state: m.leaving ? 'leaving' : 'use',
-      rentedAt: Math.round(this.world.clock.wall() - (now - m.rentedAt)),
+      state: m.decommissioning ? 'leaving' : 'use',
+      rentedAt: Math.round(this.context.clock.wall() - (now - m.rentedAt)),
       ...change,
     };
   }
@@ -138,22 +138,22 @@
     const key = KEYS.machine(m.id);
     const value = this.record(m, change);
     try {
-      const result = await this.world.store.txn(
+      const result = await this.context.store.compareAndSwap(
         [this.owned, { key, version: m.version }],
         [{ put: key, value }],
       );
       if (result.ok) return result.revision;
       if (result.failed.includes(this.owned.key)) throw this.hooks.lostOwnership();
     } catch (error) {
-      if (!(error instanceof StateFailure) || !error.maybe) throw error;
+      if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
     }
     // Another copy of this write, thought lost, may have been made: the record tells.
-    const stored = await this.world.store.get(key);
+    const stored = await this.context.store.get(key);
     const r = stored && readMachineRecord(stored.value);
     if (stored && r && stored.version > m.version && JSON.stringify(r) === JSON.stringify(value))
       return stored.version;
     if (stored && r?.shard === this.index) m.version = stored.version;
-    throw new StateFailure(`record of ${m.id} is not decided`, true);
+    throw new StateStoreError(`record of ${m.id} is not decided`, true);
   }
 
   /**
@@ -161,14 +161,14 @@
    * shard's, or shows that it was made, the machine must hold nothing: its next owner would know of no task on it.
    */
   async settleRecord(m: Machine): Promise<void> {
-    while (!this.hooks.stopped() && this.fleet.machines.get(m.id) === m) {
+    while (!this.hooks.stopped() && this.registry.machines.get(m.id) === m) {
       try {
         const version = await this.writeRecord(m);
         this.hooks.recorded(m.id, { key: KEYS.machine(m.id), value: this.record(m), version });
         return;
       } catch (error) {
-        if (error instanceof NotOwner) return;
-        await pause(this.world.clock, 1000);
+        if (error instanceof NotOwnerError) return;
+        await pause(this.context.clock, 1000);
       }
     }
   }
@@ -176,13 +176,13 @@
   /** What may be rented now, the shard's own zone first among equals. */
   options(now: number): RentOption[] {
     const out: RentOption[] = [];
-    for (const [type, t] of this.world.catalog.all()) {
+    for (const [type, t] of this.context.catalog.all()) {
       // Among equals its own zone comes first: a cut between zones does not part the shard from it.
       const zones = [...t.zones].sort(
-        (a, b) => Number(b === this.world.settings.zone) - Number(a === this.world.settings.zone),
+        (a, b) => Number(b === this.context.settings.zone) - Number(a === this.context.settings.zone),
       );
       for (const z of zones) {
-        const zone = this.world.names.zones.index(z);
+        const zone = this.context.names.zones.index(z);
         for (const spot of [true, false]) {
           if (spot && t.spotPrice <= 0) continue;
           if ((this.blocked.get(kindKey(type, zone, spot))?.until ?? 0) > now) continue;
@@ -195,8 +195,8 @@
   }
 
   private async rent(option: RentOption, count: number): Promise<void> {
-    const names = this.world.names;
-    const pending: PendingRental = { option, count, at: this.world.clock.now() };
+    const names = this.context.names;
+    const pending: PendingRental = { option, count, at: this.context.clock.now() };
     const request = {
       request: this.hooks.uniqueName('r'),
       type: names.types.name(option.type),
@@ -222,16 +222,16 @@
   private async rentFrom(request: Rental): Promise<string[] | null | 'failed'> {
     while (!this.hooks.stopped()) {
       try {
-        const rented = await this.world.cloud.rent(request);
+        const rented = await this.context.cloud.rent(request);
         this.cloudPause = { until: 0, pause: 0 };
         return rented;
       } catch (error) {
         this.log.info({ ...request, error: String(error) }, 'rental failed');
         const wait = Math.min(CLOUD_PAUSE_MOST_MS, Math.max(CLOUD_PAUSE_MS, this.cloudPause.pause * 2));
-        this.cloudPause = { until: this.world.clock.now() + wait, pause: wait };
-        await pause(this.world.clock, wait);
+        this.cloudPause = { until: this.context.clock.now() + wait, pause: wait };
+        await pause(this.context.clock, wait);
         // After an outage, what was wanted is planned anew; the same request is only repeated while it may have worked.
-        if (!(error instanceof CloudFailure) || !error.maybe) break;
+        if (!(error instanceof CloudError) || !error.mayHaveApplied) break;
       }
     }
     return 'failed';
@@ -242,14 +242,14 @@
       this.blocked.delete(key);
       return;
     }
-    const { rps } = this.world.settings.cloudLimits;
-    const kinds = this.world.catalog.all().reduce((sum, [, t]) => sum + 2 * t.zones.length, 0);
-    const most = (kinds * this.world.settings.nodes * 1000) / Math.max(0.1, rps * PROBING_SHARE);
+    const { rps } = this.context.settings.cloudLimits;
+    const kinds = this.context.catalog.all().reduce((sum, [, t]) => sum + 2 * t.zones.length, 0);
+    const most = (kinds * this.context.settings.nodes * 1000) / Math.max(0.1, rps * PROBING_SHARE);
     const pause = Math.min(
       Math.max(NO_CAPACITY_MOST_MS, most),
       (this.blocked.get(key)?.pause ?? NO_CAPACITY_MS / 2) * 2,
     );
-    this.blocked.set(key, { until: this.world.clock.now() + pause, pause });
+    this.blocked.set(key, { until: this.context.clock.now() + pause, pause });
   }
 
   /**
@@ -259,7 +259,7 @@
    */
   private async enter(ids: string[], r: Omit<Rental, 'request' | 'count'>, at: number): Promise<void> {
     const { type, zone, spot } = r;
-    const rentedAt = Math.round(this.world.clock.wall() - (this.world.clock.now() - at));
+    const rentedAt = Math.round(this.context.clock.wall() - (this.context.clock.now() - at));
     const value: MachineRecord = { shard: this.index, addr: '', type, zone, spot, state: 'use', rentedAt };
     for (const part of this.inTxns(ids)) {
       let left = part;
@@ -270,7 +270,7 @@
   /** One try to record machines that have no record; returns those that still have none, as far as is known. */
   private async enterSome(ids: string[], value: MachineRecord): Promise<string[]> {
     try {
-      const result = await this.world.store.txn(
+      const result = await this.context.store.compareAndSwap(
         [this.owned, ...ids.map((id) => ({ key: KEYS.machine(id), version: 0 }))],
         ids.map((id) => ({ put: KEYS.machine(id), value })),
       );
@@ -285,9 +285,9 @@
       }
       return ids.filter((id) => !result.failed.includes(KEYS.machine(id)));
     } catch (error) {
-      if (!(error instanceof StateFailure)) throw error;
+      if (!(error instanceof StateStoreError)) throw error;
       this.log.info({ machines: ids.length, error: error.message }, 'rented machines not recorded yet');
-      await pause(this.world.clock, ENTER_AGAIN_MS);
+      await pause(this.context.clock, ENTER_AGAIN_MS);
       return ids;
     }
   }
@@ -295,23 +295,23 @@
   /** Gives back what nobody needs, never came up, has gone silent or fails all tasks. */
   returnIdle(now: number): void {
     const due: Machine[] = [];
-    for (const m of this.fleet.machines.values()) {
+    for (const m of this.registry.machines.values()) {
       if (this.moving.has(m.id)) continue;
-      const type = this.world.catalog.get(m.type);
+      const type = this.context.catalog.get(m.type);
       const idle =
         this.hooks.spare(m) &&
         m.idleSince !== null &&
         now - m.idleSince > this.keepMs(m) &&
         now - m.rentedAt > MIN_CHARGE_MS;
       const never =
-        m.heardAt === null &&
-        !m.unknown &&
+        m.lastHeartbeatAt === null &&
+        !m.mayHoldUnreportedTasks &&
         type !== undefined &&
         now - m.rentedAt > type.bootS * OVERDUE_BOOTS * 1000 + 5000 &&
         now - this.claimedAt > 10_000;
-      const silent = m.lost && now - this.fleet.leaseEnd(m) > SILENT_RETURN_MS;
-      const sick = m.errors >= SICK_ERRORS && m.held.size === 0 && m.synced;
-      if (m.leaving || idle || never || silent || sick) due.push(m);
+      const silent = m.leaseExpired && now - this.registry.leaseEnd(m) > SILENT_RETURN_MS;
+      const sick = m.consecutiveErrors >= MAX_CONSECUTIVE_ERRORS && m.attempts.size === 0 && m.reconciled;
+      if (m.decommissioning || idle || never || silent || sick) due.push(m);
     }
     if (due.length > 0) void this.giveBack(due.slice(0, RELEASE_LIMIT));
   }
@@ -322,8 +322,8 @@
    * machines that are among the cheapest for them.
    */
   private keepMs(m: Machine): number {
-    const bootS = this.world.catalog.get(m.type)?.bootS ?? 0;
-    const hasty = this.world.settings.objectives.filter(
+    const bootS = this.context.catalog.get(m.type)?.bootS ?? 0;
+    const hasty = this.context.settings.objectives.filter(
       (o) =>
         o.kind !== 'finished' &&
         o.withinS !== null &&
@@ -337,11 +337,11 @@
   private suits(m: Machine, jobClass: string): boolean {
     const need = this.hooks.needOf(jobClass);
     if (!need) return this.hooks.sawNothing();
-    const size = this.world.catalog.size(m.type);
+    const size = this.context.catalog.size(m.type);
     if (fitCount(size, need, 1) > 0 && fitCount(size, need, KEPT_TASKS) < KEPT_TASKS) return true;
-    const costs = this.world.catalog
+    const costs = this.context.catalog
       .all()
-      .map(([type, t]) => ({ type, cost: t.price / fitCount(t, need, BOOKED_TASKS) }));
+      .map(([type, t]) => ({ type, cost: t.price / fitCount(t, need, MAX_RESERVED_TASKS) }));
     const least = Math.min(...costs.map((c) => c.cost));
     return costs.some((c) => c.type === m.type && c.cost <= least * KEPT_COST);
   }
@@ -352,12 +352,12 @@
     try {
       const marked = await this.markLeaving(machines);
       if (marked.length === 0) return;
-      await this.world.cloud.release(marked.map((m) => m.id));
+      await this.context.cloud.release(marked.map((m) => m.id));
       this.log.info({ machines: marked.map((m) => m.id) }, 'machines returned');
       await this.forget(marked);
     } catch (error) {
       this.log.info({ machines: machines.length, error: String(error) }, 'returning failed');
-      await pause(this.world.clock, 3000);
+      await pause(this.context.clock, 3000);
     } finally {
       for (const m of machines) this.moving.delete(m.id);
     }
@@ -365,17 +365,17 @@
 
   /** The machines that are durably marked as leaving. */
   private async markLeaving(machines: Machine[]): Promise<Machine[]> {
-    const marked = machines.filter((m) => m.leaving);
-    for (const part of this.inTxns(machines.filter((m) => !m.leaving))) {
+    const marked = machines.filter((m) => m.decommissioning);
+    for (const part of this.inTxns(machines.filter((m) => !m.decommissioning))) {
       const version = await this.markTogether(part);
       for (const m of part) {
         try {
           // What cannot be marked together, since one record has changed or no answer came, is marked one by one.
           m.version = version ?? (await this.writeRecord(m, { state: 'leaving' }));
-          m.leaving = true;
+          m.decommissioning = true;
           marked.push(m);
         } catch (error) {
-          if (error instanceof NotOwner) throw error;
+          if (error instanceof NotOwnerError) throw error;
           this.log.info({ machine: m.id, error: String(error) }, 'marking failed');
         }
       }
@@ -385,7 +385,7 @@
 
   private async markTogether(machines: Machine[]): Promise<number | null> {
     try {
-      const result = await this.world.store.txn(
+      const result = await this.context.store.compareAndSwap(
         [this.owned, ...machines.map((m) => ({ key: KEYS.machine(m.id), version: m.version }))],
         machines.map((m) => ({ put: KEYS.machine(m.id), value: this.record(m, { state: 'leaving' }) })),
       );
@@ -396,7 +396,7 @@
   }
 
   private inTxns<T>(items: T[]): T[][] {
-    const per = Math.max(1, Math.min(this.world.settings.stateLimits.txnOps, TXN_MACHINES));
+    const per = Math.max(1, Math.min(this.context.settings.stateLimits.txnOps, TXN_MACHINES));
     const parts: T[][] = [];
     for (let i = 0; i < items.length; i += per) parts.push(items.slice(i, i + per));
     return parts;
@@ -404,11 +404,11 @@
 
   /** The machines are surely no more. */
   private async forget(machines: Machine[]): Promise<void> {
-    for (const m of machines) this.fleet.remove(m);
+    for (const m of machines) this.registry.remove(m);
     for (const part of this.inTxns(machines)) {
       let unsure = part;
       try {
-        const result = await this.world.store.txn(
+        const result = await this.context.store.compareAndSwap(
           [this.owned, ...part.map((m) => ({ key: KEYS.machine(m.id), version: m.version }))],
           part.map((m) => ({ delete: KEYS.machine(m.id) })),
         );
@@ -417,10 +417,14 @@
         this.log.debug({ error: String(error) }, 'deleting machine records failed');
       }
       for (const m of unsure) {
-        const stored = await this.world.store.get(KEYS.machine(m.id)).catch(() => undefined);
+        const stored = await this.context.store.get(KEYS.machine(m.id)).catch(() => undefined);
         if (stored === null) continue;
         // Its record stays for now: it is given back once more, which does no harm.
-        this.fleet.machines.set(m.id, { ...m, version: stored?.version ?? m.version, leaving: true });
+        this.registry.machines.set(m.id, {
+          ...m,
+          version: stored?.version ?? m.version,
+          decommissioning: true,
+        });
       }
     }
   }
@@ -429,10 +433,10 @@
 
   /** Compares the machines with the cloud's list, which is late and may be older than the one before. */
   listed(): void {
-    const now = this.world.clock.now();
-    const byId = this.world.catalog.listedById;
-    const patience = Math.max(15_000, this.world.settings.cloudLimits.listLagS * 4000);
-    for (const m of this.fleet.machines.values()) {
+    const now = this.context.clock.now();
+    const byId = this.context.catalog.listedById;
+    const patience = Math.max(15_000, this.context.settings.cloudLimits.listLagS * 4000);
+    for (const m of this.registry.machines.values()) {
       const l = byId.get(m.id);
       if (l) {
         this.absentSince.delete(m.id);
@@ -445,10 +449,11 @@
       }
       const since = this.absentSince.get(m.id) ?? now;
       this.absentSince.set(m.id, since);
-      const quiet = m.heardAt === null ? now - m.rentedAt > 60_000 : m.lost;
+      const quiet = m.lastHeartbeatAt === null ? now - m.rentedAt > 60_000 : m.leaseExpired;
       if (quiet && now - since > patience && !this.moving.has(m.id)) void this.giveBack([m]);
     }
-    for (const id of this.absentSince.keys()) if (!this.fleet.machines.has(id)) this.absentSince.delete(id);
+    for (const id of this.absentSince.keys())
+      if (!this.registry.machines.has(id)) this.absentSince.delete(id);
   }
 }
 
--- a/src/autoscaler/rebalancing.ts
+++ b/src/autoscaler/rebalancing.ts
@@ -1,50 +1,54 @@
 import { fitCount } from '../plan/capacityprofile.js';
 import { PRIORITY } from '../wire/users.js';
-import { type Gossip, kindName, type Need, type Spare } from './shardstatus.js';
+import { type IdleMachine, machineKindName, type ResourceDemand, type ShardStatus } from './shardstatus.js';
 
 /** Lesser work elsewhere is stopped for urgent tasks only when they would wait longer than this, one machine at a time. */
-const CLEAR_WAIT_S = 8;
+const MIN_EVICTION_WAIT_S = 8;
 /** A machine is reserved where urgent work waits at least so long, and so much longer than in the shard that reserves it. */
-const RESERVE_LEAST_S = 12;
-const RESERVE_FACTOR = 1.25;
-const RESERVE_MARGIN_S = 6;
-const RESERVE_FEWEST = 3;
+const MIN_RESERVATION_WAIT_S = 12;
+const RESERVATION_WAIT_FACTOR = 1.25;
+const RESERVATION_WAIT_MARGIN_S = 6;
+const MIN_RESERVER_MACHINES = 3;
 
 /**
  * From which shard to which a machine should go as its tasks end, where urgent work waits much longer in one than in
  * another: on full days no machine is ever empty, and shards would stay as they were parted.
  */
 export function chooseReservation(
-  told: readonly Gossip[],
+  told: readonly ShardStatus[],
   mostS: number,
-): { from: number; to: number; need: Need; zone: string } | null {
-  let to: Gossip | null = null;
+): { from: number; to: number; need: ResourceDemand; zone: string } | null {
+  let to: ShardStatus | null = null;
   for (const g of told) if (!to || g.urgentS > to.urgentS) to = g;
   const need = to?.needs.find((n) => n.priority >= PRIORITY.high);
-  if (!to || !need || to.urgentS < RESERVE_LEAST_S) return null;
-  let from: Gossip | null = null;
+  if (!to || !need || to.urgentS < MIN_RESERVATION_WAIT_S) return null;
+  let from: ShardStatus | null = null;
   for (const g of told) {
-    if (g.shard === to.shard || g.machines < RESERVE_FEWEST) continue;
+    if (g.shard === to.shard || g.machines < MIN_RESERVER_MACHINES) continue;
     if (!from || g.urgentS < from.urgentS) from = g;
   }
   // Where urgent work waits long itself nothing is gained: when all wait equally long, all may miss their aims.
-  if (!from || from.urgentS > mostS || from.urgentS * RESERVE_FACTOR + RESERVE_MARGIN_S > to.urgentS)
+  if (
+    !from ||
+    from.urgentS > mostS ||
+    from.urgentS * RESERVATION_WAIT_FACTOR + RESERVATION_WAIT_MARGIN_S > to.urgentS
+  )
     return null;
   return { from: from.shard, to: to.shard, need, zone: to.zone };
 }
 
-export interface Move {
+export interface MachineTransfer {
   machine: string;
   from: number;
   to: number;
 }
 
 /** Which empty machines go to which shard: the most urgent and then earliest due need first. */
-export function matchSpares(
-  told: readonly Gossip[],
+export function chooseTransfers(
+  told: readonly ShardStatus[],
   sizeOf: (type: string) => { cpus: number; gpus: number; memoryGb: number },
-): Move[] {
-  const needs: { shard: number; need: Need }[] = told.flatMap((g) =>
+): MachineTransfer[] {
+  const needs: { shard: number; need: ResourceDemand }[] = told.flatMap((g) =>
     g.needs.map((need) => ({ shard: g.shard, need })),
   );
   needs.sort(
@@ -53,17 +57,17 @@
       Number(b.need.guaranteed) - Number(a.need.guaranteed) ||
       a.need.deadline - b.need.deadline,
   );
-  const kinds = spareKinds(told);
+  const kinds = idleMachineKinds(told);
   const zones = new Map(told.map((g) => [g.shard, g.zone]));
-  const moves: Move[] = [];
+  const moves: MachineTransfer[] = [];
   for (const { shard, need } of needs) {
     let left = need.count;
     const fitting = kinds
-      .filter((k) => spareFits(k.like, need) && fitCount(sizeOf(k.like.type), need, 1) > 0)
+      .filter((k) => idleMachineFits(k.like, need) && fitCount(sizeOf(k.like.type), need, 1) > 0)
       // Machines with GPUs last for tasks that need none.
       .sort(
         (a, b) =>
-          waste(a.like, need, sizeOf) - waste(b.like, need, sizeOf) ||
+          unneededGpus(a.like, need, sizeOf) - unneededGpus(b.like, need, sizeOf) ||
           Number(b.like.zone === zones.get(shard)) - Number(a.like.zone === zones.get(shard)),
       );
     // Its own first: they are already where the tasks are.
@@ -85,8 +89,10 @@
 }
 
 /** Empty machines by type, zone and whether they are spot ones: there are far fewer kinds than machines. */
-function spareKinds(told: readonly Gossip[]): { like: Spare; byShard: Map<number, string[]> }[] {
-  const kinds = new Map<string, { like: Spare; byShard: Map<number, string[]> }>();
+function idleMachineKinds(
+  told: readonly ShardStatus[],
+): { like: IdleMachine; byShard: Map<number, string[]> }[] {
+  const kinds = new Map<string, { like: IdleMachine; byShard: Map<number, string[]> }>();
   for (const g of told) {
     for (const s of g.spares) {
       const key = `${s.type} ${s.zone} ${s.spot}`;
@@ -104,50 +110,55 @@
 }
 
 /** A machine with nothing but lesser work, for the most urgent tasks that would wait long in their own shard. */
-export function chooseClearing(
-  told: readonly Gossip[],
+export function chooseEviction(
+  told: readonly ShardStatus[],
   sizeOf: (type: string) => { cpus: number; gpus: number; memoryGb: number },
-): (Move & { priority: number }) | null {
+): (MachineTransfer & { priority: number }) | null {
   const needs = told
     .flatMap((g) => g.needs.map((need) => ({ shard: g.shard, need })))
-    .filter((n) => n.need.priority >= PRIORITY.high && n.need.waitS > CLEAR_WAIT_S)
+    .filter((n) => n.need.priority >= PRIORITY.high && n.need.waitS > MIN_EVICTION_WAIT_S)
     .sort((a, b) => b.need.priority - a.need.priority || a.need.deadline - b.need.deadline);
   for (const { shard, need } of needs) {
     const soft = told
       .filter((g) => g.shard !== shard)
       .flatMap((g) => g.soft.map((s) => ({ shard: g.shard, s })))
       .filter(
-        (x) => x.s.top < need.priority && spareFits(x.s, need) && fitCount(sizeOf(x.s.type), need, 1) > 0,
+        (x) =>
+          x.s.top < need.priority && idleMachineFits(x.s, need) && fitCount(sizeOf(x.s.type), need, 1) > 0,
       )
-      .sort((a, b) => a.s.top - b.s.top || waste(a.s, need, sizeOf) - waste(b.s, need, sizeOf));
+      .sort((a, b) => a.s.top - b.s.top || unneededGpus(a.s, need, sizeOf) - unneededGpus(b.s, need, sizeOf));
     const first = soft[0];
     if (first) return { machine: first.s.id, from: first.shard, to: shard, priority: need.priority };
   }
   return null;
 }
 
-function waste(s: Spare, need: Need, sizeOf: (type: string) => { gpus: number }): number {
+function unneededGpus(
+  s: IdleMachine,
+  need: ResourceDemand,
+  sizeOf: (type: string) => { gpus: number },
+): number {
   return need.gpus === 0 ? sizeOf(s.type).gpus : 0;
 }
 
-function spareFits(s: Spare, need: Need): boolean {
+function idleMachineFits(s: IdleMachine, need: ResourceDemand): boolean {
   return (
     (!need.types || need.types.includes(s.type)) &&
     (need.zone === null || need.zone === s.zone) &&
     (need.spot || !s.spot) &&
-    (!need.kinds || need.kinds.includes(kindName(s.type, s.zone, s.spot)))
+    (!need.kinds || need.kinds.includes(machineKindName(s.type, s.zone, s.spot)))
   );
 }
 
 /** A shard as it is weighed for a machine of some type in some zone. */
-export interface Taker {
+export interface ShardCandidate {
   /** What its teams are guaranteed. */
   weight: number;
   /** Its machines of this type, and those of them in the machine's zone. */
-  have: number;
-  haveInZone: number;
+  machines: number;
+  machinesInZone: number;
   /** At home in the machine's zone. */
-  near: boolean;
+  isHomeZone: boolean;
 }
 
 /**
@@ -155,11 +166,11 @@
  * come first up to their fair part: between zones that cannot reach each other a machine loses all its tasks, since no
  * node that it reaches may answer it.
  */
-export function shardFor(shards: readonly Taker[], unassigned: number): number {
-  const all = shards.reduce((sum, s) => sum + s.have, unassigned);
+export function shardFor(shards: readonly ShardCandidate[], unassigned: number): number {
+  const all = shards.reduce((sum, s) => sum + s.machines, unassigned);
   const weights = shards.reduce((sum, s) => sum + s.weight, 0);
-  const first = (s: Taker) => s.near && s.have < (all * s.weight) / weights;
-  const need = (s: Taker) => (s.have + 0.001 * s.haveInZone + 0.5) / s.weight;
+  const first = (s: ShardCandidate) => s.isHomeZone && s.machines < (all * s.weight) / weights;
+  const need = (s: ShardCandidate) => (s.machines + 0.001 * s.machinesInZone + 0.5) / s.weight;
   let best = 0;
   shards.forEach((s, i) => {
     const b = shards[best]!;
--- a/src/autoscaler/shardstatus.ts
+++ b/src/autoscaler/shardstatus.ts
@@ -40,21 +40,21 @@
   needs: v.array(need),
 });
 
-export type Gossip = v.InferOutput<typeof gossip>;
-export type Need = Gossip['needs'][number];
-export type Spare = Gossip['spares'][number];
+export type ShardStatus = v.InferOutput<typeof gossip>;
+export type ResourceDemand = ShardStatus['needs'][number];
+export type IdleMachine = ShardStatus['spares'][number];
 
 /** A kind of machine in messages between nodes. */
-export function kindName(type: string, zone: string, spot: boolean): string {
+export function machineKindName(type: string, zone: string, spot: boolean): string {
   return `${type} ${zone} ${spot ? 'spot' : 'ordinary'}`;
 }
 
-export function readGossip(value: unknown): Gossip | null {
+export function readShardStatus(value: unknown): ShardStatus | null {
   const p = v.safeParse(gossip, value);
   return p.success ? p.output : null;
 }
 
-export function readNeed(value: unknown): Need | null {
+export function readResourceDemand(value: unknown): ResourceDemand | null {
   const p = v.safeParse(need, value);
   return p.success ? p.output : null;
 }
--- a/src/changefeed/changefeed.ts
+++ b/src/changefeed/changefeed.ts
@@ -5,26 +5,31 @@
 import type { StateStore } from '../state/statestore.js';
 import type { Change } from '../wire/state.js';
 import { ChangeLog } from './changelog.js';
-import { FEED_OPS, readChangesAnswer, readChangesQuestion, readHeadAnswer } from './messages.js';
-import { Suspects } from './sourcehealth.js';
-import { type Present, SOURCES_PER_REGION, type SourceOrder, sourceOrder } from './sourceorder.js';
-import { Followers } from './subscribers.js';
+import {
+  CHANGE_FEED_OPS,
+  readChangesRequest,
+  readChangesResponse,
+  readLatestRevisionResponse,
+} from './messages.js';
+import { SourceHealth } from './sourcehealth.js';
+import { type PresentNode, SOURCES_PER_REGION, type SourceOrder, sourceOrder } from './sourceorder.js';
+import { Subscribers } from './subscribers.js';
 import { watchPaceMs } from './watchpacing.js';
 
 /** What a copy of the keys reads from; the state service itself serves as well. */
 export type ChangeSource = Pick<StateStore, 'list' | 'watch'>;
 
-export interface FeedOptions {
+export interface ChangeFeedOptions {
   /** This node's name. */
   node: string;
   prefix: string;
   regionOf: (node: string) => string;
   /** This node's even part of the state service's requests, a second. */
-  requestsPart: number;
+  requestsPerSecond: number;
   /** Nodes that are present and pass changes on, as this node's copy of the keys shows them. */
-  present: () => Present[];
+  presentNodes: () => PresentNode[];
   /** Whether the state service serves this node at present, as far as it knows by other requests. */
-  served: () => boolean;
+  isStateStoreReachable: () => boolean;
 }
 
 /** A source answers after this at the latest, with changes or without; so much longer is waited for the answer. */
@@ -49,7 +54,7 @@
 type WatchResult = { revision: number; changes: Change[] } | null;
 type FollowResult = { revision: number; changes: Change[] } | 'failed';
 /** The node to follow, null for the state service itself, `later` when it cannot be decided yet. */
-type Choice = string | null | 'later';
+type SourceChoice = string | null | 'later';
 
 /**
  * Gives a copy of the keys the changes under its prefix, by way of a source or from the state service itself. All of it
@@ -57,8 +62,8 @@
  */
 export class ChangeFeed implements ChangeSource {
   private readonly log = new ChangeLog();
-  private readonly followers: Followers;
-  private readonly suspects: Suspects;
+  private readonly subscribers: Subscribers;
+  private readonly sourceHealth: SourceHealth;
   /** Whom this node follows; null while it watches the state service itself. */
   private following: string | null = null;
   private sourcelessSince: number | null = null;
@@ -73,16 +78,16 @@
     private readonly clock: Clock,
     private readonly store: ChangeSource,
     private readonly logger: Log,
-    private readonly options: FeedOptions,
+    private readonly options: ChangeFeedOptions,
   ) {
-    this.followers = new Followers(clock, this.log, options.served);
-    this.suspects = new Suspects(clock);
+    this.subscribers = new Subscribers(clock, this.log, options.isStateStoreReachable);
+    this.sourceHealth = new SourceHealth(clock);
   }
 
   /** Connects the node to the others; before that it watches the state service itself. */
   start(mesh: Mesh): void {
     this.mesh = mesh;
-    this.compare();
+    this.compareProgress();
   }
 
   /** Whom this node follows at present; null while it watches the state service itself. */
@@ -104,7 +109,7 @@
     const until = this.clock.now() + waitMs;
     for (;;) {
       const order = this.order();
-      const choice = this.choose(order);
+      const choice = this.chooseSource(order);
       if (choice === 'later') {
         await pause(this.clock, LOOK_AGAIN_MS);
         continue;
@@ -118,7 +123,7 @@
       if (typeof result !== 'object') continue;
       if (result.changes.length > 0) {
         this.log.append({ since, ...result });
-        this.followers.grown();
+        this.subscribers.onAppend();
         return result;
       }
       if (this.clock.now() >= until) return result;
@@ -127,46 +132,46 @@
 
   /** What other nodes ask. Fails when it is no question of this feed's. */
   async serve(op: string, args: unknown): Promise<unknown> {
-    if (op === FEED_OPS.head) return this.followers.head();
-    const question = readChangesQuestion(args);
+    if (op === CHANGE_FEED_OPS.head) return this.subscribers.latestRevision();
+    const question = readChangesRequest(args);
     if (!question || question.prefix !== this.options.prefix) throw new Error('not a question for changes');
-    return this.followers.ask(question);
+    return this.subscribers.changesAfter(question);
   }
 
   // --- where changes come from
 
   private order(): SourceOrder {
-    const { node, present, regionOf } = this.options;
+    const { node, presentNodes: present, regionOf } = this.options;
     return sourceOrder(node, this.mesh ? present() : [], regionOf);
   }
 
-  private usable(order: SourceOrder): string | null {
-    return order.candidates.find((c) => !this.suspects.has(c) && this.mesh?.connected(c)) ?? null;
+  private firstUsableSource(order: SourceOrder): string | null {
+    return order.candidates.find((c) => !this.sourceHealth.isUnhealthy(c) && this.mesh?.connected(c)) ?? null;
   }
 
-  private choose(order: SourceOrder): Choice {
+  private chooseSource(order: SourceOrder): SourceChoice {
     const now = this.clock.now();
-    if (order.source && !this.suspects.has(this.options.node)) return this.become(null);
-    const usable = this.usable(order);
-    if (usable !== null && now >= this.directUntil) return this.become(usable);
-    if (order.source || now < this.directUntil) return this.become(null);
+    if (order.source && !this.sourceHealth.isUnhealthy(this.options.node)) return this.switchSource(null);
+    const usable = this.firstUsableSource(order);
+    if (usable !== null && now >= this.directUntil) return this.switchSource(usable);
+    if (order.source || now < this.directUntil) return this.switchSource(null);
     this.sourcelessSince ??= now;
     if (now - this.sourcelessSince < (order.position - SOURCES_PER_REGION) * STAGGER_MS) {
       // Those before this one may watch the state service by now.
-      this.suspects.retry(order.candidates);
+      this.sourceHealth.retry(order.candidates);
       return 'later';
     }
     this.directUntil = now + STAY_DIRECT_MS;
     this.sourcelessSince = null;
-    return this.become(null);
+    return this.switchSource(null);
   }
 
-  private become(source: string | null): string | null {
+  private switchSource(source: string | null): string | null {
     if (source !== this.following) {
       this.logger.info({ source: source ?? 'state service' }, 'changes now come from another source');
       this.following = source;
     }
-    this.followers.serve(source === null);
+    this.subscribers.setOpen(source === null);
     return source;
   }
 
@@ -199,7 +204,7 @@
   }
 
   private paceMs(order: SourceOrder, first: boolean): number {
-    return watchPaceMs(first, order.firsts, this.options.requestsPart);
+    return watchPaceMs(first, order.firsts, this.options.requestsPerSecond);
   }
 
   /** How long this node may lack what another one knows, while all is well. */
@@ -218,27 +223,34 @@
 
   private async follow(source: string, prefix: string, since: number): Promise<FollowResult> {
     const question = { prefix, since, waitMs: IDLE_WAIT_MS };
-    const answer = await this.mesh!.ask(source, FEED_OPS.changes, question, IDLE_WAIT_MS + ANSWER_MARGIN_MS)
-      .then(readChangesAnswer)
+    const answer = await this.mesh!.request(
+      source,
+      CHANGE_FEED_OPS.changes,
+      question,
+      IDLE_WAIT_MS + ANSWER_MARGIN_MS,
+    )
+      .then(readChangesResponse)
       .catch(() => null);
     if (answer !== null && !('refused' in answer) && answer.since === since) {
-      this.suspects.answered(source);
+      this.sourceHealth.onSuccess(source);
       this.sourcelessSince = null;
       return answer;
     }
     // Also where it does not keep what follows `since`: in the end the state service does.
-    this.suspects.failed(source);
+    this.sourceHealth.onFailure(source);
     return 'failed';
   }
 
   // --- whether the others are further
 
   /** Asks another source now and then how far it is: one that is refused or stands still does not show it itself. */
-  private compare(): void {
-    void this.compareOnce().finally(() => this.clock.after(HEAD_EVERY_MS, () => this.compare()));
+  private compareProgress(): void {
+    void this.compareProgressOnce().finally(() =>
+      this.clock.after(HEAD_EVERY_MS, () => this.compareProgress()),
+    );
   }
 
-  private async compareOnce(): Promise<void> {
+  private async compareProgressOnce(): Promise<void> {
     const { witnesses } = this.order();
     const others = witnesses.filter((c) => c !== this.following && this.mesh?.connected(c));
     const node = this.nextWitness(others);
@@ -246,10 +258,10 @@
       this.witness = null;
       return;
     }
-    const head = await this.mesh!.ask(node, FEED_OPS.head, {}, HEAD_MS)
-      .then(readHeadAnswer)
+    const head = await this.mesh!.request(node, CHANGE_FEED_OPS.head, {}, HEAD_MS)
+      .then(readLatestRevisionResponse)
       .catch(() => null);
-    if (head === null) this.suspects.failed(node);
+    if (head === null) this.sourceHealth.onFailure(node);
     const lastChange = head?.lastChange ?? null;
     this.witness = { node, watches: lastChange !== null };
     if (lastChange === null || lastChange <= this.log.revision) return;
@@ -257,8 +269,8 @@
     if (lastChange <= this.log.revision) return;
     const behind = this.following ?? this.options.node;
     this.logger.info({ behind, witness: node, lastChange, revision: this.log.revision }, 'source is behind');
-    this.suspects.behind(behind);
-    this.suspects.answered(node);
+    this.sourceHealth.onBehind(behind);
+    this.sourceHealth.onSuccess(node);
     this.interrupt?.();
   }
 
--- a/src/changefeed/sourcehealth.ts
+++ b/src/changefeed/sourcehealth.ts
@@ -13,28 +13,28 @@
 const BEHIND_MS = 10_000;
 
 /** Nodes whose changes are not to be relied on at present. */
-export class Suspects {
+export class SourceHealth {
   private readonly suspects = new Map<string, Suspect>();
 
   constructor(private readonly clock: Clock) {}
 
-  has(node: string): boolean {
+  isUnhealthy(node: string): boolean {
     return (this.suspects.get(node)?.until ?? Number.NEGATIVE_INFINITY) > this.clock.now();
   }
 
   /** It did not answer, or could not serve. */
-  failed(node: string): void {
+  onFailure(node: string): void {
     const failures = (this.suspects.get(node)?.failures ?? 0) + 1;
     const doublings = Math.min(failures - 1, MOST_DOUBLINGS);
     this.suspects.set(node, { until: this.clock.now() + FAILED_MS * 2 ** doublings, failures });
   }
 
   /** Others knew what it did not. */
-  behind(node: string): void {
+  onBehind(node: string): void {
     this.suspects.set(node, { until: this.clock.now() + BEHIND_MS, failures: 0 });
   }
 
-  answered(node: string): void {
+  onSuccess(node: string): void {
     this.suspects.delete(node);
   }
 
--- a/src/changefeed/sourceorder.ts
+++ b/src/changefeed/sourceorder.ts
@@ -1,5 +1,5 @@
 /** A node that is present and passes changes on. */
-export interface Present {
+export interface PresentNode {
   node: string;
   /** Revision at which its presence was written: the smaller, the longer it is there. */
   version: number;
@@ -28,7 +28,7 @@
  */
 export function sourceOrder(
   self: string,
-  present: readonly Present[],
+  present: readonly PresentNode[],
   regionOf: (node: string) => string,
 ): SourceOrder {
   const ordered = [...present].sort((a, b) => a.version - b.version || (a.node < b.node ? -1 : 1));
--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -1,6 +1,6 @@
 // This package: what users do: submit as the protocol says they do, ask, wait, cancel.
 import { type Clock, pause } from '../clock/clock.js';
-import { type HttpAnswer, HttpFailure, type Requester } from '../http/client.js';
+import { type HttpAnswer, HttpRequestError, type Requester } from '../http/client.js';
 import {
   type JobSpec,
   type JobView,
@@ -168,7 +168,7 @@
     try {
       answer = await this.http.request(addr, method, path, body, answerMs);
     } catch (error) {
-      if (!(error instanceof HttpFailure)) throw error;
+      if (!(error instanceof HttpRequestError)) throw error;
       this.turn++;
     }
     this.options.seen?.(`${method} ${path}`, answer?.status ?? 0, this.clock.now() - sent);
--- a/src/cloud/cloud.ts
+++ b/src/cloud/cloud.ts
@@ -1,7 +1,7 @@
 // This package: dealings with the cloud: its requests, within its rate.
 import type { Clock } from '../clock/clock.js';
-import { HttpFailure, type Requester } from '../http/client.js';
-import { Limiter, Overloaded } from '../state/ratelimiter.js';
+import { HttpRequestError, type Requester } from '../http/client.js';
+import { RateLimitExceededError, RateLimiter } from '../state/ratelimiter.js';
 import {
   CLOUD_PATHS,
   type ListedMachine,
@@ -16,10 +16,10 @@
 } from '../wire/cloud.js';
 
 /** `maybe`: the request may have been executed, or may yet be. */
-export class CloudFailure extends Error {
+export class CloudError extends Error {
   constructor(
     message: string,
-    readonly maybe = false,
+    readonly mayHaveApplied = false,
   ) {
     super(message);
   }
@@ -39,7 +39,7 @@
 
 /** The cloud, within this node's part of its rate. */
 export class Cloud {
-  private readonly limiter: Limiter;
+  private readonly limiter: RateLimiter;
 
   constructor(
     clock: Clock,
@@ -49,13 +49,13 @@
     nodes: number,
   ) {
     const part = (0.85 * rps) / nodes;
-    this.limiter = new Limiter(clock, part, Math.max(1, part * 2), Math.max(part, MOST_OF_ALL * rps));
+    this.limiter = new RateLimiter(clock, part, Math.max(1, part * 2), Math.max(part, MOST_OF_ALL * rps));
   }
 
   async types(): Promise<MachineType[]> {
     const answer = await this.send('GET', CLOUD_PATHS.types, null);
     const types = answer.status === 200 ? readTypes(answer.body) : null;
-    if (!types) throw new CloudFailure(`types: ${answer.status}`);
+    if (!types) throw new CloudError(`types: ${answer.status}`);
     return types;
   }
 
@@ -65,7 +65,7 @@
     for (;;) {
       const answer = await this.send('GET', listPath(after, 500), null);
       const page = answer.status === 200 ? readList(answer.body) : null;
-      if (!page) throw new CloudFailure(`list: ${answer.status}`);
+      if (!page) throw new CloudError(`list: ${answer.status}`);
       all.push(...page.machines);
       const last = page.machines.at(-1);
       if (!page.more || !last) return all;
@@ -83,7 +83,7 @@
     if (answer.status === 503 && (answer.body as { error?: unknown } | null)?.error === 'no capacity')
       return null;
     const rented = answer.status === 200 ? readRented(answer.body) : null;
-    if (!rented) throw new CloudFailure(`rent: ${answer.status}`);
+    if (!rented) throw new CloudError(`rent: ${answer.status}`);
     return rented;
   }
 
@@ -94,20 +94,20 @@
         CLOUD_PATHS.release,
         writeRelease(machines.slice(i, i + RELEASE_LIMIT)),
       );
-      if (answer.status !== 200) throw new CloudFailure(`release: ${answer.status}`);
+      if (answer.status !== 200) throw new CloudError(`release: ${answer.status}`);
     }
   }
 
   private async send(method: string, path: string, body: object | null) {
     try {
       // Lists and returns come before rentals: probing for capacity must not keep a node from seeing what it has.
-      await this.limiter.take(1, method === 'GET' || path === CLOUD_PATHS.release, 3000);
+      await this.limiter.acquire(1, method === 'GET' || path === CLOUD_PATHS.release, 3000);
       const answer = await this.http.request(this.addr, method, path, body, TIMEOUT_MS);
-      if (answer.status === 429) this.limiter.refused();
+      if (answer.status === 429) this.limiter.onRejected();
       return answer;
     } catch (error) {
-      if (error instanceof Overloaded) throw new CloudFailure(error.message);
-      if (error instanceof HttpFailure) throw new CloudFailure(error.message, error.sent);
+      if (error instanceof RateLimitExceededError) throw new CloudError(error.message);
+      if (error instanceof HttpRequestError) throw new CloudError(error.message, error.sent);
       throw error;
     }
   }
--- a/src/condor/expander.ts
+++ b/src/condor/expander.ts
@@ -2,10 +2,10 @@
 import { evaluate } from '../classad/evaluate.js';
 import { type Clock, pause } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
-import type { World } from '../context/context.js';
+import type { ControllerContext } from '../context/context.js';
 import type { ControllerNode } from '../controller/controllernode.js';
-import { Unavailable } from '../scheduler/responses.js';
-import { StateFailure } from '../state/statestore.js';
+import { UnavailableError } from '../scheduler/responses.js';
+import { StateStoreError } from '../state/statestore.js';
 import type { ProcState } from '../wire/condor.js';
 import type { JobSpec, ListedJob } from '../wire/users.js';
 import { Cluster, jobId, jobsUnder } from './cluster.js';
@@ -40,14 +40,14 @@
   private readonly clock: Clock;
 
   constructor(
-    private readonly world: World,
+    private readonly context: ControllerContext,
     private readonly node: ControllerNode,
     private readonly records: ClusterRecords,
     private readonly options: ProcOptions,
     private readonly upload: (spec: JobSpec) => Promise<void>,
     private readonly log: Log,
   ) {
-    this.clock = world.clock;
+    this.clock = context.clock;
   }
 
   async run(): Promise<never> {
@@ -56,7 +56,7 @@
       try {
         await this.tick();
       } catch (error) {
-        if (!(error instanceof StateFailure || error instanceof Unavailable))
+        if (!(error instanceof StateStoreError || error instanceof UnavailableError))
           this.log.error({ error: error instanceof Error ? error.stack : String(error) }, 'expanding failed');
         this.notBefore = this.clock.now() + 1000;
       }
@@ -66,12 +66,12 @@
   /** Whether this node expands now. */
   get active(): boolean {
     if (this.term === null) return false;
-    const e = this.node.members.mirror.entries.get(EXPANDER);
+    const e = this.node.membership.stateCache.entries.get(EXPANDER);
     return (
-      this.node.members.valid &&
+      this.node.membership.holdsLease &&
       e !== undefined &&
       e.version === this.term &&
-      this.node.members.holds(e.value)
+      this.node.membership.isHeldHere(e.value)
     );
   }
 
@@ -88,15 +88,15 @@
   private async tick(): Promise<void> {
     if (this.term !== null && !this.active) this.drop();
     if (this.term === null) {
-      const { mirror } = this.node.members;
-      if (!mirror.ready || mirror.entries.has(EXPANDER) || !this.node.allMatch) return;
-      this.term = await this.node.members.claim(EXPANDER);
+      const { stateCache } = this.node.membership;
+      if (!stateCache.isLoaded || stateCache.entries.has(EXPANDER) || !this.node.allSupportMatching) return;
+      this.term = await this.node.membership.claim(EXPANDER);
       if (this.term === null) return;
       this.log.info({ term: this.term }, 'expands clusters');
     }
     if (this.clock.now() < this.notBefore) return;
     if (this.clock.now() - this.lookedAt > LOOK_MS) await this.look();
-    const rate = this.world.settings.stateLimits.writeRps * SHARE;
+    const rate = this.context.settings.stateLimits.writeRps * SHARE;
     this.budget = Math.min(rate * 2, this.budget + (rate * TICK_MS) / 1000);
     const order = [...this.clusters.values()].sort(
       (a, b) => Number(b.priority - a.priority) || a.number - b.number,
@@ -128,7 +128,7 @@
   // --- becoming jobs
 
   private async expand(order: Cluster[]): Promise<void> {
-    if (this.world.store.delayMs > BUSY_MS) return;
+    if (this.context.store.writeDelayMs > BUSY_MS) return;
     const open = order.filter((c) => c.record.state === 'active' && this.room(c) > 0);
     const top = open.filter((c) => c.priority === open[0]!.priority);
     while (this.budget >= 1 && top.length > 0 && this.active) {
@@ -222,15 +222,15 @@
     const spec = c.spec(n);
     await this.upload(spec);
     // From here on until the answer another node may have taken over: it submits the same id, which is accepted once.
-    if (!this.active || !this.grows(c)) throw new Unavailable('no longer expanded here');
+    if (!this.active || !this.grows(c)) throw new UnavailableError('no longer expanded here');
     let answer = await this.node.submit(spec);
     // The cluster was accepted as a whole: a deadline that cannot be met any more is kept as well as can be.
     if (answer.kind === 'refused') answer = await this.node.submit({ ...spec, deadlineS: null });
     if (answer.kind === 'refused' || answer.kind === 'busy') {
       this.notBefore = Math.max(this.notBefore, this.clock.now() + answer.retryS * 1000);
-      throw new Unavailable('not taken now');
+      throw new UnavailableError('not taken now');
     }
-    if (answer.kind === 'never') throw new Unavailable(`${answer.needs} was never accepted`);
+    if (answer.kind === 'never') throw new UnavailableError(`${answer.needs} was never accepted`);
   }
 
   // --- what has become of them
@@ -280,7 +280,7 @@
     if ((await this.node.cancel(id)) === null) {
       const proc = Number(/^wk-condor-\d+-(\d+)/.exec(id)![1]);
       await this.node.submit({ ...c.proc(proc).spec, deadlineS: null, id });
-      if ((await this.node.cancel(id)) === null) throw new Unavailable('not cancelled yet');
+      if ((await this.node.cancel(id)) === null) throw new UnavailableError('not cancelled yet');
     }
     c.cancelling.delete(id);
   }
@@ -345,7 +345,7 @@
 
   private async change(c: Cluster, act: Act, procs: readonly number[], why: string): Promise<number> {
     if (!this.active || this.term === null || this.clusters.get(c.number) !== c)
-      throw new Unavailable('no longer the expander');
+      throw new UnavailableError('no longer the expander');
     const changed: [number, Exception][] = [];
     for (const n of procs) {
       const state = c.state(n);
@@ -370,7 +370,7 @@
         this.forget(c);
       }
     }
-    if (!stored) throw new Unavailable('not stored');
+    if (!stored) throw new UnavailableError('not stored');
     for (const [n, x] of changed) {
       c.cancelBefore(n, x);
       if (x.state === 'idle' && n < c.cursor) c.waiting.add(n);
@@ -382,7 +382,7 @@
   /** Removes a whole cluster: one change, whatever its size; its jobs are cancelled from then on. */
   async removeAll(c: Cluster): Promise<number> {
     const { idle, running, held } = c.counts;
-    if (!(await this.put(c, { state: 'removing' }))) throw new Unavailable('not stored');
+    if (!(await this.put(c, { state: 'removing' }))) throw new UnavailableError('not stored');
     this.cancelAll(c);
     return idle + running + held;
   }
--- a/src/condor/matcher.ts
+++ b/src/condor/matcher.ts
@@ -2,7 +2,7 @@
 import { asNumber, evaluate } from '../classad/evaluate.js';
 import { namesAsked } from '../classad/flatten.js';
 import { parseExpr } from '../classad/parser.js';
-import type { Catalog, Matcher, Names } from '../context/context.js';
+import type { MachineTypeCatalog, MatchCompiler, NameTables } from '../context/context.js';
 import type { Match, PlanMachine } from '../plan/model.js';
 import type { MachineType } from '../wire/cloud.js';
 import type { MatchSpec } from '../wire/users.js';
@@ -43,7 +43,7 @@
 }
 
 /** Compiles match expressions; the same text is compiled once, and asked once of each kind of machine. */
-export class ClassAdMatcher implements Matcher {
+export class ClassAdMatcher implements MatchCompiler {
   private readonly compiled = new Map<string, Match>();
   private readonly kinds = new Map<number, Ad>();
   private version = -1;
@@ -51,8 +51,8 @@
   asked = 0;
 
   constructor(
-    private readonly names: Names,
-    private readonly catalog: Catalog,
+    private readonly names: NameTables,
+    private readonly catalog: MachineTypeCatalog,
   ) {}
 
   compile(spec: MatchSpec): Match {
@@ -131,7 +131,7 @@
     const kind = this.kind(m.type, m.zone, m.spot);
     const ad = kind ? kind.copy() : new Ad();
     const free = { ...m.size };
-    for (const h of m.held) {
+    for (const h of m.running) {
       free.cpus -= h.need.cpus;
       free.gpus -= h.need.gpus;
       free.memoryGb -= h.need.memoryGb;
@@ -155,7 +155,7 @@
   if (names.has('cachedimages')) state += ` i${[...m.images].join(',')}`;
   if (LOADS.some((n) => names.has(n))) {
     let [cpus, gpus, memoryGb] = [0, 0, 0];
-    for (const { need } of m.held) {
+    for (const { need } of m.running) {
       cpus += need.cpus;
       gpus += need.gpus;
       memoryGb += need.memoryGb;
--- a/src/condor/records.ts
+++ b/src/condor/records.ts
@@ -1,7 +1,7 @@
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import * as v from 'valibot';
 import { KEYS } from '../schema/schema.js';
-import { StateFailure, type StateStore } from '../state/statestore.js';
+import { type StateStore, StateStoreError } from '../state/statestore.js';
 import type { Condition, Write } from '../wire/state.js';
 import type { Submission } from './procs.js';
 
@@ -89,7 +89,8 @@
         value: bytes.subarray(i * per, (i + 1) * per).toString('base64'),
       });
     const together = Math.max(1, Math.min(this.limits.txnOps, Math.floor(TXN_BYTES / (per * 1.4))));
-    for (let i = 0; i < writes.length; i += together) await this.store.txn([], writes.slice(i, i + together));
+    for (let i = 0; i < writes.length; i += together)
+      await this.store.compareAndSwap([], writes.slice(i, i + together));
     const record: ClusterRecord = {
       submission: id,
       parts: writes.length,
@@ -106,7 +107,7 @@
       const next = await this.store.get(CONDOR.next);
       const number = next ? Number(next.value) : 1;
       try {
-        const made = await this.store.txn(
+        const made = await this.store.compareAndSwap(
           [
             { key: CONDOR.next, version: next?.version ?? 0 },
             { key: CONDOR.submission(id), version: 0 },
@@ -119,12 +120,12 @@
         );
         if (made.ok) return number;
       } catch (error) {
-        if (!(error instanceof StateFailure) || !error.maybe) throw error;
+        if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
       }
       const mine = await this.numberOf(id);
       if (mine !== null) return mine;
     }
-    throw new StateFailure('too many clusters at once', false);
+    throw new StateStoreError('too many clusters at once', false);
   }
 
   private async numberOf(id: string): Promise<number | null> {
@@ -147,7 +148,7 @@
 
   async submission(record: ClusterRecord): Promise<Submission> {
     const { entries } = await this.store.list(CONDOR.parts(record.submission));
-    if (entries.length !== record.parts) throw new StateFailure('a submission that is not whole', false);
+    if (entries.length !== record.parts) throw new StateStoreError('a submission that is not whole', false);
     const bytes = Buffer.concat(entries.map((e) => Buffer.from(String(e.value), 'base64')));
     return JSON.parse(
       inflateRawSync(bytes, { maxOutputLength: MOST_INFLATED }).toString('utf8'),
@@ -223,7 +224,10 @@
   }
 
   private async write(term: number, when: Condition[], writes: Write[]): Promise<number | null> {
-    const result = await this.store.txn([{ key: CONDOR.expander, version: term }, ...when], writes);
+    const result = await this.store.compareAndSwap(
+      [{ key: CONDOR.expander, version: term }, ...when],
+      writes,
+    );
     return result.ok ? result.revision : null;
   }
 }
--- a/src/condor/service.ts
+++ b/src/condor/service.ts
@@ -3,13 +3,13 @@
 import { ClassAdError, parseExpr } from '../classad/parser.js';
 import { printAd } from '../classad/print.js';
 import { pause } from '../clock/clock.js';
-import type { World } from '../context/context.js';
+import type { ControllerContext } from '../context/context.js';
 import type { ControllerNode } from '../controller/controllernode.js';
 import { bad, later, parseBody, wrongMethod } from '../http/replies.js';
 import type { HttpReply, HttpRequest } from '../http/server.js';
-import { Answered } from '../peer/mesh.js';
-import { Unavailable } from '../scheduler/responses.js';
-import { StateFailure } from '../state/statestore.js';
+import { PeerRejectedError } from '../peer/mesh.js';
+import { UnavailableError } from '../scheduler/responses.js';
+import { StateStoreError } from '../state/statestore.js';
 import { type AnalysisView, type ClusterView, CONDOR_PATH, type ProcView } from '../wire/condor.js';
 import { type JobSpec, writeJob } from '../wire/users.js';
 import { type Analysis, analyze, type Offer } from './analyze.js';
@@ -57,18 +57,18 @@
   private readonly procs: ProcOptions;
 
   constructor(
-    private readonly world: World,
+    private readonly context: ControllerContext,
     private readonly node: ControllerNode,
     private readonly options: CondorOptions,
   ) {
-    this.records = new ClusterRecords(world.store, world.settings.stateLimits);
+    this.records = new ClusterRecords(context.store, context.settings.stateLimits);
     this.procs = {
-      teams: world.settings.teams.map((t) => t.name),
+      teams: context.settings.teams.map((t) => t.name),
       team: options.team,
       never: (spec) => this.never(spec),
     };
-    const log = world.log.child({ part: 'condor' });
-    this.expander = new Expander(world, node, this.records, this.procs, (spec) => this.upload(spec), log);
+    const log = context.log.child({ part: 'condor' });
+    this.expander = new Expander(context, node, this.records, this.procs, (spec) => this.upload(spec), log);
     node.extensions.set(OP, (args) => this.serve(String(args.what), args));
   }
 
@@ -83,7 +83,8 @@
       if (error instanceof SubmitError || error instanceof ClassAdError)
         return { status: 400, body: { error: error.message, line: error.line, column: error.column } };
       if (error instanceof NoCluster) return { status: 404, body: { error: 'no such cluster' } };
-      if (error instanceof Unavailable || error instanceof StateFailure) return later(503, 1, error.message);
+      if (error instanceof UnavailableError || error instanceof StateStoreError)
+        return later(503, 1, error.message);
       throw error;
     }
   }
@@ -118,16 +119,17 @@
     const parsed = v.safeParse(submitBody, parseBody(r.body));
     if (!parsed.success)
       return bad(`${v.getDotPath(parsed.issues[0]) ?? 'body'}: ${parsed.issues[0].message}`);
-    if (!this.node.allMatch) throw new Unavailable('not all controllers serve HTCondor submit files');
+    if (!this.node.allSupportMatching)
+      throw new UnavailableError('not all controllers serve HTCondor submit files');
     const { submission, text, rows, user } = parsed.output;
-    const s = { text, rows, user, at: Math.floor(this.world.clock.wall() / 1000) };
+    const s = { text, rows, user, at: Math.floor(this.context.clock.wall() / 1000) };
     const plan = new ClusterPlan(s, this.procs);
     plan.check();
     const batch = plan.proc(0, 0).ad.get('JobBatchName');
     const name =
       batch?.node === 'literal' && typeof batch.value === 'string' ? batch.value.slice(0, 100) : null;
     const cluster = await this.records.create(submission, s, plan.total, name);
-    this.world.log.info({ cluster, procs: plan.total, user }, 'cluster accepted');
+    this.context.log.info({ cluster, procs: plan.total, user }, 'cluster accepted');
     return { status: 201, body: { cluster, procs: plan.total, warnings: plan.warnings } };
   }
 
@@ -140,20 +142,20 @@
 
   private async ask(what: string, args: Record<string, unknown>): Promise<unknown> {
     if (this.expander.active) return this.serve(what, args);
-    const e = this.node.members.mirror.entries.get(EXPANDER);
+    const e = this.node.membership.stateCache.entries.get(EXPANDER);
     const holder = e && v.safeParse(v.object({ node: v.string() }), e.value);
-    if (!holder?.success || holder.output.node === this.world.settings.node)
-      throw new Unavailable('nobody expands clusters at present');
+    if (!holder?.success || holder.output.node === this.context.settings.node)
+      throw new UnavailableError('nobody expands clusters at present');
     try {
-      return await this.node.askNode(holder.output.node, OP, { what, ...args }, ASK_MS);
+      return await this.node.requestNode(holder.output.node, OP, { what, ...args }, ASK_MS);
     } catch (error) {
-      if (error instanceof Answered && error.message === NO_CLUSTER) throw new NoCluster();
-      throw new Unavailable(error instanceof Error ? error.message : 'no answer');
+      if (error instanceof PeerRejectedError && error.message === NO_CLUSTER) throw new NoCluster();
+      throw new UnavailableError(error instanceof Error ? error.message : 'no answer');
     }
   }
 
   private async serve(what: string, a: Record<string, unknown>): Promise<unknown> {
-    if (!this.expander.active) throw new Unavailable('not the expander');
+    if (!this.expander.active) throw new UnavailableError('not the expander');
     if (what === 'list') return this.summaries(a.over === true);
     const c = await this.cluster(Number(a.cluster));
     if (what === 'show') return this.summary(c);
@@ -247,7 +249,7 @@
   }
 
   private offers(): Offer[] {
-    return [...this.world.catalog.kinds()].map(({ of, zone, spot }) => ({
+    return [...this.context.catalog.kinds()].map(({ of, zone, spot }) => ({
       type: of.name,
       zone,
       spot,
@@ -268,7 +270,7 @@
   // --- processes as jobs
 
   private never(spec: JobSpec): string | null {
-    const team = this.world.settings.teams.find((t) => t.name === spec.team);
+    const team = this.context.settings.teams.find((t) => t.name === spec.team);
     if (!team) return null;
     const n = spec.kind === 'gang' ? spec.tasks : 1;
     const over = (need: number, most: number) => most > 0 && n * need > most + 1e-6;
@@ -285,7 +287,7 @@
     if (depot === null) return;
     for (let i = 0; i < UPLOAD_TRIES; i++) {
       try {
-        const r = await this.world.http.request(
+        const r = await this.context.http.request(
           depot,
           'PUT',
           `/jobs/${spec.id}`,
@@ -294,11 +296,11 @@
         );
         if (r.status === 200) return;
       } catch (error) {
-        this.world.log.debug({ job: spec.id, error: String(error) }, 'description not uploaded');
+        this.context.log.debug({ job: spec.id, error: String(error) }, 'description not uploaded');
       }
-      await pause(this.world.clock, 300);
+      await pause(this.context.clock, 300);
     }
-    throw new Unavailable('the description cannot be uploaded');
+    throw new UnavailableError('the description cannot be uploaded');
   }
 }
 
--- a/src/context/context.ts
+++ b/src/context/context.ts
@@ -12,33 +12,33 @@
 import type { MatchSpec } from '../wire/users.js';
 
 /** Compiles match expressions for the plan; a part of its own, loaded where it is enabled. */
-export interface Matcher {
+export interface MatchCompiler {
   compile(spec: MatchSpec): Match;
 }
 
 /** For nodes that do not serve match expressions: such a job never starts here, rather than anywhere. */
-export const NOWHERE: Match = { kind: () => false, machine: null, rank: null };
+export const MATCHES_NOTHING: Match = { kind: () => false, machine: null, rank: null };
 
 /** What all parts of one node share. */
-export interface World {
+export interface ControllerContext {
   clock: Clock;
   settings: Settings;
   log: Log;
   http: Requester;
   store: StateStore;
   cloud: Cloud;
-  names: Names;
-  catalog: Catalog;
+  names: NameTables;
+  catalog: MachineTypeCatalog;
   /** When the record of a machine went, by the machine's id. */
-  goneMachines: Map<string, number>;
+  removedMachines: Map<string, number>;
   /** Understands match expressions; null where they are not served. */
-  matcher: Matcher | null;
+  matchCompiler: MatchCompiler | null;
   /** Marks this run of the process in every name that must not be used twice. */
-  run: string;
+  incarnation: string;
 }
 
 /** Names are mapped to indices where they enter, and back where they leave. */
-export class Names {
+export class NameTables {
   readonly teams = new NameTable();
   readonly types = new NameTable();
   readonly zones = new NameTable();
@@ -46,15 +46,15 @@
 }
 
 /** Machine types as the cloud last told them; of those that it offers no more, machines may still be there. */
-export class Catalog {
+export class MachineTypeCatalog {
   private readonly byIndex = new Map<number, MachineType>();
   private offered = new Set<number>();
   /** Counts what the cloud tells anew. */
   version = 0;
-  listed: ListedMachine[] = [];
+  listedMachines: ListedMachine[] = [];
   listedById = new Map<string, ListedMachine>();
 
-  constructor(private readonly names: Names) {}
+  constructor(private readonly names: NameTables) {}
 
   get known(): boolean {
     return this.byIndex.size > 0;
@@ -67,7 +67,7 @@
   }
 
   setListed(machines: ListedMachine[]): void {
-    this.listed = machines;
+    this.listedMachines = machines;
     this.listedById = new Map(machines.map((m) => [m.id, m]));
   }
 
--- a/src/controller/clusterstatecache.ts
+++ b/src/controller/clusterstatecache.ts
@@ -3,16 +3,16 @@
 import type { Log } from '../config/log.js';
 import type { Entry } from '../wire/state.js';
 
-const WAIT_MS = 10_000;
+const WATCH_TIMEOUT_MS = 10_000;
 const RETRY_MS = 300;
 
 /**
  * A copy of the keys under a prefix. It lags behind the state service, so it serves as a hint: whatever safety
  * depends on is a condition of a transaction.
  */
-export class Mirror {
+export class ClusterStateCache {
   readonly entries = new Map<string, Entry>();
-  ready = false;
+  isLoaded = false;
   /** All changes up to this revision are in the copy. */
   revision = 0;
 
@@ -27,10 +27,10 @@
   async run(): Promise<never> {
     for (;;) {
       try {
-        if (!this.ready) await this.load();
-        const result = await this.source.watch(this.prefix, this.revision, WAIT_MS);
+        if (!this.isLoaded) await this.load();
+        const result = await this.source.watch(this.prefix, this.revision, WATCH_TIMEOUT_MS);
         if (!result) {
-          this.ready = false;
+          this.isLoaded = false;
           continue;
         }
         for (const c of result.changes) {
@@ -74,6 +74,6 @@
     for (const [key, e] of this.entries)
       if (!seen.has(key) && e.version <= revision) this.remove(key, revision);
     this.revision = revision;
-    this.ready = true;
+    this.isLoaded = true;
   }
 }
--- a/src/controller/ownerlessadmission.ts
+++ b/src/controller/ownerlessadmission.ts
@@ -1,19 +1,19 @@
-import type { World } from '../context/context.js';
-import { JobRecords, NotOwner } from '../jobs/records.js';
+import type { ControllerContext } from '../context/context.js';
+import { JobRecords, NotOwnerError } from '../jobs/records.js';
 import { defaultDueS } from '../scheduler/planner.js';
-import { type SubmitAnswer, Unavailable } from '../scheduler/responses.js';
+import { type SubmitAnswer, UnavailableError } from '../scheduler/responses.js';
 import { KEYS } from '../schema/schema.js';
-import { StateFailure } from '../state/statestore.js';
+import { StateStoreError } from '../state/statestore.js';
 import type { JobSpec } from '../wire/users.js';
-import type { Members } from './membership.js';
+import type { Membership } from './membership.js';
 
 /** When the owner that comes back, or comes next, is asked for the job, and how often again until it answers. */
-const FIRST_MS = 500;
-const AGAIN_MS = 2000;
-const ASKED_AT_ONCE = 16;
-const KEPT = 2000;
+const FIRST_CONFIRM_DELAY_MS = 500;
+const CONFIRM_INTERVAL_MS = 2000;
+const MAX_CONCURRENT_CONFIRMS = 16;
+const MAX_UNCONFIRMED_JOBS = 2000;
 /** Nothing is accepted that would wait longer than this to be stored. */
-const ACCEPT_WAIT_MS = 700;
+const MAX_WRITE_DELAY_MS = 700;
 
 /**
  * Accepts jobs without a deadline for a shard whose owner is away: it restarts, is cut off, or has not taken over yet. Such a
@@ -21,17 +21,17 @@
  * sight. The write holds only while the shard's owner key is as it was seen, so that every later owner finds the job when
  * it takes the shard; an owner that is there all the same, and does not know of it, is asked until it has read it.
  */
-export class Deputy {
+export class OwnerlessAdmission {
   private readonly unconfirmed = new Map<string, number>();
-  private accepted = 0;
+  private acceptedCount = 0;
   private looping = false;
 
   constructor(
-    private readonly world: World,
-    private readonly members: Members,
-    private readonly allRead: () => boolean,
+    private readonly context: ControllerContext,
+    private readonly members: Membership,
+    private readonly allSupportLatest: () => boolean,
     /** Asks the owner for a job, which makes it read the job's record; false when it does not answer. */
-    private readonly confirm: (shard: number, id: string) => Promise<boolean>,
+    private readonly confirmWithOwner: (shard: number, id: string) => Promise<boolean>,
   ) {}
 
   /** Whether a job may be accepted without its shard's plan. */
@@ -40,55 +40,60 @@
   }
 
   async accept(shard: number, spec: JobSpec): Promise<SubmitAnswer> {
-    const { store, settings, clock } = this.world;
+    const { store, settings, clock } = this.context;
     // A node that has lost touch with the state service itself says so at once.
-    if (!this.members.valid || !this.members.mirror.ready || store.delayMs > ACCEPT_WAIT_MS)
-      throw new Unavailable('no owner at present');
-    const seen = this.members.mirror.entries.get(KEYS.owner(shard))?.version ?? 0;
+    if (
+      !this.members.holdsLease ||
+      !this.members.stateCache.isLoaded ||
+      store.writeDelayMs > MAX_WRITE_DELAY_MS
+    )
+      throw new UnavailableError('no owner at present');
+    const seen = this.members.stateCache.entries.get(KEYS.owner(shard))?.version ?? 0;
     const limits = { ...settings.stateLimits, layoutKb: settings.layoutKb };
-    const records = new JobRecords(store, shard, seen, limits, this.allRead);
+    const records = new JobRecords(store, shard, seen, limits, this.allSupportLatest);
     const wall = clock.wall();
-    const deadline = Math.round(wall + defaultDueS(this.world, null, spec.estimateS) * 1000);
+    const deadline = Math.round(wall + defaultDueS(this.context, null, spec.estimateS) * 1000);
     try {
-      const tag = `${this.world.run}-d${this.accepted++}`;
+      const tag = `${this.context.incarnation}-d${this.acceptedCount++}`;
       const result = await records.accept({ spec, accepted: wall, deadline }, tag);
       if (result.kind === 'known') return { kind: 'known', status: result.entry.final ?? 'queued' };
     } catch (error) {
       // There is a new owner: it is asked when the user comes back.
-      if (error instanceof NotOwner) throw new Unavailable('the shard has moved');
+      if (error instanceof NotOwnerError) throw new UnavailableError('the shard has moved');
       throw error;
     }
     const { id, team, tasks, cpus } = spec;
-    this.world.log.info(
+    this.context.log.info(
       { job: id, class: spec.class, shard, team, tasks, cpus },
       'job accepted while its owner is away',
     );
     this.unconfirmed.set(spec.id, shard);
-    if (this.unconfirmed.size > KEPT) this.unconfirmed.delete(this.unconfirmed.keys().next().value!);
-    this.loop(FIRST_MS);
+    if (this.unconfirmed.size > MAX_UNCONFIRMED_JOBS)
+      this.unconfirmed.delete(this.unconfirmed.keys().next().value!);
+    this.loop(FIRST_CONFIRM_DELAY_MS);
     return { kind: 'accepted' };
   }
 
   private loop(ms: number): void {
     if (this.looping || this.unconfirmed.size === 0) return;
     this.looping = true;
-    this.world.clock.after(ms, () => {
+    this.context.clock.after(ms, () => {
       void this.confirmAll()
         .catch((error) => {
-          if (!(error instanceof Unavailable || error instanceof StateFailure)) throw error;
+          if (!(error instanceof UnavailableError || error instanceof StateStoreError)) throw error;
         })
         .finally(() => {
           this.looping = false;
-          this.loop(AGAIN_MS);
+          this.loop(CONFIRM_INTERVAL_MS);
         });
     });
   }
 
   private async confirmAll(): Promise<void> {
-    const some = [...this.unconfirmed].slice(0, ASKED_AT_ONCE);
+    const some = [...this.unconfirmed].slice(0, MAX_CONCURRENT_CONFIRMS);
     await Promise.all(
       some.map(async ([id, shard]) => {
-        if (await this.confirm(shard, id)) this.unconfirmed.delete(id);
+        if (await this.confirmWithOwner(shard, id)) this.unconfirmed.delete(id);
       }),
     );
   }
--- a/src/controller/ownership.ts
+++ b/src/controller/ownership.ts
@@ -1,212 +1,224 @@
 import { pause } from '../clock/clock.js';
-import type { World } from '../context/context.js';
-import type { Others } from '../scheduler/responses.js';
+import type { ControllerContext } from '../context/context.js';
+import type { PeerShards } from '../scheduler/responses.js';
 import { Shard } from '../scheduler/shard.js';
 import { KEYS, readMachineRecord } from '../schema/schema.js';
-import type { Taken } from '../standby/standbyreplicas.js';
-import type { Keeper } from '../standby/standbyreplicator.js';
-import { termIsNew } from '../standby/takeoverchecks.js';
+import type { TakeoverState } from '../standby/standbyreplicas.js';
+import type { StandbyReplicator } from '../standby/standbyreplicator.js';
+import { isFreshTerm } from '../standby/takeoverchecks.js';
 import { WORKER_PATHS } from '../wire/workers.js';
-import { nextReportMs } from '../workers/machine.js';
+import { nextHeartbeatWithinMs } from '../workers/machine.js';
 import { Leader, type LeaderHooks } from './leader.js';
-import type { Members } from './membership.js';
-import type { Standbys } from './standbycoordinator.js';
-import { Reach } from './workerconnectivity.js';
+import type { Membership } from './membership.js';
+import type { StandbyCoordinator } from './standbycoordinator.js';
+import { WorkerConnectivity } from './workerconnectivity.js';
 
-const CLAIM_MS = 200;
+const RECONCILE_INTERVAL_MS = 200;
 /** How long a shard stays its dead home node's to take again. */
-const ADOPT_AFTER_MS = 1500;
+const CLAIM_DELAY_PER_NODE_MS = 1500;
 const HAND_BACK_AFTER_MS = 6000;
 /** A node that has withdrawn takes a shard all the same when nobody else has for so long. */
-const NOBODY_ELSE_MS = 12_000;
+const CORDONED_CLAIM_DELAY_MS = 12_000;
 /** Machines that are asked whether this node reaches them again, and how many must answer. */
 const PROBES = 5;
-const PROBES_ANSWERED = 3;
-const PROBE_MS = 1500;
+const MIN_PROBES_ANSWERED = 3;
+const PROBE_TIMEOUT_MS = 1500;
 /** An owner that has not been served for so long, while its standby was, is cut off from the state service. */
-const CUT_OFF_MS = 2500;
+const STATE_STORE_CUT_OFF_MS = 2500;
 /** What a home node that stands by may take to be level; then its shard goes back without. */
-const LEVEL_MS = 20_000;
+const HOME_SYNC_TIMEOUT_MS = 20_000;
 /** Questions for a shard that is just changing hands wait no longer than this. */
-const SOON_MS = 500;
-const SOON_STEP_MS = 20;
+const HANDOVER_WAIT_MS = 500;
+const HANDOVER_POLL_MS = 20;
 
 /** What this node owns: the shards that it takes, gives back and leaves to others, and the leadership when it has it. */
 export class Ownership {
   readonly shards = new Map<number, Shard>();
-  readonly reach: Reach;
+  readonly workerConnectivity: WorkerConnectivity;
   leader: Leader | null = null;
   /** All nodes of the settings, in the order in which they take what nobody has. */
-  readonly order: string[];
+  readonly nodeOrder: string[];
   readonly zones: Map<string, string>;
   private readonly ownerGoneSince = new Map<string, number>();
   private readonly homeSince = new Map<number, number>();
-  private probing = false;
+  private probingWorkers = false;
   /**
    * Terms under which this node has owned a shard and does so no more. None is ever taken up again: tokens and attempts
    * would be those of the former ownership, whose orders may still be under way.
    */
-  private readonly spentTerms = new Set<number>();
-  private readonly claiming = new Set<string>();
-  private readonly keepers = new Map<number, Keeper>();
+  private readonly retiredTerms = new Set<number>();
+  private readonly keysInFlight = new Set<string>();
+  private readonly replicators = new Map<number, StandbyReplicator>();
   /** Shards that another node hands over to this one at this moment. */
-  private readonly arriving = new Set<number>();
+  private readonly incomingHandovers = new Set<number>();
   /** Where standbys are enabled. */
-  standbys: Standbys | null = null;
+  standbyCoordinator: StandbyCoordinator | null = null;
 
   constructor(
-    private readonly world: World,
-    private readonly members: Members,
+    private readonly context: ControllerContext,
+    private readonly members: Membership,
     /** What a shard here needs of the others, and the leader of all. */
-    private readonly others: Others,
-    private readonly leading: LeaderHooks & {
+    private readonly peerShards: PeerShards,
+    private readonly hooks: LeaderHooks & {
       /** Tells the other nodes that a shard is this node's. */
       tellOwns(shard: number, term: number): void;
     },
   ) {
-    const s = world.settings;
-    this.order = [s.node, ...s.peers.map((p) => p.node)].sort();
-    this.reach = new Reach(world.clock);
+    const s = context.settings;
+    this.nodeOrder = [s.node, ...s.peers.map((p) => p.node)].sort();
+    this.workerConnectivity = new WorkerConnectivity(context.clock);
     this.zones = new Map([s, ...s.peers].map((n) => [n.node, n.zone]));
   }
 
   /** Looks at what nobody has, and at what this node has, from now on. */
   start(): void {
-    this.standbys?.start();
-    this.claimLoop();
+    this.standbyCoordinator?.start();
+    this.reconcileLoop();
   }
 
   /** A planned end: each shard with a level standby goes to it. */
   async leave(): Promise<void> {
-    await Promise.all([...this.shards.values()].map((s) => this.switchOver(s, 'leaving')));
-    this.dropAll();
+    await Promise.all([...this.shards.values()].map((s) => this.handOverToStandby(s, 'leaving')));
+    this.stopOwningAll();
   }
 
-  dropAll(): void {
-    for (const shard of [...this.shards.values()]) this.drop(shard);
+  stopOwningAll(): void {
+    for (const shard of [...this.shards.values()]) this.stopOwning(shard);
     this.leader?.stop();
     this.leader = null;
   }
 
-  private drop(shard: Shard): void {
+  private stopOwning(shard: Shard): void {
     shard.stop();
-    this.spentTerms.add(shard.term);
+    this.retiredTerms.add(shard.term);
     if (this.shards.get(shard.index) !== shard) return;
     this.shards.delete(shard.index);
-    this.keepers.delete(shard.index);
+    this.replicators.delete(shard.index);
   }
 
-  private claimLoop(): void {
-    if (this.members.valid && this.members.mirror.ready) {
-      this.considerWithdrawing();
-      this.considerGivingUp();
-      for (let k = 0; k < this.world.settings.nodes; k++) this.consider(k);
-      this.considerLeading();
+  private reconcileLoop(): void {
+    if (this.members.holdsLease && this.members.stateCache.isLoaded) {
+      this.reconcileWorkerConnectivity();
+      this.handOverIfCutOff();
+      for (let k = 0; k < this.context.settings.nodes; k++) this.reconcileShard(k);
+      this.reconcileLeadership();
     }
-    this.world.clock.after(CLAIM_MS, () => this.claimLoop());
+    this.context.clock.after(RECONCILE_INTERVAL_MS, () => this.reconcileLoop());
   }
 
   // --- cut off from the workers
 
   /** A node that machines cannot reach leaves its shards to others, and comes back when it reaches machines again. */
-  private considerWithdrawing(): void {
-    if (this.reach.withdrawn) {
-      if (this.reach.mayReturn && !this.probing) void this.probe();
+  private reconcileWorkerConnectivity(): void {
+    if (this.workerConnectivity.cordoned) {
+      if (this.workerConnectivity.mayUncordon && !this.probingWorkers) void this.probeWorkers();
       return;
     }
-    const now = this.world.clock.now();
-    const recent = this.world.settings.workers.leaseS * 1000;
-    const lately = nextReportMs(this.world.settings.workers.reportS);
+    const now = this.context.clock.now();
+    const recent = this.context.settings.workers.leaseS * 1000;
+    const lately = nextHeartbeatWithinMs(this.context.settings.workers.reportS);
     let known = 0;
     let coming = 0;
     for (const s of this.shards.values()) {
-      for (const m of s.fleet.machines.values()) {
-        if (m.heardAt === null || m.lost || now - m.heardAt > recent) continue;
+      for (const m of s.registry.machines.values()) {
+        if (m.lastHeartbeatAt === null || m.leaseExpired || now - m.lastHeartbeatAt > recent) continue;
         known++;
-        if (now - m.heardAt < lately) coming++;
+        if (now - m.lastHeartbeatAt < lately) coming++;
       }
     }
-    if (known === 0 || !this.reach.cutOff(known, coming) || this.world.settings.peers.length === 0) return;
-    this.reach.withdraw();
-    this.world.log.warn({ machines: known }, 'workers cannot reach this node: leaving its shards to others');
+    if (
+      known === 0 ||
+      !this.workerConnectivity.isCutOff(known, coming) ||
+      this.context.settings.peers.length === 0
+    )
+      return;
+    this.workerConnectivity.cordon();
+    this.context.log.warn(
+      { machines: known },
+      'workers cannot reach this node: leaving its shards to others',
+    );
     const shards = [...this.shards.values()];
     const left = shards.filter((s) => !this.successorOf(s));
-    for (const s of left) this.drop(s);
-    for (const s of shards) if (!left.includes(s)) void this.switchOver(s, 'workers cannot reach this node');
+    for (const s of left) this.stopOwning(s);
+    for (const s of shards)
+      if (!left.includes(s)) void this.handOverToStandby(s, 'workers cannot reach this node');
     void this.members
-      .tellWithdrawn(true)
-      .catch((error) => this.world.log.info({ error: String(error) }, 'withdrawal not told'))
+      .publishCordoned(true)
+      .catch((error) => this.context.log.info({ error: String(error) }, 'withdrawal not told'))
       .then(() => Promise.all(left.map((s) => this.release(s.index, s.term))));
   }
 
   // --- switches to a standby that is level
 
   private successorOf(shard: Shard): string | null {
-    const keeper = this.keepers.get(shard.index);
-    return keeper && shard.ready && this.standbys ? this.standbys.successor(keeper) : null;
+    const replicator = this.replicators.get(shard.index);
+    return replicator && shard.ready && this.standbyCoordinator
+      ? this.standbyCoordinator.successor(replicator)
+      : null;
   }
 
   /**
    * Hands a shard to its level standby: this node ends it first, for good, and sends users and machines on at once. True when
    * the standby has it; else the key is given up, as without a standby.
    */
-  private async switchOver(shard: Shard, why: string): Promise<boolean> {
+  private async handOverToStandby(shard: Shard, why: string): Promise<boolean> {
     const to = this.successorOf(shard);
-    const keeper = this.keepers.get(shard.index);
+    const replicator = this.replicators.get(shard.index);
     const successor = to === null ? null : this.members.presenceOf(to);
-    if (!keeper || !successor) return false;
+    if (!replicator || !successor) return false;
     const { index: k, term } = shard;
-    this.world.log.info({ shard: k, to, why }, 'handing over');
+    this.context.log.info({ shard: k, to, why }, 'handing over');
     const key = KEYS.owner(k);
-    this.claiming.add(key);
-    this.drop(shard);
-    this.members.handing(k, successor, term);
-    const begun = this.world.clock.now();
+    this.keysInFlight.add(key);
+    this.stopOwning(shard);
+    this.members.setSuccessor(k, successor, term);
+    const begun = this.context.clock.now();
     try {
-      const taken = await keeper.handOver();
-      this.world.log.info(
-        { shard: k, to, taken, ms: Math.round(this.world.clock.now() - begun) },
+      const taken = await replicator.handOver();
+      this.context.log.info(
+        { shard: k, to, taken, ms: Math.round(this.context.clock.now() - begun) },
         'handed over',
       );
       if (taken) return true;
-      this.members.handing(k, null, term);
+      this.members.setSuccessor(k, null, term);
       await this.release(k, term);
       return false;
     } finally {
-      this.claiming.delete(key);
+      this.keysInFlight.delete(key);
     }
   }
 
   /** An owner that the state service serves no more, while it serves its standby, need not wait for its lease to run out. */
-  private considerGivingUp(): void {
-    const { failingMs } = this.members;
-    if (failingMs < CUT_OFF_MS) return;
+  private handOverIfCutOff(): void {
+    const { renewalFailingMs: failingMs } = this.members;
+    if (failingMs < STATE_STORE_CUT_OFF_MS) return;
     for (const s of [...this.shards.values()]) {
-      const ago = this.keepers.get(s.index)?.standbyStateAgoMs ?? null;
-      if (ago !== null && ago < failingMs - 500) void this.switchOver(s, 'cut off from the state service');
+      const ago = this.replicators.get(s.index)?.standbyLeaseRenewedAgoMs ?? null;
+      if (ago !== null && ago < failingMs - 500)
+        void this.handOverToStandby(s, 'cut off from the state service');
     }
   }
 
   /** Lets a question wait a little for a shard that is being handed over to this node. */
-  async soon(k: number): Promise<void> {
-    const until = this.world.clock.now() + SOON_MS;
-    const coming = () => this.arriving.has(k) && !this.shards.get(k)?.ready;
-    while (coming() && this.world.clock.now() < until) await pause(this.world.clock, SOON_STEP_MS);
+  async waitForHandover(k: number): Promise<void> {
+    const until = this.context.clock.now() + HANDOVER_WAIT_MS;
+    const coming = () => this.incomingHandovers.has(k) && !this.shards.get(k)?.ready;
+    while (coming() && this.context.clock.now() < until) await pause(this.context.clock, HANDOVER_POLL_MS);
   }
 
   /** The owner of a shard hands it over to this node. */
-  async assume(args: Record<string, unknown>): Promise<boolean> {
+  async acceptHandover(args: Record<string, unknown>): Promise<boolean> {
     const k = Number(args.shard);
-    this.arriving.add(k);
-    this.world.clock.after(SOON_MS * 4, () => this.arriving.delete(k));
-    return (await this.standbys?.follower.assume(args)) ?? false;
+    this.incomingHandovers.add(k);
+    this.context.clock.after(HANDOVER_WAIT_MS * 4, () => this.incomingHandovers.delete(k));
+    return (await this.standbyCoordinator?.replicas.onHandover(args)) ?? false;
   }
 
-  private async probe(): Promise<void> {
-    this.probing = true;
+  private async probeWorkers(): Promise<void> {
+    this.probingWorkers = true;
     try {
       const addrs: string[] = [];
-      for (const [key, e] of this.members.mirror.entries) {
+      for (const [key, e] of this.members.stateCache.entries) {
         const record = key.startsWith(KEYS.machines) ? readMachineRecord(e.value) : null;
         if (record?.addr) addrs.push(record.addr);
       }
@@ -214,22 +226,22 @@
       const asked = addrs.filter((_, i) => i % step === 0).slice(0, PROBES);
       const answers = await Promise.all(
         asked.map((addr) =>
-          this.world.http.request(addr, 'GET', WORKER_PATHS.show, null, PROBE_MS).then(
+          this.context.http.request(addr, 'GET', WORKER_PATHS.status, null, PROBE_TIMEOUT_MS).then(
             () => 1,
             () => 0,
           ),
         ),
       );
       const answered = answers.reduce<number>((sum, n) => sum + n, 0);
-      if (answered < Math.min(PROBES_ANSWERED, asked.length)) return;
-      this.reach.comeBack();
-      this.world.log.info('workers can be reached again');
-      await this.members.tellWithdrawn(false);
+      if (answered < Math.min(MIN_PROBES_ANSWERED, asked.length)) return;
+      this.workerConnectivity.uncordon();
+      this.context.log.info('workers can be reached again');
+      await this.members.publishCordoned(false);
     } catch (error) {
-      this.world.log.info({ error: String(error) }, 'coming back not told');
+      this.context.log.info({ error: String(error) }, 'coming back not told');
     } finally {
-      await pause(this.world.clock, PROBE_MS);
-      this.probing = false;
+      await pause(this.context.clock, PROBE_TIMEOUT_MS);
+      this.probingWorkers = false;
     }
   }
 
@@ -237,10 +249,10 @@
   private async release(k: number, term: number): Promise<void> {
     const key = KEYS.owner(k);
     try {
-      const r = await this.world.store.txn([{ key, version: term }], [{ delete: key }]);
-      if (r.ok) this.members.mirror.remove(key, r.revision);
+      const r = await this.context.store.compareAndSwap([{ key, version: term }], [{ delete: key }]);
+      if (r.ok) this.members.stateCache.remove(key, r.revision);
     } catch (error) {
-      this.world.log.info({ shard: k, error: String(error) }, 'shard not released');
+      this.context.log.info({ shard: k, error: String(error) }, 'shard not released');
     }
   }
 
@@ -248,88 +260,92 @@
    * How long this node waits before it takes a key that nobody holds: first the home node, then the others in turn.
    * Nobody waits for one that has withdrawn.
    */
-  private patience(shard: number): number {
-    if (this.reach.withdrawn) return NOBODY_ELSE_MS;
-    const n = this.order.length;
+  private claimDelayMs(shard: number): number {
+    if (this.workerConnectivity.cordoned) return CORDONED_CLAIM_DELAY_MS;
+    const n = this.nodeOrder.length;
     let wait = 0;
-    for (let i = 0; this.order[(shard + i) % n] !== this.world.settings.node; i++) {
-      if (!this.members.withdrawn(this.order[(shard + i) % n]!)) wait += ADOPT_AFTER_MS;
+    for (let i = 0; this.nodeOrder[(shard + i) % n] !== this.context.settings.node; i++) {
+      if (!this.members.isNodeCordoned(this.nodeOrder[(shard + i) % n]!)) wait += CLAIM_DELAY_PER_NODE_MS;
     }
     return wait;
   }
 
-  private consider(k: number): void {
+  private reconcileShard(k: number): void {
     const key = KEYS.owner(k);
-    const entry = this.members.mirror.entries.get(key);
+    const entry = this.members.stateCache.entries.get(key);
     const mine = this.shards.get(k);
-    const now = this.world.clock.now();
+    const now = this.context.clock.now();
     if (entry) {
       this.ownerGoneSince.delete(key);
-      const here = this.members.holds(entry.value);
+      const here = this.members.isHeldHere(entry.value);
       if (mine && (!here || mine.term !== entry.version)) {
         // Somebody else's, or a newer term of this node's.
-        if (entry.version > mine.term) this.drop(mine);
+        if (entry.version > mine.term) this.stopOwning(mine);
       }
-      if (here && !this.shards.has(k) && !this.claiming.has(key) && !this.members.successor(k)) {
+      if (here && !this.shards.has(k) && !this.keysInFlight.has(key) && !this.members.successor(k)) {
         // A claim that was thought lost has been made after all; or the key of a former ownership is still there.
-        if (!termIsNew(entry.version, this.spentTerms)) this.releaseSpent(k, entry.version);
-        else this.take(k, entry.version);
+        if (!isFreshTerm(entry.version, this.retiredTerms)) this.releaseRetiredTerm(k, entry.version);
+        else this.startOwning(k, entry.version);
       }
-      if (here && this.shards.has(k)) this.considerHandBack(k);
+      if (here && this.shards.has(k)) this.reconcileHome(k);
       return;
     }
     if (mine) {
-      this.drop(mine);
+      this.stopOwning(mine);
       return;
     }
     const since = this.ownerGoneSince.get(key) ?? now;
     this.ownerGoneSince.set(key, since);
-    if (now - since < this.patience(k) || this.claiming.has(key)) return;
-    this.claiming.add(key);
+    if (now - since < this.claimDelayMs(k) || this.keysInFlight.has(key)) return;
+    this.keysInFlight.add(key);
     void this.members
       .claim(key)
       .then((term) => {
-        if (term !== null && !this.shards.has(k)) this.take(k, term);
+        if (term !== null && !this.shards.has(k)) this.startOwning(k, term);
       })
-      .finally(() => this.claiming.delete(key));
+      .finally(() => this.keysInFlight.delete(key));
   }
 
-  home(shard: number): string {
-    return this.order[shard % this.order.length]!;
+  homeNode(shard: number): string {
+    return this.nodeOrder[shard % this.nodeOrder.length]!;
   }
 
   /** A shard's key is this node's, under a term. */
-  take(k: number, term: number, taken: Taken | null = null): void {
+  startOwning(k: number, term: number, taken: TakeoverState | null = null): void {
     const lease = this.members.leaseId;
     if (lease === null || this.shards.has(k)) return;
-    const keeper = this.standbys?.keeper(k, term, lease) ?? null;
-    if (keeper) this.keepers.set(k, keeper);
+    const replicator = this.standbyCoordinator?.createReplicator(k, term, lease) ?? null;
+    if (replicator) this.replicators.set(k, replicator);
     const shard: Shard = new Shard(
-      this.world,
+      this.context,
       k,
       term,
-      () => this.members.validUnder(lease),
-      () => this.drop(shard),
-      this.others,
-      keeper,
+      () => this.members.holdsLeaseId(lease),
+      () => this.stopOwning(shard),
+      this.peerShards,
+      replicator,
       taken,
     );
     this.shards.set(k, shard);
-    this.leading.tellOwns(k, term);
+    this.hooks.tellOwns(k, term);
     void shard.start();
   }
 
   /** Another node has taken a shard under a newer term: this one's is over, whatever its copy of the keys shows. */
-  superseded(k: number, term: number): void {
+  onNewerTerm(k: number, term: number): void {
     const mine = this.shards.get(k);
-    if (mine && mine.term < term) this.drop(mine);
+    if (mine && mine.term < term) this.stopOwning(mine);
   }
 
   /** A shard taken over goes back when its home node has been up for a while. */
-  private considerHandBack(k: number): void {
-    const home = this.home(k);
-    const now = this.world.clock.now();
-    if (home === this.world.settings.node || !this.members.present(home) || this.members.withdrawn(home)) {
+  private reconcileHome(k: number): void {
+    const home = this.homeNode(k);
+    const now = this.context.clock.now();
+    if (
+      home === this.context.settings.node ||
+      !this.members.isPresent(home) ||
+      this.members.isNodeCordoned(home)
+    ) {
       this.homeSince.delete(k);
       return;
     }
@@ -338,39 +354,39 @@
     if (now - since < HAND_BACK_AFTER_MS) return;
     const shard = this.shards.get(k)!;
     if (!shard.ready) return;
-    if (this.standbys?.stands(home)) {
-      if (!this.standbys.gainsByGoingHome(k)) return;
+    if (this.standbyCoordinator?.isStandbyCapable(home)) {
+      if (!this.standbyCoordinator.shouldReturnHome(k)) return;
       if (this.successorOf(shard) === home) {
         this.homeSince.delete(k);
-        void this.switchOver(shard, 'going home');
+        void this.handOverToStandby(shard, 'going home');
         return;
       }
-      if (now - since < HAND_BACK_AFTER_MS + LEVEL_MS) return;
+      if (now - since < HAND_BACK_AFTER_MS + HOME_SYNC_TIMEOUT_MS) return;
     }
     this.homeSince.delete(k);
-    this.world.log.info({ shard: k, to: home }, 'handing back');
-    this.drop(shard);
-    this.releaseSpent(k, shard.term);
+    this.context.log.info({ shard: k, to: home }, 'handing back');
+    this.stopOwning(shard);
+    this.releaseRetiredTerm(k, shard.term);
   }
 
-  private releaseSpent(k: number, term: number): void {
+  private releaseRetiredTerm(k: number, term: number): void {
     const key = KEYS.owner(k);
-    this.claiming.add(key);
-    void this.release(k, term).finally(() => this.claiming.delete(key));
+    this.keysInFlight.add(key);
+    void this.release(k, term).finally(() => this.keysInFlight.delete(key));
   }
 
-  private considerLeading(): void {
+  private reconcileLeadership(): void {
     const key = KEYS.leader;
-    const entry = this.members.mirror.entries.get(key);
-    const now = this.world.clock.now();
+    const entry = this.members.stateCache.entries.get(key);
+    const now = this.context.clock.now();
     if (entry) {
       this.ownerGoneSince.delete(key);
-      const here = this.members.holds(entry.value);
+      const here = this.members.isHeldHere(entry.value);
       if (!here && this.leader) {
         this.leader.stop();
         this.leader = null;
       }
-      if (here && !this.leader) this.lead(entry.version);
+      if (here && !this.leader) this.becomeLeader(entry.version);
       return;
     }
     if (this.leader) {
@@ -379,25 +395,26 @@
     }
     const since = this.ownerGoneSince.get(key) ?? now;
     this.ownerGoneSince.set(key, since);
-    if (now - since < 300 * this.order.indexOf(this.world.settings.node) || this.claiming.has(key)) return;
-    this.claiming.add(key);
+    if (now - since < 300 * this.nodeOrder.indexOf(this.context.settings.node) || this.keysInFlight.has(key))
+      return;
+    this.keysInFlight.add(key);
     void this.members
       .claim(key)
       .then((term) => {
-        if (term !== null && !this.leader) this.lead(term);
+        if (term !== null && !this.leader) this.becomeLeader(term);
       })
-      .finally(() => this.claiming.delete(key));
+      .finally(() => this.keysInFlight.delete(key));
   }
 
-  private lead(term: number): void {
+  private becomeLeader(term: number): void {
     this.leader = new Leader(
-      this.world,
+      this.context,
       term,
-      this.members.mirror,
-      (shard) => this.zones.get(this.home(shard)) ?? '',
-      this.leading,
+      this.members.stateCache,
+      (shard) => this.zones.get(this.homeNode(shard)) ?? '',
+      this.hooks,
     );
     this.leader.start();
-    this.leader.listed(this.world.catalog.listed);
+    this.leader.onMachineList(this.context.catalog.listedMachines);
   }
 }
--- a/src/controller/peeroperations.ts
+++ b/src/controller/peeroperations.ts
@@ -4,23 +4,23 @@
  */
 export const PEER_OPS = {
   /** To the leader: what an owner tells of its shard. */
-  gossip: 'gossip',
+  shardStatus: 'gossip',
   /** To the leader: a machine that no record names has reported. */
-  unassigned: 'stray',
+  unregisteredMachine: 'stray',
   /** A shard is the sender's, under a term. */
-  owns: 'owns',
+  ownerAnnouncement: 'owns',
   /** A machine that reported to the sender was sent on to this node. */
   redirected: 'sent',
   /** To an owner, for another shard: an empty machine, one to be cleared, one whose tasks end soon. */
-  give: 'give',
-  clearMachine: 'vacate',
-  reserveMachine: 'cede',
+  transferMachine: 'give',
+  evictForTransfer: 'vacate',
+  reserveForTransfer: 'cede',
   /** Between owners: what a job there needs of one here; how such a job ended. */
-  needed: 'needed',
-  over: 'over',
+  dependencyStatus: 'needed',
+  dependencyEnded: 'over',
   /** Of users, passed on to the owner. */
   submit: 'submit',
-  submitAfter: 'submitAfter',
+  submitWithDependencies: 'submitAfter',
   status: 'status',
   cancel: 'cancel',
   list: 'list',
--- a/src/controller/routing.ts
+++ b/src/controller/routing.ts
@@ -1,48 +1,53 @@
-import type { World } from '../context/context.js';
-import { isGuest, type JobEntry } from '../jobs/job.js';
-import { standing, waits } from '../jobs/jobstatus.js';
+import type { ControllerContext } from '../context/context.js';
+import { hasNoQuota, type JobEntry } from '../jobs/job.js';
+import { hasDependencies, jobStatusFromStore } from '../jobs/jobstatus.js';
 import { findJob } from '../jobs/records.js';
-import { OwnerAway, type StatusAnswer, type SubmitAnswer, Unavailable } from '../scheduler/responses.js';
+import {
+  OwnerUnavailableError,
+  type StatusAnswer,
+  type SubmitAnswer,
+  UnavailableError,
+} from '../scheduler/responses.js';
 import type { Shard } from '../scheduler/shard.js';
 import { readTeamAssignment } from '../schema/schema.js';
-import { StateFailure } from '../state/statestore.js';
+import { StateStoreError } from '../state/statestore.js';
 import type { JobSpec, ListedJob } from '../wire/users.js';
-import type { Members } from './membership.js';
-import type { Owners } from './ownerclient.js';
-import { Deputy } from './ownerlessadmission.js';
+import type { Membership } from './membership.js';
+import type { OwnerClient } from './ownerclient.js';
+import { OwnerlessAdmission } from './ownerlessadmission.js';
 import { PEER_OPS } from './peeroperations.js';
 
-const ROUTES_KEPT = 20_000;
+const MAX_CACHED_ROUTES = 20_000;
 /** Jobs on one page of a list: a request must not cost an owner much. */
-const LISTED = 200;
+const LIST_PAGE_SIZE = 200;
 
 /** Where users' questions go, and what is answered without the owner of the job. */
 export class Routing {
-  private readonly deputy: Deputy;
+  private readonly ownerlessAdmission: OwnerlessAdmission;
   private readonly routes = new Map<string, JobEntry>();
 
   constructor(
-    private readonly world: World,
-    private readonly members: Members,
-    private readonly owners: Owners,
+    private readonly context: ControllerContext,
+    private readonly members: Membership,
+    private readonly ownerClient: OwnerClient,
     /** The shards of this node. */
     private readonly shards: () => ReadonlyMap<number, Shard>,
   ) {
-    this.deputy = new Deputy(
-      world,
+    this.ownerlessAdmission = new OwnerlessAdmission(
+      context,
       members,
-      () => owners.allRead,
-      (shard, id) => this.confirm(shard, id),
+      () => ownerClient.allSupportLatest,
+      (shard, id) => this.confirmWithOwner(shard, id),
     );
   }
 
   /** Makes a shard's owner read the record of a job that it may not know of. */
-  private async confirm(shard: number, id: string): Promise<boolean> {
+  private async confirmWithOwner(shard: number, id: string): Promise<boolean> {
     try {
-      await this.owners.ask(shard, PEER_OPS.status, { id }, (s) => s.status(id));
+      await this.ownerClient.request(shard, PEER_OPS.status, { id }, (s) => s.status(id));
       return true;
     } catch (error) {
-      if (!(error instanceof Unavailable || error instanceof StateFailure)) throw error;
+      if (!(error instanceof UnavailableError || error instanceof StateStoreError)) throw error;
       return false;
     }
   }
@@ -53,22 +58,22 @@
    * and so their small tasks find what is left on the machines of all shards.
    */
   shardOf(spec: JobSpec): number | null {
-    const { teams, nodes } = this.world.settings;
+    const { teams, nodes } = this.context.settings;
     if (teams.length === 0) return hash(spec.id) % nodes;
-    const parted = readTeamAssignment(this.members.mirror.entries);
+    const parted = readTeamAssignment(this.members.stateCache.entries);
     const own = parted?.[spec.team];
     if (!parted || own === undefined) return null;
     const team = teams.find((t) => t.name === spec.team);
-    if (!team || !isGuest(team)) return own;
+    if (!team || !hasNoQuota(team)) return own;
     const shards = new Set<number>();
-    for (const t of teams) if (!isGuest(t) && parted[t.name] !== undefined) shards.add(parted[t.name]!);
+    for (const t of teams) if (!hasNoQuota(t) && parted[t.name] !== undefined) shards.add(parted[t.name]!);
     const among = [...shards].sort((a, b) => a - b);
     return among.length === 0 ? own : among[hash(spec.id) % among.length]!;
   }
 
   private remember(id: string, { shard, final, tasks }: JobEntry): void {
     this.routes.set(id, final ? { shard, final, tasks: tasks ?? 0 } : { shard });
-    if (this.routes.size > ROUTES_KEPT) this.routes.delete(this.routes.keys().next().value!);
+    if (this.routes.size > MAX_CACHED_ROUTES) this.routes.delete(this.routes.keys().next().value!);
   }
 
   /** Where a job is, or how it ended; null only when the state service has never heard of it. */
@@ -76,7 +81,7 @@
     const known = this.routes.get(id);
     if (known) return known;
     for (const s of this.shards().values()) if (s.ready && s.job(id)) return { shard: s.index };
-    const entry = await findJob((key) => this.world.store.look(key), id);
+    const entry = await findJob((key) => this.context.store.getCoalesced(key), id);
     if (entry) this.remember(id, entry);
     return entry;
   }
@@ -86,13 +91,17 @@
    * zones a user may see no other node for minutes. An end is durable before anyone hears of it, so this is never
    * older than what the user was told.
    */
-  private async stored(id: string): Promise<StatusAnswer | null> {
-    const entry = await findJob((key) => this.world.store.look(key), id);
+  private async statusFromStore(id: string): Promise<StatusAnswer | null> {
+    const entry = await findJob((key) => this.context.store.getCoalesced(key), id);
     if (!entry) return null;
     this.remember(id, entry);
     // While it waits, one that it needs may have been cancelled, and it must not be called queued for long then.
-    if (!entry.final && waits(entry) && (await standing(this.world.store, id)) !== 'active')
-      throw new Unavailable('what the job waits for is not known now');
+    if (
+      !entry.final &&
+      hasDependencies(entry) &&
+      (await jobStatusFromStore(this.context.store, id)) !== 'active'
+    )
+      throw new UnavailableError('what the job waits for is not known now');
     const done = entry.final === 'done' ? (entry.tasks ?? 0) : 0;
     return { status: entry.final ?? 'queued', done, running: 0 };
   }
@@ -101,26 +110,26 @@
     const known = this.routes.get(spec.id);
     if (known?.final) return { kind: 'known', status: known.final };
     const shard = known?.shard ?? this.shardOf(spec);
-    if (shard === null) throw new Unavailable('teams are not parted yet');
+    if (shard === null) throw new UnavailableError('teams are not parted yet');
     // An older version would not see that it waits: it would start it at once.
-    if (spec.after.length > 0 && !this.owners.allRead)
-      throw new Unavailable('not all controllers run a version that lets jobs wait for others');
+    if (spec.after.length > 0 && !this.ownerClient.allSupportLatest)
+      throw new UnavailableError('not all controllers run a version that lets jobs wait for others');
     // One that does not understand what it asks of machines would start it anywhere.
-    if (spec.match && !this.owners.allMatch)
-      throw new Unavailable('not all controllers serve match expressions');
-    const op = spec.after.length > 0 ? PEER_OPS.submitAfter : PEER_OPS.submit;
+    if (spec.match && !this.ownerClient.allSupportMatching)
+      throw new UnavailableError('not all controllers serve match expressions');
+    const op = spec.after.length > 0 ? PEER_OPS.submitWithDependencies : PEER_OPS.submit;
     let answer: SubmitAnswer;
     try {
-      const deputy = this.deputy.mayAccept(spec);
-      answer = await this.owners
-        .ask<SubmitAnswer>(shard, op, { spec }, (s) => s.submit(spec), !deputy)
+      const deputy = this.ownerlessAdmission.mayAccept(spec);
+      answer = await this.ownerClient
+        .request<SubmitAnswer>(shard, op, { spec }, (s) => s.submit(spec), !deputy)
         .catch((error) => {
-          if (!deputy || !(error instanceof OwnerAway)) throw error;
-          return this.acceptFor(shard, op, spec);
+          if (!deputy || !(error instanceof OwnerUnavailableError)) throw error;
+          return this.acceptWithoutOwner(shard, op, spec);
         });
     } catch (error) {
       // What was accepted before is known without its owner; only a new job has to wait for it.
-      const stored = error instanceof Unavailable ? await this.stored(spec.id) : null;
+      const stored = error instanceof UnavailableError ? await this.statusFromStore(spec.id) : null;
       if (!stored) throw error;
       return { kind: 'known', status: stored.status };
     }
@@ -129,19 +138,19 @@
   }
 
   /** Accepts a job whose owner is away; an owner that only this node cannot reach hears of it by a stored request. */
-  private async acceptFor(shard: number, op: string, spec: JobSpec): Promise<SubmitAnswer> {
+  private async acceptWithoutOwner(shard: number, op: string, spec: JobSpec): Promise<SubmitAnswer> {
     for (const id of spec.after) {
       const entry = await this.locate(id);
       if (!entry) return { kind: 'never', needs: id };
       // It has to be cancelled together with its acceptance.
-      if (entry.final === 'cancelled') throw new Unavailable('no owner at present');
+      if (entry.final === 'cancelled') throw new UnavailableError('no owner at present');
     }
-    const answer = await this.deputy.accept(shard, spec);
+    const answer = await this.ownerlessAdmission.accept(shard, spec);
     if (answer.kind === 'known' && answer.status === 'queued')
-      throw new Unavailable('known, but not how it stands');
+      throw new UnavailableError('known, but not how it stands');
     const owner = this.members.owner(shard);
-    if (answer.kind === 'accepted' && owner && owner.node !== this.world.settings.node)
-      void this.owners.askByStore(shard, owner.run, op, { spec }).catch(() => undefined);
+    if (answer.kind === 'accepted' && owner && owner.node !== this.context.settings.node)
+      void this.ownerClient.requestThroughStore(shard, owner.run, op, { spec }).catch(() => undefined);
     return answer;
   }
 
@@ -153,17 +162,17 @@
     }
     let answer: StatusAnswer | null;
     try {
-      answer = await this.owners.ask(entry.shard, PEER_OPS.status, { id }, (s) => s.status(id));
+      answer = await this.ownerClient.request(entry.shard, PEER_OPS.status, { id }, (s) => s.status(id));
     } catch (error) {
-      const stored = error instanceof Unavailable ? await this.stored(id) : null;
+      const stored = error instanceof UnavailableError ? await this.statusFromStore(id) : null;
       if (!stored) throw error;
       return stored;
     }
     if (!answer) {
       // Over, and the owner has forgotten it; or the owner cannot read all of it: the state service knows.
       this.routes.delete(id);
-      const stored = await this.stored(id);
-      if (!stored) throw new Unavailable('between two owners');
+      const stored = await this.statusFromStore(id);
+      if (!stored) throw new UnavailableError('between two owners');
       return stored;
     }
     if (answer.status === 'done' || answer.status === 'cancelled') {
@@ -177,17 +186,19 @@
    * them does not answer, nothing is told.
    */
   async list(under: string, after: string): Promise<{ jobs: ListedJob[]; more: boolean }> {
-    const shards = Array.from({ length: this.world.settings.nodes }, (_, i) => i);
-    const args = { under, after, most: LISTED };
+    const shards = Array.from({ length: this.context.settings.nodes }, (_, i) => i);
+    const args = { under, after, most: LIST_PAGE_SIZE };
     const parts = await Promise.all(
       shards.map((shard) =>
-        this.owners.ask<ListedJob[]>(shard, PEER_OPS.list, args, async (s) => s.list(under, after, LISTED)),
+        this.ownerClient.request<ListedJob[]>(shard, PEER_OPS.list, args, async (s) =>
+          s.list(under, after, LIST_PAGE_SIZE),
+        ),
       ),
     );
     const jobs = parts.flat().sort((a, b) => (a.id < b.id ? -1 : 1));
     return {
-      jobs: jobs.slice(0, LISTED),
-      more: jobs.length > LISTED || parts.some((p) => p.length === LISTED),
+      jobs: jobs.slice(0, LIST_PAGE_SIZE),
+      more: jobs.length > LIST_PAGE_SIZE || parts.some((p) => p.length === LIST_PAGE_SIZE),
     };
   }
 
@@ -195,11 +206,11 @@
     const entry = await this.locate(id);
     if (!entry) return null;
     if (entry.final) return entry.final;
-    const answer = await this.owners.ask(entry.shard, PEER_OPS.cancel, { id }, (s) => s.cancel(id));
+    const answer = await this.ownerClient.request(entry.shard, PEER_OPS.cancel, { id }, (s) => s.cancel(id));
     if (answer === null) {
       this.routes.delete(id);
       const again = await this.locate(id);
-      if (!again?.final) throw new Unavailable('between two owners');
+      if (!again?.final) throw new UnavailableError('between two owners');
       return again.final;
     }
     this.remember(id, { shard: entry.shard, final: answer, tasks: entry.tasks });
--- a/src/emulator/reporter.ts
+++ b/src/emulator/reporter.ts
@@ -99,7 +99,7 @@
     const report = this.worker.report();
     if (delayMs > 0) await pause(this.clock, delayMs);
     if (unreached()) throw new Error('cut off');
-    const reply = await this.http.request(addr, 'POST', WORKER_PATHS.report, report, ANSWER_MS);
+    const reply = await this.http.request(addr, 'POST', WORKER_PATHS.heartbeat, report, ANSWER_MS);
     if (delayMs > 0) await pause(this.clock, delayMs);
     if (unreached()) throw new Error('cut off');
     this.links.answered(report, reply.body);
--- a/src/emulator/worker.ts
+++ b/src/emulator/worker.ts
@@ -1,18 +1,18 @@
 import type { Clock } from '../clock/clock.js';
 import {
   type ExitCause,
-  type Order,
-  readOrders,
-  type TaskReport,
+  readCommands,
   type TaskState,
+  type TaskStatus,
   taskName,
   WORKER_PATHS,
-  writeReport,
+  type WorkerCommand,
+  writeHeartbeat,
 } from '../wire/workers.js';
 import type { Served } from './state.js';
 
 /** One attempt of a task, as its worker has it. */
-export interface Attempt extends TaskReport {
+export interface Attempt extends TaskStatus {
   /** The task's name, as in `wk-000412/3`. */
   task: string;
 }
@@ -64,23 +64,23 @@
   report(): object {
     this.checkLease();
     const { id, addr, type, zone, spot } = this.place;
-    return writeReport({
+    return writeHeartbeat({
       machine: id,
       addr,
       type,
       zone,
       spot,
-      session: this.session,
-      seq: ++this.seq,
-      token: this.token,
-      noticeS: this.noticeS,
+      incarnation: this.session,
+      sequence: ++this.seq,
+      fencingToken: this.token,
+      reclaimInS: this.noticeS,
       tasks: this.attempts,
     });
   }
 
   /** Takes the answer to a report that was sent at `sent` in a session. */
   answer(body: unknown, sent: number, session = this.session): void {
-    const told = readOrders(body);
+    const told = readCommands(body);
     if (!told || (told.token ?? 0) < this.token || session !== this.session) return;
     this.see(told.token ?? this.token);
     this.lastSent = Math.max(this.lastSent, sent);
@@ -88,8 +88,8 @@
   }
 
   serve(_method: string, path: string, body: unknown): Served {
-    if (path === WORKER_PATHS.show) return { status: 200, body: this.report() };
-    const told = readOrders(body);
+    if (path === WORKER_PATHS.status) return { status: 200, body: this.report() };
+    const told = readCommands(body);
     if (!told || told.token === null || told.session === null) return { status: 400, body: {} };
     this.checkLease();
     if (told.token < this.token || told.session !== this.session) return { status: 409, body: this.report() };
@@ -151,7 +151,7 @@
     this.token = token;
   }
 
-  private execute(o: Order): void {
+  private execute(o: WorkerCommand): void {
     const task = taskName(o.job, o.index);
     const known = this.attempts.find((a) => a.task === task && a.attempt === o.attempt);
     if (o.op === 'start' && !known) {
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -9,7 +9,7 @@
 }
 
 /** `sent` is false only when the other side surely never gets the request. */
-export class HttpFailure extends Error {
+export class HttpRequestError extends Error {
   constructor(
     message: string,
     readonly sent: boolean,
@@ -89,7 +89,7 @@
       let over = false;
       const socket = this.take(addr);
       if (!socket) {
-        reject(new HttpFailure('no socket free', false));
+        reject(new HttpRequestError('no socket free', false));
         return;
       }
       const parser = new MessageParser('response', {
@@ -114,7 +114,7 @@
         finish();
       };
       const fail = (why: string) =>
-        end(false, () => reject(new HttpFailure(`${method} ${path}: ${why}`, sent)));
+        end(false, () => reject(new HttpRequestError(`${method} ${path}: ${why}`, sent)));
       const take = (m: Message) => {
         let parsed: unknown = null;
         try {
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -3,7 +3,7 @@
 import type { Amounts } from '../plan/capacityprofile.js';
 import type { Match } from '../plan/model.js';
 import type { JobSpec, JobStatus } from '../wire/users.js';
-import type { Held } from '../workers/machine.js';
+import type { TaskAttempt } from '../workers/machine.js';
 import { TaskSet } from './taskset.js';
 
 /** An accepted job as its owner holds it. */
@@ -20,47 +20,47 @@
   acceptedWall: number;
   deadlineWall: number;
   /** Accepted under the present ownership, so that no task of it can be anywhere unseen. */
-  fresh: boolean;
+  acceptedUnderThisTerm: boolean;
   /** Tasks known to be done; `stored` counts those that the state service knows of. */
   done: TaskSet;
-  stored: number;
+  storedCount: number;
   /** Tasks that are, or may be, on a machine. */
-  places: Map<number, Held>;
+  placements: Map<number, TaskAttempt>;
   /** Further attempts of tasks that have a place already; they are being stopped. */
-  doubles: Set<Held>;
+  duplicateAttempts: Set<TaskAttempt>;
   /** Completed attempts that their machines may forget once the completion is stored. */
-  unsettled: Held[];
+  unacknowledgedExits: TaskAttempt[];
   /** Versions of its chunks of done tasks, by their names in the state service. */
   chunkVersions: Map<string, number>;
   dirtyChunks: Set<string>;
   /** Where the rest of its description is stored, when that is too long for one value. */
   partsUnder: string | null;
   /** Jobs that are not known to be done yet and have to be before any task of this one starts. */
-  waitsFor: Set<string>;
+  pendingDependencies: Set<string>;
   /** A job that it needs was cancelled: it is cancelled as well, as soon as that can be stored. */
-  doomed: boolean;
+  cancelledByDependency: boolean;
   /** Its user has asked to cancel it: nothing of it is wanted any more, and its end is stored as soon as that can be. */
-  unwanted: boolean;
+  cancelRequested: boolean;
   /** A write of its end was sent and may have been made: others may have read it there, and told its user. */
-  ending: boolean;
+  endWriteSent: boolean;
   /** Priority and deadline, its own or those of the most urgent job that needs it. */
   priority: number;
   /** A task of it has run under this owner: told once. */
-  begun: boolean;
+  hasStarted: boolean;
   /** Goes with more urgent work for now, since its last aim is near; it stops nothing. */
   aged: boolean;
   /** Of one that has aged, only its first task goes before: it has not begun, and there is no room for more of it before urgent work. */
-  agedFirst: boolean;
+  onlyFirstTaskAged: boolean;
   dueWall: number;
   version: number;
   state: 'active' | 'done' | 'cancelled';
-  writing: boolean;
+  storing: boolean;
   /** Completed tasks are stored from then on, unless they are the last ones. */
   storeAfter: number;
   /** Rounds of retries that have failed while it is under suspicion. */
   failures: number;
   /** It fails on every machine: submitted with a mistake, as it seems. */
-  suspect: boolean;
+  quarantined: boolean;
   failedOn: Set<string>;
   notBefore: number;
   attempt: number;
@@ -91,7 +91,7 @@
 
 export function jobStatus(job: Job): { status: JobStatus; done: number; running: number } {
   let running = 0;
-  for (const h of job.places.values()) if (h.state === 'running' || h.state === 'saving') running++;
+  for (const h of job.placements.values()) if (h.state === 'running' || h.state === 'saving') running++;
   const status = job.state === 'active' ? (running > 0 ? 'running' : 'queued') : job.state;
   return { status, done: job.done.count, running };
 }
@@ -112,30 +112,30 @@
     match: names.match,
     acceptedWall: record.accepted,
     deadlineWall: record.deadline,
-    fresh: record.fresh,
+    acceptedUnderThisTerm: record.fresh,
     done: new TaskSet(spec.tasks),
-    stored: 0,
-    places: new Map(),
-    doubles: new Set(),
-    unsettled: [],
+    storedCount: 0,
+    placements: new Map(),
+    duplicateAttempts: new Set(),
+    unacknowledgedExits: [],
     chunkVersions: new Map(),
     dirtyChunks: new Set(),
     partsUnder: null,
-    waitsFor: new Set(),
-    doomed: false,
-    unwanted: false,
-    ending: false,
+    pendingDependencies: new Set(),
+    cancelledByDependency: false,
+    cancelRequested: false,
+    endWriteSent: false,
     priority: spec.priority,
-    begun: false,
+    hasStarted: false,
     aged: false,
-    agedFirst: false,
+    onlyFirstTaskAged: false,
     dueWall: record.deadline,
     version: record.version,
     state: 'active',
-    writing: false,
+    storing: false,
     storeAfter: 0,
     failures: 0,
-    suspect: false,
+    quarantined: false,
     failedOn: new Set(),
     notBefore: 0,
     attempt: 0,
@@ -143,22 +143,22 @@
 }
 
 /** Numbers of tasks that are neither done nor anywhere, up to `most`. */
-export function openTasks(job: Job, most: number): number[] {
+export function unplacedTasks(job: Job, most: number): number[] {
   const out: number[] = [];
   for (let i = 0; i < job.spec.tasks && out.length < most; i++) {
-    if (!job.done.has(i) && !job.places.has(i)) out.push(i);
+    if (!job.done.has(i) && !job.placements.has(i)) out.push(i);
   }
   return out;
 }
 
-export function openCount(job: Job): number {
+export function unplacedCount(job: Job): number {
   let placed = 0;
-  for (const i of job.places.keys()) if (!job.done.has(i)) placed++;
+  for (const i of job.placements.keys()) if (!job.done.has(i)) placed++;
   return job.spec.tasks - job.done.count - placed;
 }
 
 /** A team that is guaranteed nothing and may use as much as there is. */
-export function isGuest(team: { cpus: number; gpus: number; cpusMax: number; gpusMax: number }): boolean {
+export function hasNoQuota(team: { cpus: number; gpus: number; cpusMax: number; gpusMax: number }): boolean {
   return team.cpus <= 0 && team.gpus <= 0 && team.cpusMax <= 0 && team.gpusMax <= 0;
 }
 
@@ -178,7 +178,7 @@
     const team = teams[job.team];
     const sum = used[job.team];
     // A job that fails everywhere holds no guarantee that others wait for.
-    if (!team || !sum || job.suspect) continue;
+    if (!team || !sum || job.quarantined) continue;
     // A team with a guarantee of GPUs alone counts GPUs alone, for work that needs them.
     const measured = team.cpus > 0 || (team.gpus > 0 && job.need.gpus > 0);
     const fits = () => (team.cpus <= 0 || sum.cpus <= team.cpus) && (team.gpus <= 0 || sum.gpus <= team.gpus);
@@ -197,11 +197,11 @@
  * In which zones further tasks of a job may start beside those on machines, and how many in each; null when that is any number
  * anywhere. `zones` are those that it may use at all, the best first.
  */
-export function zoneRoom(job: Job, zones: readonly number[]): [zone: number, tasks: number][] | null {
+export function zoneCapacity(job: Job, zones: readonly number[]): [zone: number, tasks: number][] | null {
   const { oneZone, spread, tasks } = job.spec;
   if (!oneZone && !spread) return null;
   const held = new Map<number, number>();
-  for (const h of job.places.values()) held.set(h.machine.zone, (held.get(h.machine.zone) ?? 0) + 1);
+  for (const h of job.placements.values()) held.set(h.machine.zone, (held.get(h.machine.zone) ?? 0) + 1);
   if (oneZone && !spread && held.size === 0) return null;
   const most = spread ? Math.ceil(tasks / 2) : tasks;
   const allowed = oneZone ? (held.size > 0 ? [...held.keys()] : zones.slice(0, 1)) : zones;
@@ -209,6 +209,6 @@
 }
 
 /** The priority of a job's tasks, without the one that goes before more urgent work since the job has not begun in time. */
-export function restPriority(job: Job): number {
-  return job.aged && job.agedFirst ? job.spec.priority : job.priority;
+export function remainingTasksPriority(job: Job): number {
+  return job.aged && job.onlyFirstTaskAged ? job.spec.priority : job.priority;
 }
--- a/src/jobs/jobstatus.ts
+++ b/src/jobs/jobstatus.ts
@@ -1,12 +1,12 @@
-import { StateFailure, type StateStore } from '../state/statestore.js';
+import { type StateStore, StateStoreError } from '../state/statestore.js';
 import type { JobEntry } from './job.js';
 import { findJob, readParts } from './records.js';
 
 /** So many jobs are read for one answer; of what needs more nothing is said for now. */
-const READ_MOST = 24;
+const MAX_JOBS_READ = 24;
 
 /** Whether an unfinished job names others, as far as its record says without reading more. */
-export function waits(entry: JobEntry): boolean {
+export function hasDependencies(entry: JobEntry): boolean {
   return entry.partsUnder !== undefined || (entry.after?.length ?? 0) > 0;
 }
 
@@ -15,16 +15,16 @@
  * or through others, is cancelled will be cancelled as well, but is not yet: of such a job, and where too much would have
  * to be read, the answer is `unsure`.
  */
-export async function standing(
-  store: Pick<StateStore, 'look' | 'list'>,
+export async function jobStatusFromStore(
+  store: Pick<StateStore, 'getCoalesced' | 'list'>,
   id: string,
 ): Promise<'active' | 'done' | 'cancelled' | 'unsure'> {
   const seen = new Set([id]);
   const queue = [id];
   for (let at = queue.shift(); at !== undefined; at = queue.shift()) {
-    if (seen.size > READ_MOST) return 'unsure';
-    const entry = await findJob((key) => store.look(key), at);
-    if (!entry) throw new StateFailure(`no record of ${at}`, false);
+    if (seen.size > MAX_JOBS_READ) return 'unsure';
+    const entry = await findJob((key) => store.getCoalesced(key), at);
+    if (!entry) throw new StateStoreError(`no record of ${at}`, false);
     if (at === id && entry.final) return entry.final;
     if (entry.final === 'cancelled') return 'unsure';
     let after = entry.after ?? [];
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
 import { KEYS } from '../schema/schema.js';
-import { StateFailure, type StateStore, type TxnResult } from '../state/statestore.js';
+import { type CompareAndSwapResult, type StateStore, StateStoreError } from '../state/statestore.js';
 import type { Condition, Entry, Write } from '../wire/state.js';
 import type { JobSpec } from '../wire/users.js';
 import type { Job, JobEntry, JobRecord } from './job.js';
@@ -68,9 +68,9 @@
 }
 
 /** The shard is no longer this node's. */
-export class NotOwner extends Error {}
+export class NotOwnerError extends Error {}
 
-export type Accepted =
+export type AcceptResult =
   | { kind: 'accepted'; version: number; partsUnder: string | null }
   | { kind: 'known'; entry: JobEntry };
 
@@ -107,13 +107,13 @@
     this.formerPerChunk = chunkTasks(limits.layoutKb);
   }
 
-  private get owned(): Condition {
+  private get ownerCondition(): Condition {
     return { key: KEYS.owner(this.shard), version: this.term };
   }
 
-  private async write(when: Condition[], writes: Write[]): Promise<TxnResult> {
-    const result = await this.store.txn([this.owned, ...when], writes);
-    if (!result.ok && result.failed.includes(this.owned.key)) throw new NotOwner();
+  private async write(when: Condition[], writes: Write[]): Promise<CompareAndSwapResult> {
+    const result = await this.store.compareAndSwap([this.ownerCondition, ...when], writes);
+    if (!result.ok && result.failed.includes(this.ownerCondition.key)) throw new NotOwnerError();
     if (result.ok) this.changed();
     return result;
   }
@@ -127,19 +127,19 @@
    * Stores a job that is accepted. It is one change, since a swarm of small jobs needs as many acceptances a second as
    * the state service takes changes; that nobody else has accepted it, or it is over, are conditions.
    */
-  async accept(record: JobRecord, tag: string): Promise<Accepted> {
+  async accept(record: JobRecord, tag: string): Promise<AcceptResult> {
     const id = record.spec.id;
     const key = KEYS.activeJob(id);
     let value: object = { ...record, shard: this.shard, tag };
     let partsUnder: string | null = null;
     if (jsonBytes(value) > valueBytes(this.limits.valueKb)) {
       if (this.allRead()) {
-        partsUnder = KEYS.parts(id, tag);
+        partsUnder = KEYS.specParts(id, tag);
         const parts = await this.storeParts(record.spec, tag);
         value = { accepted: record.accepted, deadline: record.deadline, shard: this.shard, tag, parts };
       } else if (jsonBytes(value) > valueBytes(this.limits.layoutKb)) {
         // Once all nodes run this version it is stored in parts.
-        throw new StateFailure(`the description of ${id} is too long for now`, false);
+        throw new StateStoreError(`the description of ${id} is too long for now`, false);
       }
     }
     try {
@@ -153,13 +153,13 @@
       if (result.ok) return { kind: 'accepted', version: result.revision, partsUnder };
     } catch (error) {
       // Nobody knows whether a write without an answer was made: only reading it back tells.
-      if (!(error instanceof StateFailure) || !error.maybe) throw error;
+      if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
     }
     const stored = await this.store.get(key);
     if (stored && readActive(stored.value)?.tag === tag)
       return { kind: 'accepted', version: stored.version, partsUnder };
     const entry = await this.entry(id);
-    if (!entry) throw new StateFailure(`acceptance of ${id} is not decided`, true);
+    if (!entry) throw new StateStoreError(`acceptance of ${id} is not decided`, true);
     if (partsUnder !== null) void this.sweepParts(partsUnder);
     return { kind: 'known', entry };
   }
@@ -171,7 +171,7 @@
     const writes: Write[] = [];
     for (let from = 0; from < bytes.length; from += per) {
       const value = bytes.subarray(from, from + per).toString('base64');
-      writes.push({ put: KEYS.part(spec.id, tag, writes.length), value });
+      writes.push({ put: KEYS.specPart(spec.id, tag, writes.length), value });
     }
     const together = Math.max(1, Math.min(this.limits.txnOps, Math.floor(TXN_BYTES / (per * 1.4))));
     for (let i = 0; i < writes.length; i += together) await this.write([], writes.slice(i, i + together));
@@ -199,12 +199,12 @@
       job.done.load(c.from ?? Number(c.name) * this.formerPerChunk, c.bits);
       job.chunkVersions.set(c.name, c.version);
     }
-    job.stored = job.done.count;
+    job.storedCount = job.done.count;
     // What is in the former layout is stored in the one that the record states, as soon as everybody reads that: the
     // former one is readable only as long as the state service's limit in the settings stays.
     if (!this.allRead() || !this.former(job).length) return;
     for (let i = 0; i < job.spec.tasks; i++) if (job.done.has(i)) job.dirtyChunks.add(this.chunkOf(job, i));
-    job.stored = 0;
+    job.storedCount = 0;
   }
 
   private former(job: Job): string[] {
@@ -230,7 +230,7 @@
     const chunks = [...job.dirtyChunks].slice(0, Math.max(1, this.limits.txnOps));
     const count = job.done.count;
     for (const n of chunks) job.dirtyChunks.delete(n);
-    const keys = chunks.map((n) => KEYS.chunk(job.spec.id, n));
+    const keys = chunks.map((n) => KEYS.completionChunk(job.spec.id, n));
     try {
       const result = await this.write(
         [
@@ -243,7 +243,7 @@
       if (result.ok) {
         for (const n of chunks) job.chunkVersions.set(n, result.revision);
         if (job.dirtyChunks.size === 0) {
-          job.stored = count;
+          job.storedCount = count;
           await this.dropFormer(job);
         }
         return true;
@@ -251,7 +251,7 @@
       await this.refreshVersions(job, chunks);
     } catch (error) {
       for (const n of chunks) job.dirtyChunks.add(n);
-      if (error instanceof StateFailure && error.maybe) await this.refreshVersions(job, chunks);
+      if (error instanceof StateStoreError && error.mayHaveApplied) await this.refreshVersions(job, chunks);
       else throw error;
     }
     for (const n of chunks) job.dirtyChunks.add(n);
@@ -269,14 +269,14 @@
     const part = former.slice(0, this.limits.txnOps);
     const result = await this.write(
       [],
-      part.map((name) => ({ delete: KEYS.chunk(job.spec.id, name) })),
+      part.map((name) => ({ delete: KEYS.completionChunk(job.spec.id, name) })),
     );
     if (result.ok) for (const name of part) job.chunkVersions.delete(name);
   }
 
   private async refreshVersions(job: Job, chunks: string[]): Promise<void> {
     for (const n of chunks) {
-      const stored = await this.store.get(KEYS.chunk(job.spec.id, n));
+      const stored = await this.store.get(KEYS.completionChunk(job.spec.id, n));
       if (stored) job.chunkVersions.set(n, stored.version);
     }
   }
@@ -288,14 +288,16 @@
   async finish(job: Job, final: 'done' | 'cancelled'): Promise<'done' | 'cancelled'> {
     const id = job.spec.id;
     const entry: JobEntry = { shard: this.shard, final, tasks: job.spec.tasks };
-    const drops: Write[] = [...job.chunkVersions.keys()].map((n) => ({ delete: KEYS.chunk(id, n) }));
+    const drops: Write[] = [...job.chunkVersions.keys()].map((n) => ({
+      delete: KEYS.completionChunk(id, n),
+    }));
     const writes: Write[] = [{ put: KEYS.job(id), value: entry }, { delete: KEYS.activeJob(id) }, ...drops];
     const sweep = () => {
       if (writes.length > this.limits.txnOps) void this.sweep(writes.slice(this.limits.txnOps));
       if (job.partsUnder !== null) void this.sweepParts(job.partsUnder);
     };
-    const undecided = job.ending;
-    job.ending = true;
+    const undecided = job.endWriteSent;
+    job.endWriteSent = true;
     try {
       // Condition on the active record: a late copy of this write finds it gone.
       const result = await this.write(
@@ -307,14 +309,14 @@
         return final;
       }
     } catch (error) {
-      if (!(error instanceof StateFailure) || !error.maybe) {
-        job.ending = undecided;
+      if (!(error instanceof StateStoreError) || !error.mayHaveApplied) {
+        job.endWriteSent = undecided;
         throw error;
       }
     }
     const stored = await this.store.get(KEYS.job(id));
     const known = stored && readJobEntry(stored.value);
-    if (!known?.final) throw new StateFailure(`end of ${id} is not decided`, true);
+    if (!known?.final) throw new StateStoreError(`end of ${id} is not decided`, true);
     sweep();
     return known.final;
   }
@@ -323,9 +325,10 @@
   private async sweep(drops: Write[]): Promise<void> {
     const per = Math.max(1, this.limits.txnOps);
     try {
-      for (let i = 0; i < drops.length; i += per) await this.store.txn([], drops.slice(i, i + per));
+      for (let i = 0; i < drops.length; i += per)
+        await this.store.compareAndSwap([], drops.slice(i, i + per));
     } catch (error) {
-      if (!(error instanceof StateFailure)) throw error;
+      if (!(error instanceof StateStoreError)) throw error;
     }
   }
 
@@ -334,7 +337,7 @@
       const { entries } = await this.store.list(under);
       await this.sweep(entries.map((e) => ({ delete: e.key })));
     } catch (error) {
-      if (!(error instanceof StateFailure)) throw error;
+      if (!(error instanceof StateStoreError)) throw error;
     }
   }
 
@@ -375,7 +378,7 @@
   const active = await read(KEYS.activeJob(id));
   const found = active && readActive(active.value);
   if (found) {
-    if (found.parts !== undefined) return { shard: found.shard, partsUnder: KEYS.parts(id, found.tag) };
+    if (found.parts !== undefined) return { shard: found.shard, partsUnder: KEYS.specParts(id, found.tag) };
     return { shard: found.shard, after: found.spec?.after ?? [] };
   }
   const ended = await read(KEYS.job(id));
@@ -398,7 +401,7 @@
   const parted = v.safeParse(partedValue, e.value);
   if (!parted.success) return null;
   const { accepted, deadline, tag, parts } = parted.output;
-  const partsUnder = KEYS.parts(id, tag);
+  const partsUnder = KEYS.specParts(id, tag);
   const spec = await readParts(store, partsUnder, parts);
   return spec && { record: { spec, accepted, deadline }, version: e.version, chunks: [], partsUnder };
 }
--- a/src/load/lone.ts
+++ b/src/load/lone.ts
@@ -4,7 +4,7 @@
 import { pause, systemClock } from '../clock/clock.js';
 import type { HollowOptions } from '../emulator/hollow.js';
 import { HttpServer } from '../http/server.js';
-import { readReport, type TaskReport, writeOrders } from '../wire/workers.js';
+import { readHeartbeat, type TaskStatus, writeHeartbeatResponse } from '../wire/workers.js';
 import { coresBetween, processUse, residentMb } from './processes.js';
 
 /** What control costs one worker, above an empty process of the same kind. */
@@ -122,7 +122,7 @@
   }
 
   answer(body: Buffer): { status: number; body: object } {
-    const report = readReport(JSON.parse(body.toString('utf8')));
+    const report = readHeartbeat(JSON.parse(body.toString('utf8')));
     if (!report) return { status: 400, body: {} };
     const due = Math.floor((systemClock.now() - this.startedAt) / this.gapMs) - this.made;
     const starts = Array.from({ length: Math.max(0, due) }, () => ({
@@ -134,13 +134,13 @@
     const running = report.tasks.filter((t) => t.state !== 'exited');
     const ended = report.tasks.filter((t) => t.state === 'exited');
     const over = running.slice(0, Math.max(0, running.length + starts.length - this.tasks));
-    const named = ({ job, index, attempt }: TaskReport) => ({ job, index, attempt });
+    const named = ({ job, index, attempt }: TaskStatus) => ({ job, index, attempt });
     const orders = [
       ...over.map((t) => ({ op: 'stop' as const, ...named(t), graceS: 0 })),
       ...ended.map((t) => ({ op: 'forget' as const, ...named(t) })),
       ...starts,
     ];
-    return { status: 200, body: writeOrders(1, orders) };
+    return { status: 200, body: writeHeartbeatResponse(1, orders) };
   }
 }
 
--- a/src/modelcheck/standbylease.ts
+++ b/src/modelcheck/standbylease.ts
@@ -1,5 +1,5 @@
 import { DRIFT } from '../clock/clock.js';
-import type { Pledge, Vigil } from '../standby/standbylease.js';
+import type { OwnerLease, ReplicaState } from '../standby/standbylease.js';
 import * as promise from '../standby/standbylease.js';
 import * as checks from '../standby/takeoverchecks.js';
 import * as machine from '../workers/machine.js';
@@ -8,11 +8,22 @@
 /** The transitions that are looked at: those of production, or with one of them broken. */
 export type Transitions = Pick<
   typeof promise,
-  'sending' | 'acknowledged' | 'struckOff' | 'mayAct' | 'answering' | 'releasing' | 'mayClaim' | 'claiming'
+  | 'onSend'
+  | 'onAcknowledged'
+  | 'onEvicted'
+  | 'leaseCovers'
+  | 'onMessage'
+  | 'onRelease'
+  | 'mayClaim'
+  | 'onClaim'
 > &
-  Pick<typeof checks, 'surelyNowhere'> &
-  Pick<typeof machine, 'weigh'>;
-export const PRODUCTION: Transitions = { ...promise, ...checks, weigh: machine.weigh };
+  Pick<typeof checks, 'surelyNotRunning'> &
+  Pick<typeof machine, 'classifyHeartbeat'>;
+export const PRODUCTION: Transitions = {
+  ...promise,
+  ...checks,
+  classifyHeartbeat: machine.classifyHeartbeat,
+};
 
 export interface Bounds {
   /** Steps of time, each a quarter of the promise. */
@@ -57,7 +68,7 @@
   token: true,
 };
 
-const TICK_MS = promise.PROMISE_MS / 4;
+const TICK_MS = promise.STANDBY_LEASE_MS / 4;
 const TERM = 1;
 
 type Message =
@@ -69,12 +80,12 @@
 
 export interface State {
   t: number;
-  pledge: Pledge;
+  ownerLease: OwnerLease;
   /** Revision under which the owner has named its standby; 0: it has none. */
   named: number;
   /** The owner acts no more, for good. */
   stopped: boolean;
-  vigil: Vigil | null;
+  replicaState: ReplicaState | null;
   run: number;
   namedRun: number;
   /** The mark that ends the snapshot has been sent to the standby that is named. */
@@ -112,7 +123,7 @@
 export function promiseModel(f: Transitions, b: Bounds): Model<State> {
   const ownerClock = (s: State) => s.t * TICK_MS * (1 - DRIFT);
   const standbyClock = (s: State) => s.t * TICK_MS * (1 + DRIFT);
-  const acts = (s: State) => !s.stopped && f.mayAct(s.pledge, ownerClock(s));
+  const acts = (s: State) => !s.stopped && f.leaseCovers(s.ownerLease, ownerClock(s));
   const copy = (s: State, change: Partial<State>): State => ({
     ...s,
     net: [...s.net],
@@ -128,7 +139,7 @@
     return s;
   };
   const struck = (s: State, revision: number) => {
-    s.pledge = f.struckOff(s.pledge, revision);
+    s.ownerLease = f.onEvicted(s.ownerLease, revision);
     if (s.named === revision) s.named = 0;
   };
 
@@ -142,7 +153,7 @@
           s,
           b.guards.fresh
             ? { stopped: true, own: 'nobody', stand: 0 }
-            : { pledge: promise.UNBOUND, named: 0, announcedOk: false },
+            : { ownerLease: promise.NO_STANDBY, named: 0, announcedOk: false },
         ),
       };
     if (s.named === 0 && s.own === 'owner' && s.revisions < b.namings) {
@@ -162,16 +173,16 @@
     }
     if (s.named > 0) {
       const ask = { kind: 'ask' as const, revision: s.named, run: s.namedRun, sentAt: now };
-      const pledge = f.sending(s.pledge, s.named, now);
+      const ownerLease = f.onSend(s.ownerLease, s.named, now);
       const started = s.order !== 'none';
       if (b.task && !s.complete)
         yield {
           what: 'owner asks, with a piece of the snapshot',
-          state: send(copy(s, { pledge }), { ...ask, complete: false, started: false }),
+          state: send(copy(s, { ownerLease }), { ...ask, complete: false, started: false }),
         };
       yield {
         what: 'owner asks',
-        state: send(copy(s, { pledge, complete: true }), { ...ask, complete: true, started }),
+        state: send(copy(s, { ownerLease, complete: true }), { ...ask, complete: true, started }),
       };
       if (s.writes.length < b.writes)
         yield { what: 'owner strikes off', state: write(copy(s, {}), { kind: 'strike', revision: s.named }) };
@@ -187,7 +198,7 @@
     }
     if (b.task && s.order === 'none' && acts(s))
       yield { what: 'owner announces', state: copy(s, { order: 'announced' }) };
-    const free = !s.complete || (s.pledge.bound === null && s.named === 0);
+    const free = !s.complete || (s.ownerLease.boundRevision === null && s.named === 0);
     if (s.order === 'announced' && acts(s) && (free || s.announcedOk || !b.guards.announced))
       yield { what: 'owner sends the order', state: copy(s, { order: 'sent' }) };
   }
@@ -196,21 +207,28 @@
     if (s.run < b.runs)
       yield {
         what: 'standby starts anew',
-        state: copy(s, { run: s.run + 1, vigil: null, level: false, knows: false }),
+        state: copy(s, { run: s.run + 1, replicaState: null, level: false, knows: false }),
       };
-    const { vigil } = s;
-    if (vigil && (vigil.claimed || f.mayClaim(vigil, standbyClock(s))) && s.writes.length < b.writes)
+    const { replicaState } = s;
+    if (
+      replicaState &&
+      (replicaState.claimed || f.mayClaim(replicaState, standbyClock(s))) &&
+      s.writes.length < b.writes
+    )
       yield {
         what: 'standby claims',
-        state: write(copy(s, { vigil: f.claiming(vigil) }), { kind: 'claim', revision: vigil.revision }),
+        state: write(copy(s, { replicaState: f.onClaim(replicaState) }), {
+          kind: 'claim',
+          revision: replicaState.revision,
+        }),
       };
     if (!b.task || s.own !== 'standby') return;
     if (!s.tokened) yield { what: 'machine sees the new token', state: copy(s, { tokened: true }) };
     const on = new Set(s.knows ? ['m'] : []);
-    const warmth = { mayBeOn: () => (s.level ? on : null) } as unknown as Parameters<
-      Transitions['surelyNowhere']
+    const snapshot = { machinesOf: () => (s.level ? on : null) } as unknown as Parameters<
+      Transitions['surelyNotRunning']
     >[1];
-    const nowhere = f.surelyNowhere({ fresh: false, id: 'j' }, warmth, s.reached, () => !s.reached);
+    const nowhere = f.surelyNotRunning({ fresh: false, id: 'j' }, snapshot, s.reached, () => !s.reached);
     if (!s.startedAgain && nowhere && !s.seen)
       yield { what: 'standby starts the task', state: copy(s, { startedAgain: true }) };
   }
@@ -218,8 +236,12 @@
   /** A report reaches the standby as owner, now or as a copy. */
   function hear(s: State, r: State['reports'][number]): State | null {
     if (s.own !== 'standby') return null;
-    const known = { session: 1, minSession: 0, seq: s.heard, token: 2 };
-    const weight = f.weigh(known, { session: 1, seq: r.seq, token: r.tokened ? 2 : 1 });
+    const known = { incarnation: 1, minIncarnation: 0, heartbeatSequence: s.heard, fencingToken: 2 };
+    const weight = f.classifyHeartbeat(known, {
+      incarnation: 1,
+      sequence: r.seq,
+      fencingToken: r.tokened ? 2 : 1,
+    });
     if (weight === 'late' || weight === 'foreign') return null;
     if (weight === 'untokened') return copy(s, { heard: r.seq });
     return copy(s, { heard: r.seq, reached: true, seen: r.there });
@@ -241,21 +263,21 @@
   function deliver(s: State, m: Message): State | null {
     if (m.kind === 'answer') {
       if (s.stopped || s.named !== m.revision) return null;
-      const pledge = f.acknowledged(s.pledge, m.revision, m.sentAt);
-      return copy(s, { pledge, announcedOk: s.announcedOk || m.started });
+      const ownerLease = f.onAcknowledged(s.ownerLease, m.revision, m.sentAt);
+      return copy(s, { ownerLease, announcedOk: s.announcedOk || m.started });
     }
     if (m.kind === 'release') {
-      const vigil = f.releasing(s.vigil, TERM, m.revision);
-      return vigil && copy(s, { vigil });
+      const replicaState = f.onRelease(s.replicaState, TERM, m.revision);
+      return replicaState && copy(s, { replicaState });
     }
     if (b.guards.run && m.run !== s.run) return null;
-    const vigil = f.answering(s.vigil, TERM, m.revision, standbyClock(s));
-    if (!vigil) return null;
-    const fresh = s.vigil?.revision !== vigil.revision;
+    const replicaState = f.onMessage(s.replicaState, TERM, m.revision, standbyClock(s));
+    if (!replicaState) return null;
+    const fresh = s.replicaState?.revision !== replicaState.revision;
     const knows = (fresh ? false : s.knows) || m.started;
     const level = (fresh ? false : s.level) || m.complete;
     const answer: Message = { kind: 'answer', revision: m.revision, sentAt: m.sentAt, started: knows };
-    return send(copy(s, { vigil, level, knows }), answer);
+    return send(copy(s, { replicaState, level, knows }), answer);
   }
 
   function apply(s: State, w: Write): State {
@@ -267,10 +289,10 @@
   return {
     initial: {
       t: 0,
-      pledge: promise.UNBOUND,
+      ownerLease: promise.NO_STANDBY,
       named: 0,
       stopped: false,
-      vigil: null,
+      replicaState: null,
       run: 1,
       namedRun: 0,
       complete: false,
--- a/src/peer/mesh.ts
+++ b/src/peer/mesh.ts
@@ -5,15 +5,15 @@
 import { encodeFrame, FrameReader, type PeerMessage } from './frames.js';
 
 /** The other node answered that it cannot do it, or is there and does not answer in time: it is not to be asked again. */
-export class Answered extends Error {}
+export class PeerRejectedError extends Error {}
 
 export type PeerHandler = (op: string, args: unknown, from: string) => Promise<unknown> | unknown;
 
 export interface Mesh {
   /** Asks another node; fails when there is no answer in time. */
-  ask(node: string, op: string, args: unknown, timeoutMs: number): Promise<unknown>;
+  request(node: string, op: string, args: unknown, timeoutMs: number): Promise<unknown>;
   /** Tells another node, without knowing whether it hears. */
-  tell(node: string, op: string, args: unknown): void;
+  notify(node: string, op: string, args: unknown): void;
   /** Whether the connection to another node stands, as far as this side knows. */
   connected(node: string): boolean;
   /** Whether the last try to connect was refused: nobody listens there, or a packet filter says so. */
@@ -43,7 +43,7 @@
   private socket: net.Socket | null = null;
   private ready = false;
   private next = 1;
-  private heardAt = Number.NEGATIVE_INFINITY;
+  private lastReceivedAt = Number.NEGATIVE_INFINITY;
   private closed = false;
   private wasRefused = false;
   private readonly pending = new Map<number, Pending>();
@@ -56,7 +56,7 @@
     this.connect();
   }
 
-  ask(op: string, args: unknown, timeoutMs: number): Promise<unknown> {
+  request(op: string, args: unknown, timeoutMs: number): Promise<unknown> {
     return new Promise((resolve, reject) => {
       if (!this.ready) {
         reject(new Error(`${this.peer.node} is not connected`));
@@ -67,8 +67,8 @@
       const timer = this.clock.after(timeoutMs, () => {
         this.pending.delete(id);
         // A node that answers others is only slow. To ask it once more in another way would make it slower still.
-        if (this.heardAt > asked) {
-          reject(new Answered(`${this.peer.node} is busy`));
+        if (this.lastReceivedAt > asked) {
+          reject(new PeerRejectedError(`${this.peer.node} is busy`));
           return;
         }
         reject(new Error(`${this.peer.node} does not answer`));
@@ -80,7 +80,7 @@
     });
   }
 
-  tell(op: string, args: unknown): void {
+  notify(op: string, args: unknown): void {
     if (this.ready) this.write({ op, a: args });
   }
 
@@ -119,7 +119,7 @@
       this.write({ op: 'hello', a: this.self });
     });
     socket.on('data', (data) => {
-      this.heardAt = this.clock.now();
+      this.lastReceivedAt = this.clock.now();
       try {
         for (const m of reader.feed(data)) if ('r' in m) this.settle(m);
       } catch {
@@ -149,7 +149,7 @@
     if (!p) return;
     this.pending.delete(m.r);
     p.timer.cancel();
-    if (m.e !== undefined) p.reject(new Answered(m.e));
+    if (m.e !== undefined) p.reject(new PeerRejectedError(m.e));
     else p.resolve(m.a);
   }
 }
@@ -185,13 +185,13 @@
     });
   }
 
-  ask(node: string, op: string, args: unknown, timeoutMs: number): Promise<unknown> {
+  request(node: string, op: string, args: unknown, timeoutMs: number): Promise<unknown> {
     const link = this.links.get(node);
-    return link ? link.ask(op, args, timeoutMs) : Promise.reject(new Error(`unknown node ${node}`));
+    return link ? link.request(op, args, timeoutMs) : Promise.reject(new Error(`unknown node ${node}`));
   }
 
-  tell(node: string, op: string, args: unknown): void {
-    this.links.get(node)?.tell(op, args);
+  notify(node: string, op: string, args: unknown): void {
+    this.links.get(node)?.notify(op, args);
   }
 
   connected(node: string): boolean {
--- a/src/plan/capacityprofile.ts
+++ b/src/plan/capacityprofile.ts
@@ -5,7 +5,7 @@
   memoryGb: number;
 }
 
-const SLACK = 1e-6;
+const ROUNDING_TOLERANCE = 1e-6;
 /** Load counts booked time no further ahead than this, so that a service does not outweigh everything. */
 const LOAD_HORIZON_S = 3600;
 
@@ -13,14 +13,14 @@
  * Booked use of one machine, or of one team, over time, as steps of what is free: questions cost one walk along the
  * steps, whatever the number of bookings. Times are seconds on the steady clock.
  */
-export class Profile {
+export class CapacityProfile {
   /** `cpus[i]`, `gpus[i]` and `memory[i]` are free from `times[i]` until `times[i + 1]`, the last ones for good. */
   private readonly times: number[] = [Number.NEGATIVE_INFINITY];
   private readonly cpus: number[];
   private readonly gpus: number[];
   private readonly memory: number[];
-  private booked = 0;
-  private loaded = 0;
+  private reservationCount = 0;
+  private reservedLoad = 0;
 
   constructor(
     private readonly cap: Amounts,
@@ -35,28 +35,28 @@
 
   /** How many bookings there are. */
   get size(): number {
-    return this.booked;
+    return this.reservationCount;
   }
 
   /** Booked time left, weighted by the share of the machine that it takes. */
   get load(): number {
-    return this.loaded;
+    return this.reservedLoad;
   }
 
   add(start: number, end: number, need: Amounts): void {
-    this.booked++;
-    this.loaded += this.weight(start, end, need);
+    this.reservationCount++;
+    this.reservedLoad += this.weight(start, end, need);
     this.change(start, end, need, -1);
   }
 
   remove(start: number, end: number, need: Amounts): void {
-    this.booked--;
-    this.loaded -= this.weight(start, end, need);
+    this.reservationCount--;
+    this.reservedLoad -= this.weight(start, end, need);
     this.change(start, end, need, 1);
   }
 
   /** How many times `need` fits throughout [t, t + span), up to `most`. */
-  room(t: number, span: number, need: Amounts, most: number): number {
+  capacityFor(t: number, span: number, need: Amounts, most: number): number {
     const end = t + span;
     if (t < this.readyAt || end > this.until) return 0;
     let count = most;
@@ -138,17 +138,18 @@
 
   private fits(i: number, need: Amounts): boolean {
     return (
-      need.cpus <= this.cpus[i]! + SLACK &&
-      need.gpus <= this.gpus[i]! + SLACK &&
-      need.memoryGb <= this.memory[i]! + SLACK
+      need.cpus <= this.cpus[i]! + ROUNDING_TOLERANCE &&
+      need.gpus <= this.gpus[i]! + ROUNDING_TOLERANCE &&
+      need.memoryGb <= this.memory[i]! + ROUNDING_TOLERANCE
     );
   }
 
   private countAt(i: number, need: Amounts, most: number): number {
     let count = most;
-    if (need.cpus > 0) count = Math.min(count, Math.floor((this.cpus[i]! + SLACK) / need.cpus));
-    if (need.gpus > 0) count = Math.min(count, Math.floor((this.gpus[i]! + SLACK) / need.gpus));
-    if (need.memoryGb > 0) count = Math.min(count, Math.floor((this.memory[i]! + SLACK) / need.memoryGb));
+    if (need.cpus > 0) count = Math.min(count, Math.floor((this.cpus[i]! + ROUNDING_TOLERANCE) / need.cpus));
+    if (need.gpus > 0) count = Math.min(count, Math.floor((this.gpus[i]! + ROUNDING_TOLERANCE) / need.gpus));
+    if (need.memoryGb > 0)
+      count = Math.min(count, Math.floor((this.memory[i]! + ROUNDING_TOLERANCE) / need.memoryGb));
     return Math.max(0, count);
   }
 }
@@ -162,8 +163,9 @@
 /** How many times `need` fits into `free`, up to `most`. */
 export function fitCount(free: Amounts, need: Amounts, most: number): number {
   let count = most;
-  if (need.cpus > 0) count = Math.min(count, Math.floor((free.cpus + SLACK) / need.cpus));
-  if (need.gpus > 0) count = Math.min(count, Math.floor((free.gpus + SLACK) / need.gpus));
-  if (need.memoryGb > 0) count = Math.min(count, Math.floor((free.memoryGb + SLACK) / need.memoryGb));
+  if (need.cpus > 0) count = Math.min(count, Math.floor((free.cpus + ROUNDING_TOLERANCE) / need.cpus));
+  if (need.gpus > 0) count = Math.min(count, Math.floor((free.gpus + ROUNDING_TOLERANCE) / need.gpus));
+  if (need.memoryGb > 0)
+    count = Math.min(count, Math.floor((free.memoryGb + ROUNDING_TOLERANCE) / need.memoryGb));
   return Math.max(0, count);
 }
--- a/src/plan/model.ts
+++ b/src/plan/model.ts
@@ -23,13 +23,13 @@
   /** When the cloud takes it away. */
   until: number;
   /** No new work starts here for now, but what it holds is booked. */
-  closed: boolean;
+  quarantined: boolean;
   fetchGbPerS: number;
   images: ReadonlySet<number>;
-  held: HeldBooking[];
+  running: RunningReservation[];
 }
 
-export interface HeldBooking {
+export interface RunningReservation {
   team: number;
   end: number;
   need: Amounts;
@@ -52,7 +52,7 @@
   runS: number;
   deadline: number;
   /** It begins no earlier, since other jobs have to be done before. */
-  from?: number;
+  earliestStart?: number;
   /** All tasks of the job, for `spread`. */
   total: number;
   /** Unstarted tasks to be booked. */
@@ -61,7 +61,7 @@
   present: ReadonlyMap<number, number>;
 }
 
-export interface Booking {
+export interface Reservation {
   job: PlanJob;
   task: number;
   machine: number;
@@ -70,7 +70,7 @@
 }
 
 /** Where an earlier plan had a task. */
-export interface KeptPlace {
+export interface PreviousPlacement {
   machine: number;
   start: number;
 }
--- a/src/plan/plan.ts
+++ b/src/plan/plan.ts
@@ -1,12 +1,12 @@
 // This package: the plan: pure functions of machines and jobs, no I/O.
 
-import { type Amounts, fitCount, Profile } from './capacityprofile.js';
-import type { Booking, KeptPlace, PlanJob, PlanMachine, TeamCap } from './model.js';
+import { type Amounts, CapacityProfile, fitCount } from './capacityprofile.js';
+import type { PlanJob, PlanMachine, PreviousPlacement, Reservation, TeamCap } from './model.js';
 
 /** Beyond so many tasks of one job, the rest is estimated instead of booked. */
-export const BOOKED_TASKS = 256;
+export const MAX_RESERVED_TASKS = 256;
 /** A machine with so many bookings takes no more for the time being. */
-const MAX_BOOKINGS = 48;
+const MAX_RESERVATIONS = 48;
 const MAX_GANG = 4096;
 /** So many moments at which a gang might fit are looked at closely. */
 const GANG_TRIES = 16;
@@ -23,17 +23,17 @@
  * could go is worked out once per job and machine, and again only for a machine that has been booked meanwhile.
  */
 export class Plan {
-  readonly bookings: Booking[] = [];
+  readonly reservations: Reservation[] = [];
   /** Walks along a machine's or a team's steps so far: what a plan costs. */
-  looks = 0;
-  private readonly profiles: Profile[];
-  private readonly teams = new Map<number, Profile>();
+  probes = 0;
+  private readonly profiles: CapacityProfile[];
+  private readonly teams = new Map<number, CapacityProfile>();
   /** Of the job being booked: when a task could start on each machine, and how long it would take there. */
   private readonly starts: Float64Array;
   private readonly spans: Float64Array;
   private readonly all: number[];
   /** Machines with room at this moment, by what a task takes. What is booked later only takes some of it away. */
-  private readonly roomy = new Map<string, number[]>();
+  private readonly machinesWithCapacity = new Map<string, number[]>();
 
   constructor(
     private readonly now: number,
@@ -47,12 +47,12 @@
           gpus: cap.gpus > 0 ? cap.gpus : Number.POSITIVE_INFINITY,
           memoryGb: Number.POSITIVE_INFINITY,
         };
-        this.teams.set(team, new Profile(size, now, now, Number.POSITIVE_INFINITY));
+        this.teams.set(team, new CapacityProfile(size, now, now, Number.POSITIVE_INFINITY));
       }
     });
     this.profiles = machines.map((m) => {
-      const profile = new Profile(m.size, now, Math.max(now, m.readyAt), m.until);
-      for (const h of m.held) {
+      const profile = new CapacityProfile(m.size, now, Math.max(now, m.readyAt), m.until);
+      for (const h of m.running) {
         profile.add(now, h.end, h.need);
         this.teams.get(h.team)?.add(now, h.end, h.need);
       }
@@ -64,7 +64,7 @@
   }
 
   /** Counts what may be held somewhere unseen against every team's limit. */
-  reserve(need: Amounts, end: number): void {
+  reserveUnreconciled(need: Amounts, end: number): void {
     for (const team of this.teams.values()) team.add(this.now, end, need);
   }
 
@@ -72,56 +72,56 @@
    * Books all unstarted tasks of a job, each on the most loaded machine that meets the deadline, as early as possible
    * there; where none meets it, where it ends first. Returns when the last one ends, or null when one finds no place.
    */
-  book(job: PlanJob): number | null {
-    if (job.kind === 'gang') return this.bookGang(job);
-    if (!job.oneZone) return this.bookArray(job, job.zone);
+  reserve(job: PlanJob): number | null {
+    if (job.kind === 'gang') return this.reserveGang(job);
+    if (!job.oneZone) return this.reserveArray(job, job.zone);
     const held = [...job.present.keys()];
-    if (held.length > 0) return this.bookArray(job, held[0]!);
+    if (held.length > 0) return this.reserveArray(job, held[0]!);
     let best: { zone: number; finish: number } | null = null;
     for (const zone of this.zones(job)) {
-      const mark = this.bookings.length;
-      const finish = this.bookArray(job, zone);
+      const mark = this.reservations.length;
+      const finish = this.reserveArray(job, zone);
       this.undo(mark);
       if (finish !== null && (!best || finish < best.finish)) best = { zone, finish };
     }
-    return best ? this.bookArray(job, best.zone) : null;
+    return best ? this.reserveArray(job, best.zone) : null;
   }
 
   /**
    * Books a job again where an earlier plan had it, so that booked work keeps its place at little cost. Returns the tasks
    * that this leaves unbooked: for a gang all of them, when it no longer fits there as a whole or could start now.
    */
-  keep(job: PlanJob, places: ReadonlyMap<number, KeptPlace>): number[] {
+  keepReservations(job: PlanJob, places: ReadonlyMap<number, PreviousPlacement>): number[] {
     return job.kind === 'gang' ? this.keepGang(job, places) : this.keepTasks(job, places);
   }
 
-  private keepTasks(job: PlanJob, places: ReadonlyMap<number, KeptPlace>): number[] {
+  private keepTasks(job: PlanJob, places: ReadonlyMap<number, PreviousPlacement>): number[] {
     if (job.oneZone || job.spread) return job.tasks;
     const team = this.teams.get(job.team);
     const left: number[] = [];
     for (const task of job.tasks) {
       const p = places.get(task);
-      if (!p || p.start <= this.from(job) || !this.allowed(job, p.machine, job.zone)) {
+      if (!p || p.start <= this.earliestStart(job) || !this.allowed(job, p.machine, job.zone)) {
         left.push(task);
         continue;
       }
       const span = this.spanOn(job, p.machine);
-      this.looks++;
+      this.probes++;
       const fits =
-        this.profiles[p.machine]!.room(p.start, span, job.need, 1) > 0 &&
-        (!team || team.room(p.start, span, job.need, 1) > 0);
-      if (fits) this.put(this.push({ job, task, machine: p.machine, start: p.start, end: p.start + span }));
+        this.profiles[p.machine]!.capacityFor(p.start, span, job.need, 1) > 0 &&
+        (!team || team.capacityFor(p.start, span, job.need, 1) > 0);
+      if (fits) this.apply(this.push({ job, task, machine: p.machine, start: p.start, end: p.start + span }));
       else left.push(task);
     }
     return left;
   }
 
-  private from(job: PlanJob): number {
-    return Math.max(this.now, job.from ?? this.now);
+  private earliestStart(job: PlanJob): number {
+    return Math.max(this.now, job.earliestStart ?? this.now);
   }
 
-  private keepGang(job: PlanJob, places: ReadonlyMap<number, KeptPlace>): number[] {
-    if (this.from(job) > this.now) return job.tasks;
+  private keepGang(job: PlanJob, places: ReadonlyMap<number, PreviousPlacement>): number[] {
+    if (this.earliestStart(job) > this.now) return job.tasks;
     if (this.gangNow(job)) return [];
     const counts = new Map<number, number>();
     let start = Number.NaN;
@@ -134,14 +134,14 @@
       span = Math.max(span, this.spanOn(job, p.machine));
     }
     for (const [m, count] of counts) {
-      this.looks++;
-      if (this.profiles[m]!.room(start, span, job.need, count) < count) return job.tasks;
+      this.probes++;
+      if (this.profiles[m]!.capacityFor(start, span, job.need, count) < count) return job.tasks;
     }
     const n = job.tasks.length;
     const team = this.teams.get(job.team);
-    if (team && team.room(start, span, job.need, n) < n) return job.tasks;
+    if (team && team.capacityFor(start, span, job.need, n) < n) return job.tasks;
     for (const task of job.tasks) {
-      this.put(this.push({ job, task, machine: places.get(task)!.machine, start, end: start + span }));
+      this.apply(this.push({ job, task, machine: places.get(task)!.machine, start, end: start + span }));
     }
     return [];
   }
@@ -150,14 +150,14 @@
   private gangNow(job: PlanJob): boolean {
     const { cpus, gpus, memoryGb } = job.need;
     const key = `${cpus} ${gpus} ${memoryGb}`;
-    let roomy = this.roomy.get(key);
+    let roomy = this.machinesWithCapacity.get(key);
     if (!roomy) {
       roomy = [];
       for (let m = 0; m < this.machines.length; m++) {
-        this.looks++;
-        if (this.profiles[m]!.room(this.now, 1, job.need, 1) > 0) roomy.push(m);
+        this.probes++;
+        if (this.profiles[m]!.capacityFor(this.now, 1, job.need, 1) > 0) roomy.push(m);
       }
-      this.roomy.set(key, roomy);
+      this.machinesWithCapacity.set(key, roomy);
     }
     if (roomy.length === 0) return false;
     const zones = job.oneZone ? this.zones(job) : [job.zone];
@@ -166,8 +166,8 @@
 
   /** The earliest finish of a job that the plan allows; books nothing. */
   earliestFinish(job: PlanJob): number | null {
-    const mark = this.bookings.length;
-    const finish = this.book({ ...job, deadline: Number.NEGATIVE_INFINITY });
+    const mark = this.reservations.length;
+    const finish = this.reserve({ ...job, deadline: Number.NEGATIVE_INFINITY });
     this.undo(mark);
     return finish;
   }
@@ -177,30 +177,32 @@
    * machine that meets its deadline, so it may be booked for late while others boot or stand empty: only the rest is a
    * reason to rent. All bookings stay as they are.
    */
-  shortOf(groups: readonly { job: PlanJob; bookings: readonly Booking[]; by: number }[]): number[] {
-    const mark = this.bookings.length;
-    const lifted: Booking[] = [];
+  countLateTasks(
+    groups: readonly { job: PlanJob; bookings: readonly Reservation[]; by: number }[],
+  ): number[] {
+    const mark = this.reservations.length;
+    const lifted: Reservation[] = [];
     const short = groups.map(({ job, bookings, by }) => {
       // A gang is booked as early as it fits anywhere.
       if (job.kind === 'gang') return bookings.length;
       for (const b of bookings) {
-        this.lift(b);
+        this.withdraw(b);
         lifted.push(b);
       }
-      const before = this.bookings.length;
-      this.book({ ...job, tasks: bookings.map((b) => b.task), deadline: Number.NEGATIVE_INFINITY });
+      const before = this.reservations.length;
+      this.reserve({ ...job, tasks: bookings.map((b) => b.task), deadline: Number.NEGATIVE_INFINITY });
       let inTime = 0;
-      for (let i = before; i < this.bookings.length; i++) if (this.bookings[i]!.start <= by) inTime++;
+      for (let i = before; i < this.reservations.length; i++) if (this.reservations[i]!.start <= by) inTime++;
       return bookings.length - inTime;
     });
     this.undo(mark);
-    for (const b of lifted) this.put(b);
+    for (const b of lifted) this.apply(b);
     return short;
   }
 
   /** Takes back all bookings made since there were `mark` of them. */
   undo(mark: number): void {
-    while (this.bookings.length > mark) this.lift(this.bookings.pop()!);
+    while (this.reservations.length > mark) this.withdraw(this.reservations.pop()!);
   }
 
   /**
@@ -210,12 +212,14 @@
   startEarly(): void {
     let job: PlanJob | null = null;
     let open: number[] = [];
-    const roomy = this.roomyFor(this.bookings.filter((b) => b.start > this.now).map((b) => b.job));
-    for (const b of this.bookings) {
-      if (b.start <= this.now || b.job.kind === 'gang' || this.from(b.job) > this.now) continue;
+    const roomy = this.machinesWithCapacityFor(
+      this.reservations.filter((b) => b.start > this.now).map((b) => b.job),
+    );
+    for (const b of this.reservations) {
+      if (b.start <= this.now || b.job.kind === 'gang' || this.earliestStart(b.job) > this.now) continue;
       if (b.job !== job) {
         job = b.job;
-        open = this.openNow(job, roomy);
+        open = this.machinesOpenNow(job, roomy);
       }
       if (open.length > 0) this.pullForward(b, open);
     }
@@ -225,7 +229,7 @@
    * Machines that have room at this moment for the smallest of what tasks of these jobs take. A full fleet has few of
    * them, so that a swarm of small jobs does not look at every machine for each.
    */
-  private roomyFor(jobs: readonly PlanJob[]): number[] {
+  private machinesWithCapacityFor(jobs: readonly PlanJob[]): number[] {
     const least: Amounts = { cpus: NEVER, gpus: NEVER, memoryGb: NEVER };
     for (const { need } of jobs) {
       least.cpus = Math.min(least.cpus, need.cpus);
@@ -235,9 +239,9 @@
     const roomy: number[] = [];
     if (jobs.length === 0) return roomy;
     for (let m = 0; m < this.machines.length; m++) {
-      if (this.machines[m]!.closed) continue;
-      this.looks++;
-      if (this.profiles[m]!.room(this.now, INSTANT, least, 1) > 0) roomy.push(m);
+      if (this.machines[m]!.quarantined) continue;
+      this.probes++;
+      if (this.profiles[m]!.capacityFor(this.now, INSTANT, least, 1) > 0) roomy.push(m);
     }
     return roomy;
   }
@@ -247,70 +251,70 @@
    * there is for it, and leaves the others for a later plan. For what comes last in a long queue: to book all of it ahead
    * would cost more than it tells. Returns how many tasks were booked.
    */
-  bookNow(job: PlanJob): number {
+  reserveNow(job: PlanJob): number {
     if (job.kind === 'gang') return this.gangNow(job) ? job.tasks.length : 0;
     if (job.oneZone || job.spread) return 0;
-    this.lastRoomy ??= this.roomyFor([job]);
+    this.machinesWithCapacityNow ??= this.machinesWithCapacityFor([job]);
     const team = this.teams.get(job.team);
     let placed = 0;
-    for (const m of this.openNow(job, this.lastRoomy)) {
+    for (const m of this.machinesOpenNow(job, this.machinesWithCapacityNow)) {
       const span = this.spanOn(job, m);
-      let room = this.profiles[m]!.room(this.now, span, job.need, job.tasks.length - placed);
-      if (team) room = Math.min(room, team.room(this.now, span, job.need, room));
+      let room = this.profiles[m]!.capacityFor(this.now, span, job.need, job.tasks.length - placed);
+      if (team) room = Math.min(room, team.capacityFor(this.now, span, job.need, room));
       for (; room > 0; room--) {
         const task = job.tasks[placed++]!;
-        this.put(this.push({ job, task, machine: m, start: this.now, end: this.now + span }));
+        this.apply(this.push({ job, task, machine: m, start: this.now, end: this.now + span }));
       }
       if (placed === job.tasks.length) break;
     }
     return placed;
   }
 
-  private lastRoomy: number[] | null = null;
+  private machinesWithCapacityNow: number[] | null = null;
 
   /** Machines where a task of the job fits from now on, the best first. */
-  private openNow(job: PlanJob, among: readonly number[]): number[] {
+  private machinesOpenNow(job: PlanJob, among: readonly number[]): number[] {
     const open: number[] = [];
     for (const m of among) {
       if (!this.allowed(job, m, job.zone)) continue;
-      if (this.profiles[m]!.size >= MAX_BOOKINGS) continue;
-      this.looks++;
-      if (this.profiles[m]!.room(this.now, this.spanOn(job, m), job.need, 1) > 0) open.push(m);
+      if (this.profiles[m]!.size >= MAX_RESERVATIONS) continue;
+      this.probes++;
+      if (this.profiles[m]!.capacityFor(this.now, this.spanOn(job, m), job.need, 1) > 0) open.push(m);
     }
     return open.sort(
       (a, b) =>
-        this.waste(job, a) - this.waste(job, b) ||
+        this.unneededGpus(job, a) - this.unneededGpus(job, b) ||
         this.fetchS(job, a) - this.fetchS(job, b) ||
         this.profiles[b]!.load - this.profiles[a]!.load ||
-        this.liked(job, b) - this.liked(job, a),
+        this.preference(job, b) - this.preference(job, a),
     );
   }
 
-  private pullForward(b: Booking, open: number[]): void {
+  private pullForward(b: Reservation, open: number[]): void {
     const zone = this.fixedZone(b);
-    this.lift(b);
+    this.withdraw(b);
     for (let i = 0; i < open.length; i++) {
       const m = open[i]!;
       if (zone !== null && this.machines[m]!.zone !== zone) continue;
       const span = this.spanOn(b.job, m);
       const end = this.now + span;
       if (end > b.job.deadline && end > b.end) continue;
-      this.looks++;
-      if (this.profiles[m]!.room(this.now, span, b.job.need, 1) === 0) {
+      this.probes++;
+      if (this.profiles[m]!.capacityFor(this.now, span, b.job.need, 1) === 0) {
         open.splice(i--, 1);
         continue;
       }
       const team = this.teams.get(b.job.team);
-      if (team && team.room(this.now, span, b.job.need, 1) === 0) break;
+      if (team && team.capacityFor(this.now, span, b.job.need, 1) === 0) break;
       b.machine = m;
       b.start = this.now;
       b.end = end;
       break;
     }
-    this.put(b);
+    this.apply(b);
   }
 
-  private fixedZone(b: Booking): number | null {
+  private fixedZone(b: Reservation): number | null {
     // A job held to one zone or spread over zones keeps the zone that its booking has.
     return b.job.oneZone || b.job.spread ? this.machines[b.machine]!.zone : b.job.zone;
   }
@@ -320,14 +324,14 @@
     return [...new Set(this.machines.map((m) => m.zone))];
   }
 
-  private bookArray(job: PlanJob, zone: number | null): number | null {
+  private reserveArray(job: PlanJob, zone: number | null): number | null {
     const perZone = new Map(job.present);
     const half = Math.ceil(job.total / 2);
     // Of a job that is held to one zone and spread as well, half can run at once, and the others after them.
-    const most = job.oneZone && job.spread ? half - (perZone.get(zone ?? -1) ?? 0) : BOOKED_TASKS;
-    const tasks = job.tasks.slice(0, Math.max(0, Math.min(BOOKED_TASKS, most)));
+    const most = job.oneZone && job.spread ? half - (perZone.get(zone ?? -1) ?? 0) : MAX_RESERVED_TASKS;
+    const tasks = job.tasks.slice(0, Math.max(0, Math.min(MAX_RESERVED_TASKS, most)));
     const team = this.teams.get(job.team);
-    const first = this.from(job);
+    const first = this.earliestStart(job);
     let teamFrom = first;
     let longest = 0;
     for (let m = 0; m < this.machines.length; m++) {
@@ -358,7 +362,7 @@
       if (m < 0) break;
       start = this.starts[m]!;
       const end = start + this.spans[m]!;
-      this.put(this.push({ job, task, machine: m, start, end }));
+      this.apply(this.push({ job, task, machine: m, start, end }));
       this.estimate(job, m, start);
       const where = this.machines[m]!.zone;
       perZone.set(where, (perZone.get(where) ?? 0) + 1);
@@ -372,8 +376,8 @@
 
   private estimate(job: PlanJob, m: number, from: number): void {
     const profile = this.profiles[m]!;
-    const full = profile.size >= MAX_BOOKINGS;
-    this.looks++;
+    const full = profile.size >= MAX_RESERVATIONS;
+    this.probes++;
     this.starts[m] = full ? NEVER : (profile.earliest(from, this.spans[m]!, job.need) ?? NEVER);
   }
 
@@ -382,7 +386,7 @@
     job: PlanJob,
     spread: { perZone: ReadonlyMap<number, number>; half: number } | null,
     teamFrom: number,
-    team: Profile | undefined,
+    team: CapacityProfile | undefined,
   ): number {
     for (;;) {
       let best = -1;
@@ -394,7 +398,7 @@
       if (best < 0 || !team) return best;
       // The team's limit may allow the task only later; then that machine is weighed anew.
       const start = this.starts[best]!;
-      this.looks++;
+      this.probes++;
       const allowed = team.earliest(Math.max(start, teamFrom), this.spans[best]!, job.need) ?? NEVER;
       if (allowed === start) return best;
       if (allowed === NEVER) this.starts[best] = NEVER;
@@ -409,7 +413,7 @@
     const lateA = endA > job.deadline;
     if (lateA !== endB > job.deadline) return !lateA;
     if (lateA) return endA < endB || (endA === endB && this.starts[a]! < this.starts[b]!);
-    const waste = this.waste(job, a) - this.waste(job, b);
+    const waste = this.unneededGpus(job, a) - this.unneededGpus(job, b);
     if (waste !== 0) return waste < 0;
     // An image matters only to a task that starts now; what is booked for later may well find it fetched.
     const fetchA = this.starts[a]! > this.now ? 0 : this.fetchS(job, a);
@@ -417,13 +421,13 @@
     if (fetchA !== fetchB) return fetchA < fetchB;
     const load = this.profiles[a]!.load - this.profiles[b]!.load;
     if (load !== 0) return load > 0;
-    const liked = this.liked(job, a) - this.liked(job, b);
+    const liked = this.preference(job, a) - this.preference(job, b);
     return liked > 0 || (liked === 0 && this.starts[a]! < this.starts[b]!);
   }
 
   private allowed(job: PlanJob, m: number, zone: number | null): boolean {
     const machine = this.machines[m]!;
-    if (machine.closed) return false;
+    if (machine.quarantined) return false;
     if (job.types && !job.types.has(machine.type)) return false;
     if (machine.spot && !job.spot) return false;
     if ((zone !== null && machine.zone !== zone) || (job.zone !== null && machine.zone !== job.zone))
@@ -445,18 +449,18 @@
   }
 
   /** A preference decides only between machines that are equally loaded, which are mostly empty ones. */
-  private liked(job: PlanJob, m: number): number {
+  private preference(job: PlanJob, m: number): number {
     return job.match?.rank ? job.match.rank(this.machines[m]!) : 0;
   }
 
   /** A machine with GPUs is kept for those who need them while others do. */
-  private waste(job: PlanJob, m: number): number {
+  private unneededGpus(job: PlanJob, m: number): number {
     return job.need.gpus === 0 && this.machines[m]!.size.gpus > 0 ? 1 : 0;
   }
 
-  private bookGang(job: PlanJob): number | null {
+  private reserveGang(job: PlanJob): number | null {
     const n = job.tasks.length;
-    if (n === 0) return this.from(job);
+    if (n === 0) return this.earliestStart(job);
     if (n > MAX_GANG) return null;
     const team = this.teams.get(job.team);
     const whole = { cpus: job.need.cpus * n, gpus: job.need.gpus * n, memoryGb: 0 };
@@ -481,7 +485,7 @@
     // Some time everything in a zone is free.
     for (const [zone, count] of together) {
       if (count < n) continue;
-      let at = this.from(job);
+      let at = this.earliestStart(job);
       for (const [m, p] of this.profiles.entries()) {
         if (this.allowed(job, m, zone)) at = Math.max(at, p.freeFrom);
       }
@@ -503,11 +507,11 @@
       const zone = job.oneZone ? this.machines[m]!.zone : job.zone;
       const profile = this.profiles[m]!;
       const span = this.spanOn(job, m);
-      this.looks++;
-      const at = profile.earliest(this.from(job), span, job.need);
+      this.probes++;
+      const at = profile.earliest(this.earliestStart(job), span, job.need);
       if (at === null) continue;
       const most = fitCount(this.machines[m]!.size, job.need, n);
-      const count = profile.room(at, span, job.need, most);
+      const count = profile.capacityFor(at, span, job.need, most);
       moments.push({ at, zone, count, span });
       if (count === most) continue;
       const { cpus, gpus, memoryGb } = job.need;
@@ -530,8 +534,8 @@
     let sum = 0;
     for (const m of among) {
       if (!this.allowed(job, m, zone)) continue;
-      this.looks++;
-      const count = this.profiles[m]!.room(t, this.spanOn(job, m), job.need, n);
+      this.probes++;
+      const count = this.profiles[m]!.capacityFor(t, this.spanOn(job, m), job.need, n);
       if (count === 0) continue;
       sum += count;
       rooms.push({ m, count, fetch: this.fetchS(job, m) });
@@ -541,9 +545,9 @@
     rooms.sort(
       (a, b) =>
         a.fetch - b.fetch ||
-        this.waste(job, a.m) - this.waste(job, b.m) ||
+        this.unneededGpus(job, a.m) - this.unneededGpus(job, b.m) ||
         this.profiles[b.m]!.load - this.profiles[a.m]!.load ||
-        this.liked(job, b.m) - this.liked(job, a.m),
+        this.preference(job, b.m) - this.preference(job, a.m),
     );
     const perZone = new Map<number, number>();
     const picked: number[] = [];
@@ -560,24 +564,24 @@
     // All tasks run together: the slowest machine and the longest fetch set the end.
     const span = Math.max(...picked.map((m) => this.spanOn(job, m)));
     const team = this.teams.get(job.team);
-    if (team && team.room(t, span, job.need, n) < n) return null;
+    if (team && team.capacityFor(t, span, job.need, n) < n) return null;
     job.tasks.forEach((task, i) => {
-      this.put(this.push({ job, task, machine: picked[i]!, start: t, end: t + span }));
+      this.apply(this.push({ job, task, machine: picked[i]!, start: t, end: t + span }));
     });
     return t + span;
   }
 
-  private push(b: Booking): Booking {
-    this.bookings.push(b);
+  private push(b: Reservation): Reservation {
+    this.reservations.push(b);
     return b;
   }
 
-  private put(b: Booking): void {
+  private apply(b: Reservation): void {
     this.profiles[b.machine]!.add(b.start, b.end, b.job.need);
     this.teams.get(b.job.team)?.add(b.start, b.end, b.job.need);
   }
 
-  private lift(b: Booking): void {
+  private withdraw(b: Reservation): void {
     this.profiles[b.machine]!.remove(b.start, b.end, b.job.need);
     this.teams.get(b.job.team)?.remove(b.start, b.end, b.job.need);
   }
--- a/src/plan/rentalchoice.ts
+++ b/src/plan/rentalchoice.ts
@@ -33,7 +33,7 @@
 }
 
 /** The cheapest option per task that fits, and how many machines of it; null when none fits. */
-export function chooseRental(
+export function chooseOption(
   s: Shortage,
   options: readonly RentOption[],
   most: number,
@@ -70,7 +70,7 @@
     }
     const open = options.filter((o) => (counts.get(o) ?? 0) < most);
     const choice =
-      left > 0 ? chooseRental({ ...s, count: left, alike: alike.get(kind(s))! }, open, most) : null;
+      left > 0 ? chooseOption({ ...s, count: left, alike: alike.get(kind(s))! }, open, most) : null;
     alike.set(kind(s), alike.get(kind(s))! - s.count);
     if (!choice) continue;
     const before = counts.get(choice.option) ?? 0;
--- a/src/plan/victimchoice.ts
+++ b/src/plan/victimchoice.ts
@@ -15,7 +15,7 @@
   victims: Victim<T>[];
 }
 
-export interface PreemptWish {
+export interface PreemptionRequest {
   need: Amounts;
   count: number;
   /** What the team may still use before its limit. */
@@ -30,7 +30,10 @@
  * Which tasks to stop so that `count` tasks find room, on their machines and within their team's limit: those that lose
  * the least, and none when it would not suffice. Null when it cannot be done.
  */
-export function chooseVictims<T>(wish: PreemptWish, machines: readonly PreemptMachine<T>[]): T[] | null {
+export function chooseVictims<T>(
+  wish: PreemptionRequest,
+  machines: readonly PreemptMachine<T>[],
+): T[] | null {
   const chosen = new Set<Victim<T>>();
   let left = wish.count;
   const offers = machines
--- a/src/program/controllerprogram.ts
+++ b/src/program/controllerprogram.ts
@@ -7,7 +7,7 @@
 import { LEVELS, makeLog } from '../config/log.js';
 import { loadSettings, partSockets, type Settings, SettingsError } from '../config/settings.js';
 import { version } from '../config/version.js';
-import { Catalog, Names, type World } from '../context/context.js';
+import { type ControllerContext, MachineTypeCatalog, NameTables } from '../context/context.js';
 import { ControllerNode } from '../controller/controllernode.js';
 import { HttpClient } from '../http/client.js';
 import { HttpServer } from '../http/server.js';
@@ -57,10 +57,10 @@
     mostTo: () => SOCKETS_PER_WORKER,
     bodyBytes: 1024 * 1024,
   });
-  const names = new Names();
+  const names = new NameTables();
   for (const t of settings.teams) names.teams.index(t.name);
   for (const z of settings.zones) names.zones.index(z);
-  const world: World = {
+  const context: ControllerContext = {
     clock,
     settings,
     log,
@@ -71,21 +71,23 @@
     }),
     cloud: new Cloud(clock, services, settings.cloud, settings.cloudLimits.rps, settings.nodes),
     names,
-    catalog: new Catalog(names),
-    goneMachines: new Map(),
-    matcher: null,
-    run: `${settings.node}-${randomUUID().slice(0, 13)}`,
+    catalog: new MachineTypeCatalog(names),
+    removedMachines: new Map(),
+    matchCompiler: null,
+    incarnation: `${settings.node}-${randomUUID().slice(0, 13)}`,
   };
   // Optional parts cost nothing where they are not enabled.
   const condor = options.condor
     ? await Promise.all([import('../condor/matcher.js'), import('../condor/service.js')])
     : null;
-  if (condor) world.matcher = new condor[0].ClassAdMatcher(names, world.catalog);
-  const standbys = options.standby ? (await import('../controller/standbycoordinator.js')).Standbys : null;
-  const node = new ControllerNode(world, standbys);
-  const api = new Api(world, node);
+  if (condor) context.matchCompiler = new condor[0].ClassAdMatcher(names, context.catalog);
+  const standbys = options.standby
+    ? (await import('../controller/standbycoordinator.js')).StandbyCoordinator
+    : null;
+  const node = new ControllerNode(context, standbys);
+  const api = new Api(context, node);
   if (condor) {
-    const service = new condor[1].CondorService(world, node, {
+    const service = new condor[1].CondorService(context, node, {
       team: options.condorTeam ?? null,
       depot: options.depot ?? null,
     });
--- a/src/scheduler/jobtable.ts
+++ b/src/scheduler/jobtable.ts
@@ -1,9 +1,9 @@
 import { Mutex } from 'async-mutex';
-import { NOWHERE, type World } from '../context/context.js';
+import { type ControllerContext, MATCHES_NOTHING } from '../context/context.js';
 import { type Job, jobStatus, makeJob } from '../jobs/job.js';
 import type { Amounts } from '../plan/capacityprofile.js';
 import type { JobSpec } from '../wire/users.js';
-import type { Held } from '../workers/machine.js';
+import type { TaskAttempt } from '../workers/machine.js';
 import type { StatusAnswer } from './responses.js';
 
 interface Ended {
@@ -13,7 +13,7 @@
   need: Amounts;
 }
 
-const ENDED_KEPT = 5000;
+const MAX_ENDED_JOBS = 5000;
 
 /** The jobs of one shard in memory: the unfinished ones, and how those ended that ended not long ago. */
 export class JobTable {
@@ -21,18 +21,18 @@
   private readonly ended = new Map<string, Ended>();
   private readonly mutexes = new Map<string, { mutex: Mutex; users: number }>();
   /** What a task of each class takes, as last seen. */
-  readonly needs = new Map<string, Amounts>();
+  readonly taskSizeByClass = new Map<string, Amounts>();
   private order = 0;
 
   constructor(
-    private readonly world: World,
+    private readonly context: ControllerContext,
     private readonly index: number,
     private readonly term: number,
   ) {}
 
   make(spec: JobSpec, accepted: number, deadline: number, fresh: boolean, version: number): Job {
-    const n = this.world.names;
-    this.needs.set(spec.class, { cpus: spec.cpus, gpus: spec.gpus, memoryGb: spec.memoryGb });
+    const n = this.context.names;
+    this.taskSizeByClass.set(spec.class, { cpus: spec.cpus, gpus: spec.gpus, memoryGb: spec.memoryGb });
     return makeJob(
       spec,
       { accepted, deadline, order: accepted * 4096 + (this.order++ % 4096), fresh, version },
@@ -41,7 +41,7 @@
         types: spec.types && new Set(spec.types.map((t) => n.types.index(t))),
         zone: spec.zone === null ? null : n.zones.index(spec.zone),
         image: n.images.index(spec.image),
-        match: spec.match ? (this.world.matcher?.compile(spec.match) ?? NOWHERE) : null,
+        match: spec.match ? (this.context.matchCompiler?.compile(spec.match) ?? MATCHES_NOTHING) : null,
       },
     );
   }
@@ -61,11 +61,11 @@
     }
   }
 
-  endedAs(id: string): 'done' | 'cancelled' | null {
+  endedStatus(id: string): 'done' | 'cancelled' | null {
     return this.ended.get(id)?.status ?? null;
   }
 
-  known(id: string): StatusAnswer | null {
+  statusOf(id: string): StatusAnswer | null {
     const job = this.jobs.get(id);
     if (job) return jobStatus(job);
     const ended = this.ended.get(id);
@@ -75,24 +75,24 @@
   /** Moves a job to those that have ended. */
   end(job: Job, status: 'done' | 'cancelled'): void {
     job.state = status;
-    job.stored = job.done.count;
+    job.storedCount = job.done.count;
     const id = job.spec.id;
     this.jobs.delete(id);
     this.ended.set(id, { status, tasks: job.spec.tasks, team: job.team, need: job.need });
     for (const old of this.ended.keys()) {
-      if (this.ended.size <= ENDED_KEPT) break;
+      if (this.ended.size <= MAX_ENDED_JOBS) break;
       this.ended.delete(old);
     }
   }
 
   /** Whose a task on a machine is, and what it takes there. */
-  useOf(h: Held): { team: number; need: Amounts; spec?: JobSpec } | null {
+  usageOf(h: TaskAttempt): { team: number; need: Amounts; spec?: JobSpec } | null {
     return this.jobs.get(h.job) ?? this.ended.get(h.job) ?? null;
   }
 
   /** A name that nobody ever uses again: a shard can come back to the same process, but never with the same term. */
   uniqueName(kind: string): string {
-    return `${this.world.run}-${kind}${this.index}-${this.term}-${this.order++}`;
+    return `${this.context.incarnation}-${kind}${this.index}-${this.term}-${this.order++}`;
   }
 }
 
