--- a/src/scheduler/planner.ts
+++ b/src/scheduler/planner.ts
@@ -1,46 +1,46 @@
-import type { Supply } from '../autoscaler/autoscaler.js';
-import type { World } from '../context/context.js';
-import { type Job, kindAllowed, restPriority, withinGuarantee } from '../jobs/job.js';
+import type { Autoscaler } from '../autoscaler/autoscaler.js';
+import type { ControllerContext } from '../context/context.js';
+import { type Job, kindAllowed, remainingTasksPriority, withinGuarantee } from '../jobs/job.js';
 import { type Amounts, fitCount } from '../plan/capacityprofile.js';
 import type { PlanJob } from '../plan/model.js';
 import type { Plan } from '../plan/plan.js';
 import { PRIORITY } from '../wire/users.js';
 import type { Machine } from '../workers/machine.js';
-import type { Fleet } from '../workers/machineregistry.js';
-import type { Waiting } from './dependencytracker.js';
+import type { MachineRegistry } from '../workers/machineregistry.js';
+import type { DependencyTracker } from './dependencytracker.js';
 import type { JobTable } from './jobtable.js';
-import { book, type PlanInput } from './planinput.js';
+import { type PlanInput, reserveAsBefore } from './planinput.js';
 import type { Preemption } from './preemption.js';
-import { Ageing } from './priorityaging.js';
-import type { Demand } from './resourcedemand.js';
-import type { Estimates } from './runtimeestimates.js';
-import { Aims } from './servicelevelobjectives.js';
-import type { Starts } from './taskdispatcher.js';
+import { PriorityAging } from './priorityaging.js';
+import type { ResourceDemandTracker } from './resourcedemand.js';
+import type { RuntimeEstimates } from './runtimeestimates.js';
+import { ServiceLevelObjectives } from './servicelevelobjectives.js';
+import type { TaskDispatcher } from './taskdispatcher.js';
 
 /** A job without a deadline gets one at so many times the finish that the plans allow. */
 const DEFAULT_SLACK = 1.5;
 /** Planning takes no more than this of the processor that a controller has, however much there is to plan. */
-const PLAN_SHARE = 0.15;
-const PLAN_PAUSE_MOST_MS = 2000;
+const MAX_PLANNING_CPU_SHARE = 0.15;
+const MAX_PLAN_PAUSE_MS = 2000;
 /** So many jobs are booked anew in every plan, all of them at these intervals, or longer when that takes long. */
-const BOOKED_ANEW = 4;
-const BOOK_ANEW_MS = 1500;
-const BOOK_ANEW_SHARE = 20;
+const MAX_JOBS_REPLANNED = 4;
+const REPLAN_ALL_INTERVAL_MS = 1500;
+const REPLAN_ALL_COST_FACTOR = 20;
 /** What a plan may cost in looks at machines; what comes after in order is only started where there is room now. */
-const LOOKS_MOST = 150_000;
+const MAX_PLAN_PROBES = 150_000;
 /** So many times as long as its work would take, the least urgent work stands back behind what is accepted later. */
-const LOW_WORK_FACTOR = 20;
+const LOW_PRIORITY_DEFERRAL_FACTOR = 20;
 /** Other work stands back so many times as long as the shard would take for it, up to so many seconds. */
-const WORK_FACTOR = 4;
-const PUT_OFF_MOST_S = 60;
-const MOST_ON_ONE = 1000;
+const DEFERRAL_FACTOR = 4;
+const MAX_DEFERRAL_S = 60;
+const MAX_TASKS_PER_MACHINE = 1000;
 /** New jobs are weighed against the same plan for so long, each booked on top of those before it. */
-const ADMIT_FRESH_MS = 1000;
+const ADMISSION_PLAN_VALID_MS = 1000;
 /** Work of high priority that would wait longer than this stops lesser work, but not twice within the pause. */
 const PREEMPT_WAIT_S = 2;
 
 /** A job's turn in the order of waiting work: all of it, or only its first task, or only the others. */
-interface Turn {
+interface QueueEntry {
   job: Job;
   part: 'all' | 'first' | 'rest';
   priority: number;
@@ -48,44 +48,44 @@
 
 /** The plan of one shard: what is weighed against it, booked in it and started by it. */
 export class Planner {
-  private readonly aims: Aims;
-  private readonly ageing: Ageing;
-  private bookAnewAt = 0;
+  private readonly slos: ServiceLevelObjectives;
+  private readonly priorityAging: PriorityAging;
+  private replanAllAt = 0;
   /** Jobs that fit into their team's guarantee together with the team's earlier ones. */
   private guaranteed: ReadonlySet<Job> = new Set();
   private lastPlan: { plan: Plan; refs: (Machine | null)[] } | null = null;
   private readonly admissions = new Map<number, { plan: Plan; at: number }>();
-  private booked = new Set<string>();
+  private reservedMachines = new Set<string>();
   /** Whether any kind of machine may take a job, as of a version of the catalog. */
-  private readonly matched = new WeakMap<Job, { version: number; somewhere: boolean }>();
+  private readonly placeableCache = new WeakMap<Job, { version: number; isPlaceable: boolean }>();
   /** When the last plan has each job end. */
-  private readonly ends = new Map<number, number>();
-  private endsOf: Planner['lastPlan'] = null;
+  private readonly expectedEnds = new Map<number, number>();
+  private expectedEndsPlan: Planner['lastPlan'] = null;
 
   constructor(
-    private readonly world: World,
-    private readonly table: JobTable,
-    private readonly fleet: Fleet,
-    private readonly estimates: Estimates,
+    private readonly context: ControllerContext,
+    private readonly jobTable: JobTable,
+    private readonly registry: MachineRegistry,
+    private readonly estimates: RuntimeEstimates,
     private readonly planInput: PlanInput,
-    private readonly waiting: Waiting,
-    private readonly supply: Supply,
-    private readonly starts: Starts,
+    private readonly dependencies: DependencyTracker,
+    private readonly autoscaler: Autoscaler,
+    private readonly dispatcher: TaskDispatcher,
     private readonly preemption: Preemption,
-    private readonly demand: Demand,
+    private readonly resourceDemand: ResourceDemandTracker,
   ) {
-    this.aims = new Aims(world.settings.objectives);
-    this.ageing = new Ageing(world, table.jobs, this.aims, estimates);
+    this.slos = new ServiceLevelObjectives(context.settings.objectives);
+    this.priorityAging = new PriorityAging(context, jobTable.jobs, this.slos, estimates);
   }
 
   /** Looks at what has aged; before priorities are passed on to what is needed. */
   age(): void {
-    this.ageing.tick(this.cpus(this.inUse()));
+    this.priorityAging.tick(this.cpus(this.machinesInUse()));
   }
 
   /** Whether something is booked on a machine. */
-  hasBooked(machine: string): boolean {
-    return this.booked.has(machine);
+  hasReservation(machine: string): boolean {
+    return this.reservedMachines.has(machine);
   }
 
   /** Whether a job fits into its team's guarantee together with the team's earlier ones. */
@@ -95,14 +95,14 @@
 
   /** When the last task of a job ends, as booked. */
   expectedEnd(job: Job, now: number): number {
-    if (this.endsOf !== this.lastPlan) {
-      this.endsOf = this.lastPlan;
-      this.ends.clear();
-      for (const b of this.lastPlan?.plan.bookings ?? [])
-        this.ends.set(b.job.id, Math.max(this.ends.get(b.job.id) ?? 0, b.end * 1000));
+    if (this.expectedEndsPlan !== this.lastPlan) {
+      this.expectedEndsPlan = this.lastPlan;
+      this.expectedEnds.clear();
+      for (const b of this.lastPlan?.plan.reservations ?? [])
+        this.expectedEnds.set(b.job.id, Math.max(this.expectedEnds.get(b.job.id) ?? 0, b.end * 1000));
     }
-    let end = this.ends.get(job.order) ?? 0;
-    for (const h of job.places.values()) end = Math.max(end, this.estimates.heldEnd(h, now));
+    let end = this.expectedEnds.get(job.order) ?? 0;
+    for (const h of job.placements.values()) end = Math.max(end, this.estimates.expectedEnd(h, now));
     return end > now ? end : now + this.estimates.runS(job.spec) * 1000;
   }
 
@@ -112,33 +112,33 @@
    * The least urgent work runs in what others leave, and a swarm of tiny jobs would wait for hours of it, so there much
    * stands back longer.
    */
-  private inOrder(): Turn[] {
+  private inSchedulingOrder(): QueueEntry[] {
     // What waits for other jobs, or for a kind of machine that there is none of, takes no part in limits and guarantees.
-    const jobs = [...this.table.jobs.values()]
-      .filter((j) => j.waitsFor.size === 0 && this.somewhere(j))
+    const jobs = [...this.jobTable.jobs.values()]
+      .filter((j) => j.pendingDependencies.size === 0 && this.somewhere(j))
       .sort((a, b) => a.order - b.order);
-    const { teams } = this.world.settings;
+    const { teams } = this.context.settings;
     this.guaranteed = withinGuarantee(jobs, teams).whole;
-    const aims = this.aims.ranks(jobs, this.world.clock.wall(), (spec) => this.estimates.runS(spec));
+    const aims = this.slos.ranks(jobs, this.context.clock.wall(), (spec) => this.estimates.runS(spec));
     const byAims = (a: Job, b: Job) => aims.get(a)! - aims.get(b)!;
     // What a team is guaranteed goes to those of its jobs that can still use it.
     const { partly } = withinGuarantee([...jobs].sort(byAims), teams);
     // What has aged is little, and would wait for ever behind what others are guaranteed.
-    const rank = ({ job, part }: Turn) => (partly.has(job) || (job.aged && part !== 'rest') ? 0 : 1);
-    const inUse = this.inUse();
+    const rank = ({ job, part }: QueueEntry) => (partly.has(job) || (job.aged && part !== 'rest') ? 0 : 1);
+    const inUse = this.machinesInUse();
     const cpus = Math.max(1, this.cpus(inUse));
-    const turnAt = ({ job, part, priority }: Turn): number => {
+    const turnAt = ({ job, part, priority }: QueueEntry): number => {
       const left = part === 'first' ? 1 : job.spec.tasks - job.done.count;
       const runS = this.estimates.runS(job.spec);
       // What was accepted for a deadline stays before what is accepted later.
-      const bounded = job.spec.deadlineS === null ? PUT_OFF_MOST_S : 0;
+      const bounded = job.spec.deadlineS === null ? MAX_DEFERRAL_S : 0;
       const putOffS =
         priority > PRIORITY.low
-          ? Math.min(bounded, ((left * runS) / this.placesFor(job.need, inUse)) * WORK_FACTOR)
-          : ((left * job.need.cpus * runS) / cpus) * LOW_WORK_FACTOR;
+          ? Math.min(bounded, ((left * runS) / this.slotsFor(job.need, inUse)) * DEFERRAL_FACTOR)
+          : ((left * job.need.cpus * runS) / cpus) * LOW_PRIORITY_DEFERRAL_FACTOR;
       return job.acceptedWall + putOffS * 1000;
     };
-    const turns = jobs.flatMap((job) => turnsOf(job));
+    const turns = jobs.flatMap((job) => queueEntriesOf(job));
     const at = new Map(turns.map((t) => [t, turnAt(t)]));
     return turns.sort(
       (a, b) =>
@@ -151,42 +151,42 @@
   }
 
   /** What a turn has to be booked; null when that is nothing. */
-  private planned({ job, part }: Turn, now: number): PlanJob | null {
-    const p = this.planInput.job(job, now);
+  private planJobFor({ job, part }: QueueEntry, now: number): PlanJob | null {
+    const p = this.planInput.planJob(job, now);
     if (!p || part === 'all') return p;
-    const tasks = part === 'first' ? p.tasks.slice(0, 1) : p.tasks.slice(job.places.size > 0 ? 0 : 1);
+    const tasks = part === 'first' ? p.tasks.slice(0, 1) : p.tasks.slice(job.placements.size > 0 ? 0 : 1);
     return tasks.length > 0 ? { ...p, tasks } : null;
   }
 
   /** Whether any kind of machine there is may take a job; only match expressions can ask for what there is not. */
   private somewhere(job: Job): boolean {
     if (!job.match) return true;
-    const { version } = this.world.catalog;
-    const known = this.matched.get(job);
-    if (known?.version === version) return known.somewhere;
-    const { zones } = this.world.names;
+    const { version } = this.context.catalog;
+    const known = this.placeableCache.get(job);
+    if (known?.version === version) return known.isPlaceable;
+    const { zones } = this.context.names;
     let somewhere = false;
-    for (const { type, zone, spot } of this.world.catalog.kinds())
+    for (const { type, zone, spot } of this.context.catalog.kinds())
       somewhere ||= kindAllowed(job, type, zones.index(zone), spot);
-    this.matched.set(job, { version, somewhere });
+    this.placeableCache.set(job, { version, isPlaceable: somewhere });
     return somewhere;
   }
 
   /** How many tasks of a kind the shard's machines hold at once. */
-  private placesFor(need: Amounts, inUse: ReadonlyMap<number, number>): number {
+  private slotsFor(need: Amounts, inUse: ReadonlyMap<number, number>): number {
     let places = 0;
     for (const [type, count] of inUse) {
-      places += count * fitCount(this.world.catalog.size(type), need, MOST_ON_ONE);
+      places += count * fitCount(this.context.catalog.size(type), need, MAX_TASKS_PER_MACHINE);
     }
     return Math.max(1, places);
   }
 
   /** How many machines of each type are in use. */
-  private inUse(): Map<number, number> {
-    const now = this.world.clock.now();
+  private machinesInUse(): Map<number, number> {
+    const now = this.context.clock.now();
     const counts = new Map<number, number>();
-    for (const m of this.fleet.machines.values()) {
-      if (m.leaving || m.lost || m.closedUntil > now) continue;
+    for (const m of this.registry.machines.values()) {
+      if (m.decommissioning || m.leaseExpired || m.quarantinedUntil > now) continue;
       counts.set(m.type, (counts.get(m.type) ?? 0) + 1);
     }
     return counts;
@@ -194,7 +194,7 @@
 
   private cpus(inUse: ReadonlyMap<number, number>): number {
     let cpus = 0;
-    for (const [type, count] of inUse) cpus += count * this.world.catalog.size(type).cpus;
+    for (const [type, count] of inUse) cpus += count * this.context.catalog.size(type).cpus;
     return cpus;
   }
 
@@ -203,15 +203,19 @@
    * refuse. What is booked stays, except that work of lower priority that has not started comes after.
    */
   admit(job: Job, needs: ReadonlySet<string>): number | null {
-    const now = this.world.clock.now();
+    const now = this.context.clock.now();
     if (job.spec.kind === 'service') return 1e7;
     const plan = this.admissionPlan(job.priority, now);
-    const mark = plan.bookings.length;
+    const mark = plan.reservations.length;
     // A job that waits begins no earlier than what it waits for is planned to end.
-    const p = this.planInput.job(job, now, needs.size > 0 ? this.waiting.releaseAt(needs, now) : null)!;
+    const p = this.planInput.planJob(
+      job,
+      now,
+      needs.size > 0 ? this.dependencies.releaseAt(needs, now) : null,
+    )!;
     let dueS = job.spec.deadlineS;
     if (dueS !== null) {
-      const finish = plan.book({ ...p, deadline: now / 1000 + dueS });
+      const finish = plan.reserve({ ...p, deadline: now / 1000 + dueS });
       if (finish === null || finish > now / 1000 + dueS) {
         plan.undo(mark);
         return null;
@@ -219,11 +223,11 @@
     } else {
       const earliest = plan.earliestFinish(p);
       dueS = defaultDueS(
-        this.world,
+        this.context,
         earliest === null ? null : earliest - now / 1000,
         this.estimates.runS(job.spec),
       );
-      plan.book({ ...p, deadline: now / 1000 + dueS });
+      plan.reserve({ ...p, deadline: now / 1000 + dueS });
     }
     // Work of lower priority comes after this job from now on.
     for (const priority of this.admissions.keys()) {
@@ -235,26 +239,32 @@
   /** All that work of a priority has to leave in its place, on the machines that there are or could be rented. */
   private admissionPlan(priority: number, now: number): Plan {
     const known = this.admissions.get(priority);
-    if (known && now - known.at < ADMIT_FRESH_MS) return known.plan;
+    if (known && now - known.at < ADMISSION_PLAN_VALID_MS) return known.plan;
     const { machines, refs } = this.planInput.machines(now);
-    const places = this.planInput.keptPlaces(this.lastPlan, refs);
-    for (const o of this.supply.options(now)) {
-      for (let i = 0; i < 2; i++) machines.push(this.planInput.virtual(o, (now + o.bootS * 1100) / 1000));
+    const places = this.planInput.previousPlacements(this.lastPlan, refs);
+    for (const o of this.autoscaler.options(now)) {
+      for (let i = 0; i < 2; i++)
+        machines.push(this.planInput.virtualMachine(o, (now + o.bootS * 1100) / 1000));
     }
     const plan = this.planInput.plan(now, machines);
-    for (const turn of this.inOrder()) {
+    for (const turn of this.inSchedulingOrder()) {
       if (turn.priority < priority) break;
-      const p = turn.job.notBefore > now ? null : this.planned(turn, now);
-      if (p && plan.looks < LOOKS_MOST) book(plan, p, places.get(p.id));
+      const p = turn.job.notBefore > now ? null : this.planJobFor(turn, now);
+      if (p && plan.probes < MAX_PLAN_PROBES) reserveAsBefore(plan, p, places.get(p.id));
     }
-    for (const other of this.table.jobs.values()) {
-      if (other.waitsFor.size === 0 || other.doomed || other.priority < priority) continue;
-      const p = this.planInput.job(other, now, this.waiting.releaseAt(other.waitsFor, now));
-      if (p && plan.looks < LOOKS_MOST) plan.book(p);
+    for (const other of this.jobTable.jobs.values()) {
+      if (other.pendingDependencies.size === 0 || other.cancelledByDependency || other.priority < priority)
+        continue;
+      const p = this.planInput.planJob(
+        other,
+        now,
+        this.dependencies.releaseAt(other.pendingDependencies, now),
+      );
+      if (p && plan.probes < MAX_PLAN_PROBES) plan.reserve(p);
     }
     // A plan that took long to make serves longer.
-    const at = this.world.clock.now();
-    const longer = this.pauseAfter(at - now);
+    const at = this.context.clock.now();
+    const longer = this.pauseAfterMs(at - now);
     this.admissions.set(priority, { plan, at: at + longer });
     return plan;
   }
@@ -265,59 +275,63 @@
     const unplaced = new Set<Job>();
     const byOrder = new Map<number, Job>();
     // Now and then all is booked anew, so that work moves up into room that has come free; between, only the next jobs.
-    const anew = now >= this.bookAnewAt;
-    const places = anew ? null : this.planInput.keptPlaces(this.lastPlan, refs);
-    for (const turn of this.inOrder()) {
+    const anew = now >= this.replanAllAt;
+    const places = anew ? null : this.planInput.previousPlacements(this.lastPlan, refs);
+    for (const turn of this.inSchedulingOrder()) {
       const { job } = turn;
       if (job.notBefore > now) continue;
-      const p = this.planned(turn, now);
+      const p = this.planJobFor(turn, now);
       if (!p) continue;
       byOrder.set(p.id, job);
-      const kept = byOrder.size > BOOKED_ANEW ? places?.get(p.id) : undefined;
-      const booked = plan.looks < LOOKS_MOST ? book(plan, p, kept) : plan.bookNow(p) === p.tasks.length;
+      const kept = byOrder.size > MAX_JOBS_REPLANNED ? places?.get(p.id) : undefined;
+      const booked =
+        plan.probes < MAX_PLAN_PROBES
+          ? reserveAsBefore(plan, p, kept)
+          : plan.reserveNow(p) === p.tasks.length;
       if (!booked) unplaced.add(job);
     }
     plan.startEarly();
-    const after = this.world.clock.now();
-    if (anew) this.bookAnewAt = after + Math.max(BOOK_ANEW_MS, (after - now) * BOOK_ANEW_SHARE);
+    const after = this.context.clock.now();
+    if (anew)
+      this.replanAllAt = after + Math.max(REPLAN_ALL_INTERVAL_MS, (after - now) * REPLAN_ALL_COST_FACTOR);
     this.lastPlan = { plan, refs };
-    this.booked.clear();
-    for (const b of plan.bookings) {
+    this.reservedMachines.clear();
+    for (const b of plan.reservations) {
       const m = refs[b.machine];
-      if (m) this.booked.add(m.id);
+      if (m) this.reservedMachines.add(m.id);
     }
-    this.starts.dispatch(plan, refs, byOrder, now);
+    this.dispatcher.dispatch(plan, refs, byOrder, now);
     const waiting = new Set(unplaced);
-    for (const b of plan.bookings) {
+    for (const b of plan.reservations) {
       const job = byOrder.get(b.job.id);
       if (job && b.start > now / 1000 + PREEMPT_WAIT_S) waiting.add(job);
     }
-    for (const job of waiting) if (job.suspect || job.aged) waiting.delete(job);
-    this.preemption.makeRoom(waiting, now);
-    this.demand.assess(plan, unplaced, byOrder, now);
+    for (const job of waiting) if (job.quarantined || job.aged) waiting.delete(job);
+    this.preemption.preemptFor(waiting, now);
+    this.resourceDemand.assess(plan, unplaced, byOrder, now);
   }
 
   /** How long after a plan that took so long no other is made. */
-  pauseAfter(ms: number): number {
-    return Math.min(PLAN_PAUSE_MOST_MS, ms * this.pauseShare);
+  pauseAfterMs(ms: number): number {
+    return Math.min(MAX_PLAN_PAUSE_MS, ms * this.pauseFactor);
   }
 
   /** How many times as long as a plan took the pause after it is. */
-  private get pauseShare(): number {
-    return 1 / (PLAN_SHARE * Math.min(1, this.world.settings.limits.cores)) - 1;
+  private get pauseFactor(): number {
+    return 1 / (MAX_PLANNING_CPU_SHARE * Math.min(1, this.context.settings.limits.cores)) - 1;
   }
 }
 
 /** Of a job of which the first task alone has aged, that task goes before urgent work until it is placed, the others in their own turn. */
-function turnsOf(job: Job): Turn[] {
-  if (!job.aged || !job.agedFirst) return [{ job, part: 'all', priority: job.priority }];
-  const rest: Turn = { job, part: 'rest', priority: restPriority(job) };
-  return job.places.size > 0 ? [rest] : [{ job, part: 'first', priority: job.priority }, rest];
+function queueEntriesOf(job: Job): QueueEntry[] {
+  if (!job.aged || !job.onlyFirstTaskAged) return [{ job, part: 'all', priority: job.priority }];
+  const rest: QueueEntry = { job, part: 'rest', priority: remainingTasksPriority(job) };
+  return job.placements.size > 0 ? [rest] : [{ job, part: 'first', priority: job.priority }, rest];
 }
 
 /** The deadline of a job without one, in seconds from now: from the earliest finish in the plan, if there is one. */
-export function defaultDueS(world: World, finishS: number | null, runS: number): number {
+export function defaultDueS(context: ControllerContext, finishS: number | null, runS: number): number {
   // No machine in sight: the longest way, from renting one on.
-  const longest = Math.max(60, ...world.catalog.all().map(([, t]) => t.bootS)) * 2 + runS;
+  const longest = Math.max(60, ...context.catalog.all().map(([, t]) => t.bootS)) * 2 + runS;
   return DEFAULT_SLACK * (finishS ?? longest);
 }
--- a/src/scheduler/replicationsource.ts
+++ b/src/scheduler/replicationsource.ts
@@ -1,33 +1,33 @@
-import type { World } from '../context/context.js';
+import type { ControllerContext } from '../context/context.js';
 import type { Job } from '../jobs/job.js';
-import type { FeedRecord } from '../standby/messages.js';
-import type { FeedSource } from '../standby/replicationstream.js';
-import type { Keeper } from '../standby/standbyreplicator.js';
-import type { Held, Machine } from '../workers/machine.js';
-import type { Fleet } from '../workers/machineregistry.js';
-import type { Estimates } from './runtimeestimates.js';
+import type { ReplicationRecord } from '../standby/messages.js';
+import type { ReplicationSource } from '../standby/replicationstream.js';
+import type { StandbyReplicator } from '../standby/standbyreplicator.js';
+import type { Machine, TaskAttempt } from '../workers/machine.js';
+import type { MachineRegistry } from '../workers/machineregistry.js';
+import type { RuntimeEstimates } from './runtimeestimates.js';
 
-export interface TellingHooks {
+export interface ShardReplicationSourceHooks {
   /** Whether all machines on which tasks of a job may be are known, so that it is surely nowhere else. */
-  settled(job: Job): boolean;
+  placementsKnown(job: Job): boolean;
 }
 
 /** What an owner tells its standby of a shard: all of it at first, then what changes. */
-export class Telling implements FeedSource {
+export class ShardReplicationSource implements ReplicationSource {
   constructor(
-    private readonly world: World,
-    private readonly fleet: Fleet,
+    private readonly context: ControllerContext,
+    private readonly registry: MachineRegistry,
     private readonly jobs: ReadonlyMap<string, Job>,
-    private readonly estimates: Estimates,
-    private readonly keeper: Keeper,
-    private readonly hooks: TellingHooks,
+    private readonly estimates: RuntimeEstimates,
+    private readonly replicator: StandbyReplicator,
+    private readonly hooks: ShardReplicationSourceHooks,
   ) {}
 
-  *snapshot(): Iterator<FeedRecord> {
+  *snapshot(): Iterator<ReplicationRecord> {
     for (const [name, r] of this.estimates.classes()) yield { t: 'class', name, ...r };
-    for (const m of this.fleet.machines.values()) if (m.session > 0) yield this.recordOf(m);
+    for (const m of this.registry.machines.values()) if (m.incarnation > 0) yield this.recordOf(m);
     for (const job of this.jobs.values()) {
-      const sure = this.hooks.settled(job);
+      const sure = this.hooks.placementsKnown(job);
       const places = sure ? [...this.placesOf(job)] : [];
       // Of a job that is nowhere and never was, nothing need be said.
       if (!sure || places.length > 0) {
@@ -35,31 +35,31 @@
         yield { t: 'only', job: job.spec.id, machines };
       }
       for (const h of places) if (h.runningAt !== null) yield this.runs(h, h.runningAt);
-      if (job.suspect) yield this.suspectOf(job);
+      if (job.quarantined) yield this.suspectOf(job);
     }
   }
 
-  private *placesOf(job: Job): Iterable<Held> {
-    yield* job.places.values();
-    yield* job.doubles;
-    yield* job.unsettled;
+  private *placesOf(job: Job): Iterable<TaskAttempt> {
+    yield* job.placements.values();
+    yield* job.duplicateAttempts;
+    yield* job.unacknowledgedExits;
   }
 
-  private recordOf(m: Machine): FeedRecord {
+  private recordOf(m: Machine): ReplicationRecord {
     const images = [...m.images].map(([image, gb]): [string, number] => [
-      this.world.names.images.name(image),
+      this.context.names.images.name(image),
       gb,
     ]);
-    return { t: 'machine', id: m.id, session: m.session, images };
+    return { t: 'machine', id: m.id, session: m.incarnation, images };
   }
 
-  private runs(h: Held, runningAt: number): FeedRecord {
-    const since = Math.round(this.world.clock.wall() - (this.world.clock.now() - runningAt));
+  private runs(h: TaskAttempt, runningAt: number): ReplicationRecord {
+    const since = Math.round(this.context.clock.wall() - (this.context.clock.now() - runningAt));
     return { t: 'runs', task: `${h.job}/${h.index}`, attempt: h.attempt, since };
   }
 
-  private suspectOf(job: Job): FeedRecord {
-    const until = this.world.clock.wall() + Math.max(0, job.notBefore - this.world.clock.now());
+  private suspectOf(job: Job): ReplicationRecord {
+    const until = this.context.clock.wall() + Math.max(0, job.notBefore - this.context.clock.now());
     // A cancellation under way closes a job for good; the next owner finds that by itself.
     return {
       t: 'suspect',
@@ -70,29 +70,29 @@
   }
 
   /** An attempt is surely no longer on its machine, and nothing of it is still to be stored. */
-  left(job: Job, h: Held): void {
+  onAttemptLeft(job: Job, h: TaskAttempt): void {
     for (const other of this.placesOf(job)) if (other !== h && other.machine === h.machine) return;
-    this.keeper.note({ t: 'off', job: job.spec.id, machine: h.machine.id });
+    this.replicator.replicate({ t: 'off', job: job.spec.id, onMachineChanged: h.machine.id });
   }
 
-  running(h: Held): void {
-    if (h.runningAt !== null) this.keeper.note(this.runs(h, h.runningAt));
+  onRunning(h: TaskAttempt): void {
+    if (h.runningAt !== null) this.replicator.replicate(this.runs(h, h.runningAt));
   }
 
   machine(m: Machine): void {
-    this.keeper.note(this.recordOf(m));
+    this.replicator.replicate(this.recordOf(m));
   }
 
-  learnt(jobClass: string): void {
+  onRuntimeLearnt(jobClass: string): void {
     const r = this.estimates.classOf(jobClass);
-    if (r) this.keeper.note({ t: 'class', name: jobClass, ...r });
+    if (r) this.replicator.replicate({ t: 'class', name: jobClass, ...r });
   }
 
-  blamed(job: Job): void {
-    this.keeper.note(job.suspect ? this.suspectOf(job) : { t: 'trusted', job: job.spec.id });
+  onQuarantineChanged(job: Job): void {
+    this.replicator.replicate(job.quarantined ? this.suspectOf(job) : { t: 'trusted', job: job.spec.id });
   }
 
-  over(job: Job): void {
-    this.keeper.note({ t: 'over', job: job.spec.id });
+  onJobEnded(job: Job): void {
+    this.replicator.replicate({ t: 'over', job: job.spec.id });
   }
 }
--- a/src/scheduler/resourcedemand.ts
+++ b/src/scheduler/resourcedemand.ts
@@ -1,16 +1,16 @@
-import { kindKey, type Supply } from '../autoscaler/autoscaler.js';
-import { type Gossip, kindName } from '../autoscaler/shardstatus.js';
-import type { World } from '../context/context.js';
-import { type Job, kindAllowed, openCount, restPriority, zoneRoom } from '../jobs/job.js';
+import { type Autoscaler, kindKey } from '../autoscaler/autoscaler.js';
+import { machineKindName, type ShardStatus } from '../autoscaler/shardstatus.js';
+import type { ControllerContext } from '../context/context.js';
+import { type Job, kindAllowed, remainingTasksPriority, unplacedCount, zoneCapacity } from '../jobs/job.js';
 import { type Amounts, fitCount } from '../plan/capacityprofile.js';
-import type { Booking } from '../plan/model.js';
+import type { Reservation } from '../plan/model.js';
 import type { Plan } from '../plan/plan.js';
 import type { Shortage } from '../plan/rentalchoice.js';
 import { PRIORITY } from '../wire/users.js';
 import type { Machine } from '../workers/machine.js';
-import type { Fleet } from '../workers/machineregistry.js';
+import type { MachineRegistry } from '../workers/machineregistry.js';
 import type { Preemption } from './preemption.js';
-import type { Estimates } from './runtimeestimates.js';
+import type { RuntimeEstimates } from './runtimeestimates.js';
 
 /** A shortage goes to the leader first; renting begins when nobody had a machine to give. */
 const RENT_AFTER_MS = 900;
@@ -27,17 +27,17 @@
 }
 
 /** What a shard lacks, has to spare, and tells the leader of both. */
-export class Demand {
+export class ResourceDemandTracker {
   private readonly shortSince = new Map<string, number>();
-  private needs: Gossip['needs'] = [];
+  private needs: ShardStatus['needs'] = [];
 
   constructor(
-    private readonly world: World,
+    private readonly context: ControllerContext,
     private readonly index: number,
-    private readonly fleet: Fleet,
+    private readonly registry: MachineRegistry,
     private readonly jobs: ReadonlyMap<string, Job>,
-    private readonly estimates: Estimates,
-    private readonly supply: Supply,
+    private readonly estimates: RuntimeEstimates,
+    private readonly supply: Autoscaler,
     private readonly preemption: Preemption,
     private readonly hooks: DemandHooks,
   ) {}
@@ -50,7 +50,7 @@
   assess(plan: Plan, unplaced: ReadonlySet<Job>, byOrder: Map<number, Job>, now: number): void {
     const waiting = new Map<
       Job,
-      { soon: number; late: number; lateOnes: Booking[]; waitS: number; bootS: number }
+      { soon: number; late: number; lateOnes: Reservation[]; waitS: number; bootS: number }
     >();
     const slot = (job: Job) => {
       let w = waiting.get(job);
@@ -67,7 +67,7 @@
       return w;
     };
     const t = now / 1000;
-    for (const b of plan.bookings) {
+    for (const b of plan.reservations) {
       const job = byOrder.get(b.job.id);
       if (!job || b.start <= t + 0.5) continue;
       const w = slot(job);
@@ -79,16 +79,16 @@
       }
     }
     const bookings = new Map<number, number>();
-    for (const b of plan.bookings) bookings.set(b.job.id, (bookings.get(b.job.id) ?? 0) + 1);
+    for (const b of plan.reservations) bookings.set(b.job.id, (bookings.get(b.job.id) ?? 0) + 1);
     for (const job of unplaced) {
-      const n = Math.max(1, openCount(job) - (bookings.get(job.order) ?? 0));
+      const n = Math.max(1, unplacedCount(job) - (bookings.get(job.order) ?? 0));
       slot(job).soon += n;
       slot(job).late += n;
       slot(job).waitS = 600;
     }
     if (this.supply.mayRent(now)) {
       const groups = [...waiting].filter(([, w]) => w.lateOnes.length > 0);
-      const short = plan.shortOf(
+      const short = plan.countLateTasks(
         groups.map(([, w]) => ({ job: w.lateOnes[0]!.job, bookings: w.lateOnes, by: t + w.bootS * 1.1 + 2 })),
       );
       groups.forEach(([, w], i) => {
@@ -96,15 +96,15 @@
       });
     }
     const usage = this.hooks.teamUsage();
-    const needs: Gossip['needs'] = [];
+    const needs: ShardStatus['needs'] = [];
     const short: Shortage[] = [];
     for (const id of [...this.shortSince.keys()]) {
       const job = this.jobs.get(id);
       if (!job || !waiting.has(job)) this.shortSince.delete(id);
     }
-    for (const job of waiting.keys()) if (job.suspect) waiting.delete(job);
+    for (const job of waiting.keys()) if (job.quarantined) waiting.delete(job);
     for (const [job, w] of [...waiting].sort(
-      (a, b) => restPriority(b[0]) - restPriority(a[0]) || a[0].order - b[0].order,
+      (a, b) => remainingTasksPriority(b[0]) - remainingTasksPriority(a[0]) || a[0].order - b[0].order,
     )) {
       const cap = this.underCap(job, usage);
       const soon = Math.min(w.soon, cap);
@@ -130,14 +130,15 @@
 
   /** How long the machines of this shard that can take the urgent work that waits would take for it. */
   private urgentS(): number {
-    const now = this.world.clock.now();
+    const now = this.context.clock.now();
     const slots = new Map<string, number>();
     let seconds = 0;
     for (const job of this.jobs.values()) {
-      if (restPriority(job) < PRIORITY.high || job.spec.kind === 'service' || job.notBefore > now) continue;
-      if (job.waitsFor.size > 0) continue;
-      if (job.spec.kind === 'gang' && job.places.size > 0) continue;
-      const open = openCount(job);
+      if (remainingTasksPriority(job) < PRIORITY.high || job.spec.kind === 'service' || job.notBefore > now)
+        continue;
+      if (job.pendingDependencies.size > 0) continue;
+      if (job.spec.kind === 'gang' && job.placements.size > 0) continue;
+      const open = unplacedCount(job);
       if (open === 0) continue;
       const { cpus, gpus, memoryGb } = job.need;
       const key = `${cpus} ${gpus} ${memoryGb} ${job.spec.types ?? ''} ${job.spec.zone} ${job.spec.spot} ${job.spec.match?.requirements ?? ''}`;
@@ -151,9 +152,15 @@
   /** How many tasks of a job the shard's machines take at once. */
   private slotsFor(job: Job, now: number): number {
     let slots = 0;
-    for (const m of this.fleet.machines.values()) {
-      if (m.leaving || m.lost || m.closedUntil > now || !kindAllowed(job, m.type, m.zone, m.spot)) continue;
-      slots += fitCount(this.world.catalog.size(m.type), job.need, 1000);
+    for (const m of this.registry.machines.values()) {
+      if (
+        m.decommissioning ||
+        m.leaseExpired ||
+        m.quarantinedUntil > now ||
+        !kindAllowed(job, m.type, m.zone, m.spot)
+      )
+        continue;
+      slots += fitCount(this.context.catalog.size(m.type), job.need, 1000);
     }
     return slots;
   }
@@ -163,7 +170,7 @@
    * it by them, would be given machines there without end, and start on none of them.
    */
   private byZone(job: Job, count: number): [zone: number | null, count: number][] {
-    const room = zoneRoom(job, this.zonesOf(job));
+    const room = zoneCapacity(job, this.zonesOf(job));
     if (!room) return [[job.zone, count]];
     let left = count;
     return room
@@ -177,7 +184,7 @@
 
   /** The zones in which there are machines for a job, the shard's own first. */
   private zonesOf(job: Job): number[] {
-    const { names, settings, catalog } = this.world;
+    const { names, settings, catalog } = this.context;
     const zones = new Set<string>();
     for (const [type, t] of catalog.all())
       if ((!job.types || job.types.has(type)) && fitCount(t, job.need, 1) > 0)
@@ -188,16 +195,16 @@
       .filter((z) => job.zone === null || z === job.zone);
   }
 
-  private need(job: Job, count: number, waitS: number, zone: number | null): Gossip['needs'][number] {
+  private need(job: Job, count: number, waitS: number, zone: number | null): ShardStatus['needs'][number] {
     return {
       types: job.spec.types,
-      zone: zone === null ? null : this.world.names.zones.name(zone),
+      zone: zone === null ? null : this.context.names.zones.name(zone),
       spot: job.spec.spot,
       cpus: job.need.cpus,
       gpus: job.need.gpus,
       memoryGb: job.need.memoryGb,
       count,
-      priority: restPriority(job),
+      priority: remainingTasksPriority(job),
       guaranteed: this.hooks.guaranteed(job),
       deadline: job.dueWall,
       waitS,
@@ -207,25 +214,25 @@
 
   /** The kinds of machine that may take a job which asks more than its type and zone. */
   private kindsOf(job: Job): string[] {
-    const { zones } = this.world.names;
+    const { zones } = this.context.names;
     const kinds: string[] = [];
-    for (const { type, of, zone, spot } of this.world.catalog.kinds())
-      if (kindAllowed(job, type, zones.index(zone), spot)) kinds.push(kindName(of.name, zone, spot));
+    for (const { type, of, zone, spot } of this.context.catalog.kinds())
+      if (kindAllowed(job, type, zones.index(zone), spot)) kinds.push(machineKindName(of.name, zone, spot));
     return kinds;
   }
 
   private shortestBoot(job: Job): number {
     let best = 1e9;
-    for (const [type, t] of this.world.catalog.all()) {
+    for (const [type, t] of this.context.catalog.all()) {
       if (job.types && !job.types.has(type)) continue;
-      if (fitCount(this.world.catalog.size(type), job.need, 1) > 0) best = Math.min(best, t.bootS);
+      if (fitCount(this.context.catalog.size(type), job.need, 1) > 0) best = Math.min(best, t.bootS);
     }
     return best;
   }
 
   /** How many more tasks of a job its team may run at once. */
   private underCap(job: Job, usage: Map<number, Amounts>): number {
-    const team = this.world.settings.teams[job.team];
+    const team = this.context.settings.teams[job.team];
     const use = usage.get(job.team);
     if (!team || !use) return 100_000;
     return fitCount(
@@ -239,12 +246,16 @@
     );
   }
 
-  gossip(node: string): Gossip {
-    const n = this.world.names;
+  gossip(node: string): ShardStatus {
+    const n = this.context.names;
     const spares = [];
     const kinds = new Map<string, number>();
-    for (const m of this.fleet.machines.values()) {
-      if (!this.hooks.spare(m) || this.supply.moving.has(m.id) || m.closedUntil > this.world.clock.now())
+    for (const m of this.registry.machines.values()) {
+      if (
+        !this.hooks.spare(m) ||
+        this.supply.moving.has(m.id) ||
+        m.quarantinedUntil > this.context.clock.now()
+      )
         continue;
       const kind = kindKey(m.type, m.zone, m.spot);
       kinds.set(kind, (kinds.get(kind) ?? 0) + 1);
@@ -258,15 +269,15 @@
       });
     }
     const soft = [];
-    for (const m of this.fleet.machines.values()) {
+    for (const m of this.registry.machines.values()) {
       if (
-        this.preemption.promised.has(m.id) ||
+        this.preemption.reservedForTransfer.has(m.id) ||
         this.supply.moving.has(m.id) ||
-        !this.preemption.softTo(m, PRIORITY.production + 1)
+        !this.preemption.isPreemptibleFor(m, PRIORITY.production + 1)
       )
         continue;
       let top = 0;
-      for (const h of m.held.values()) top = Math.max(top, this.jobs.get(h.job)?.priority ?? 0);
+      for (const h of m.attempts.values()) top = Math.max(top, this.jobs.get(h.job)?.priority ?? 0);
       soft.push({
         id: m.id,
         type: n.types.name(m.type),
@@ -279,9 +290,9 @@
     return {
       shard: this.index,
       node,
-      zone: this.world.settings.zone,
+      zone: this.context.settings.zone,
       urgentS: this.urgentS(),
-      machines: this.fleet.machines.size,
+      machines: this.registry.machines.size,
       spares,
       soft: soft.slice(0, 30),
       needs: this.needs.slice(0, 20),
--- a/src/scheduler/responses.ts
+++ b/src/scheduler/responses.ts
@@ -1,17 +1,17 @@
 import type { JobEntry } from '../jobs/job.js';
 import type { JobStatus } from '../wire/users.js';
-import type { Claim, Standing } from './dependencytracker.js';
+import type { DependencyStatus, DependentClaim } from './dependencytracker.js';
 
 /** What an owner answers about its jobs, and what it needs of the other owners. */
 
 /** This node cannot answer now; the same request may be sent again. */
-export class Unavailable extends Error {}
+export class UnavailableError extends Error {}
 
 /** What an owner says that has not taken its shard over yet, or may have lost it. */
 export const NOT_READY = 'the shard is being taken over';
 
 /** Nobody who could decide for the shard can be asked now. */
-export class OwnerAway extends Unavailable {}
+export class OwnerUnavailableError extends UnavailableError {}
 
 export interface StatusAnswer {
   status: JobStatus;
@@ -30,12 +30,12 @@
   | { kind: 'busy'; retryS: number };
 
 /** What a shard needs of the other shards. */
-export interface Others {
+export interface PeerShards {
   /** Whether every node understands what the first version did not. */
-  allRead(): boolean;
+  allSupportLatest(): boolean;
   locate(id: string): Promise<JobEntry | null>;
   /** How a job stands by the state service alone, with all that it needs. */
-  read(id: string): Promise<'active' | 'done' | 'cancelled' | 'unsure'>;
-  askNeeded(shard: number, from: number, claims: Claim[]): Promise<Standing[]>;
-  tellOver(shard: number, id: string, status: 'done' | 'cancelled'): void;
+  jobStatusFromStore(id: string): Promise<'active' | 'done' | 'cancelled' | 'unsure'>;
+  requestDependencyStatus(shard: number, from: number, claims: DependentClaim[]): Promise<DependencyStatus[]>;
+  notifyDependencyEnded(shard: number, id: string, status: 'done' | 'cancelled'): void;
 }
--- a/src/scheduler/runtimeestimates.ts
+++ b/src/scheduler/runtimeestimates.ts
@@ -1,14 +1,14 @@
-import type { World } from '../context/context.js';
+import type { ControllerContext } from '../context/context.js';
 import type { Job } from '../jobs/job.js';
 import type { JobSpec } from '../wire/users.js';
-import type { Held } from '../workers/machine.js';
+import type { TaskAttempt } from '../workers/machine.js';
 
 /** How long tasks run: the owners' estimates, and what their classes have shown. */
-export class Estimates {
+export class RuntimeEstimates {
   private readonly ratios = new Map<string, { log: number; count: number }>();
 
   constructor(
-    private readonly world: World,
+    private readonly context: ControllerContext,
     private readonly jobs: ReadonlyMap<string, Job>,
   ) {}
 
@@ -31,7 +31,7 @@
   }
 
   /** Takes over what the former owner has learnt. */
-  inherit(classes: Iterable<[string, { log: number; count: number }]>): void {
+  restore(classes: Iterable<[string, { log: number; count: number }]>): void {
     for (const [name, { log, count }] of classes) this.ratios.set(name, { log, count });
   }
 
@@ -40,12 +40,12 @@
   }
 
   /** When a task on a machine is expected to end; one that outruns its estimate is given some more each time. */
-  heldEnd(h: Held, now: number): number {
+  expectedEnd(h: TaskAttempt, now: number): number {
     const job = this.jobs.get(h.job);
     if (!job || h.stop) return now + 3000 + (h.stop?.graceS ? (job?.spec.saveS ?? 0) * 1000 : 0);
     if (job.spec.kind === 'service') return now + 1e12;
     const run = this.runS(job.spec) * 1000;
-    const type = this.world.catalog.get(h.machine.type);
+    const type = this.context.catalog.get(h.machine.type);
     const fetch = h.machine.images.has(job.image) ? 0 : (job.spec.imageGb / (type?.fetchGbPerS ?? 1)) * 1000;
     const start = h.runningAt ?? Math.max(now, h.orderedAt + fetch);
     const elapsed = Math.max(0, now - start);
--- a/src/scheduler/servicelevelobjectives.ts
+++ b/src/scheduler/servicelevelobjectives.ts
@@ -3,21 +3,21 @@
 import type { JobSpec } from '../wire/users.js';
 
 /** From an order to a start some seconds pass: the report or push, and mostly a fetch. */
-const LEAD_S = 8;
+const START_DELAY_S = 8;
 /** An aim that has to be met within so long is near. */
 const NEAR_S = 25;
 /** After so many times its widest aim a job goes by its acceptance alone, before all that came later. */
-const PUT_OFF_MOST = 4;
+const MAX_DEFERRAL_FACTOR = 4;
 
 /** What a waiting job's aims say of its place among work that is otherwise equal; lower goes first. */
-export const RANKS = { lastChance: 0, allInReach: 1, someLost: 2, allLost: 3 } as const;
+export const SLO_RANKS = { lastChance: 0, allReachable: 1, someMissed: 2, allMissed: 3 } as const;
 
 /**
  * Where more urgent work waits than machines can start in time, the order of acceptance makes all of it late: each job
  * waits behind those that have already missed what their class is for. So work goes by the aims that are still in reach,
  * as the settings state them (`objectives`).
  */
-export class Aims {
+export class ServiceLevelObjectives {
   private readonly byClass = new Map<string, { starts: number[]; ends: number[] }>();
 
   constructor(objectives: readonly Objective[]) {
@@ -36,33 +36,36 @@
   rank(spec: Pick<JobSpec, 'class' | 'deadlineS'>, ageS: number, runS: number): number {
     // What was accepted for a deadline of its user's is never put off for others.
     if (spec.deadlineS !== null)
-      return spec.deadlineS - runS - LEAD_S - ageS < NEAR_S ? RANKS.lastChance : RANKS.allInReach;
+      return spec.deadlineS - runS - START_DELAY_S - ageS < NEAR_S
+        ? SLO_RANKS.lastChance
+        : SLO_RANKS.allReachable;
     const aims = this.byClass.get(spec.class);
-    if (!aims || ageS > PUT_OFF_MOST * Math.max(...aims.starts, ...aims.ends)) return RANKS.allInReach;
+    if (!aims || ageS > MAX_DEFERRAL_FACTOR * Math.max(...aims.starts, ...aims.ends))
+      return SLO_RANKS.allReachable;
     let lost = 0;
     let next = Number.POSITIVE_INFINITY;
     const look = (latest: number) => {
-      const left = latest - LEAD_S - ageS;
+      const left = latest - START_DELAY_S - ageS;
       if (left < 0) lost++;
       else next = Math.min(next, left);
     };
     for (const s of aims.starts) look(s);
     for (const e of aims.ends) look(e - runS);
-    if (lost === 0) return RANKS.allInReach;
-    if (next === Number.POSITIVE_INFINITY) return RANKS.allLost;
-    return next < NEAR_S ? RANKS.lastChance : RANKS.someLost;
+    if (lost === 0) return SLO_RANKS.allReachable;
+    if (next === Number.POSITIVE_INFINITY) return SLO_RANKS.allMissed;
+    return next < NEAR_S ? SLO_RANKS.lastChance : SLO_RANKS.someMissed;
   }
 
   /** The aim that a job can meet the longest: until when after its acceptance, and by when it has to start for it. */
-  last(spec: Pick<JobSpec, 'class'>, runS: number): { withinS: number; latestS: number } | null {
+  lastReachable(spec: Pick<JobSpec, 'class'>, runS: number): { withinS: number; latestS: number } | null {
     const aims = this.byClass.get(spec.class);
     if (!aims) return null;
     let last: { withinS: number; latestS: number } | null = null;
     const look = (withinS: number, latestS: number) => {
       if (!last || latestS > last.latestS) last = { withinS, latestS };
     };
-    for (const s of aims.starts) look(s, s - LEAD_S);
-    for (const e of aims.ends) look(e, e - runS - LEAD_S);
+    for (const s of aims.starts) look(s, s - START_DELAY_S);
+    for (const e of aims.ends) look(e, e - runS - START_DELAY_S);
     return last;
   }
 
@@ -76,7 +79,7 @@
       // What has aged has waited long enough, whatever it has missed.
       const gang = job.spec.kind === 'gang' && !job.aged;
       const ageS = (wall - job.acceptedWall) / 1000;
-      ranks.set(job, gang ? this.rank(job.spec, ageS, runS(job.spec)) : RANKS.allInReach);
+      ranks.set(job, gang ? this.rank(job.spec, ageS, runS(job.spec)) : SLO_RANKS.allReachable);
     }
     return ranks;
   }
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -1,131 +1,137 @@
 // This package: one shard as its owner has it: acceptance, starts, preemption, demand, estimates, failures.
 
-import { Supply } from '../autoscaler/autoscaler.js';
-import type { Gossip, Need } from '../autoscaler/shardstatus.js';
+import { Autoscaler } from '../autoscaler/autoscaler.js';
+import type { ResourceDemand, ShardStatus } from '../autoscaler/shardstatus.js';
 import { pause } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
 import { partSockets } from '../config/settings.js';
-import type { World } from '../context/context.js';
-import { type Job, openCount } from '../jobs/job.js';
-import { JobRecords, type LoadedJob, NotOwner } from '../jobs/records.js';
+import type { ControllerContext } from '../context/context.js';
+import { type Job, unplacedCount } from '../jobs/job.js';
+import { JobRecords, type LoadedJob, NotOwnerError } from '../jobs/records.js';
 import { KEYS, type MachineRecord, readMachineRecord } from '../schema/schema.js';
-import type { Taken } from '../standby/standbyreplicas.js';
-import type { Keeper } from '../standby/standbyreplicator.js';
-import { mayDecide } from '../standby/takeoverchecks.js';
-import { StateFailure } from '../state/statestore.js';
+import type { TakeoverState } from '../standby/standbyreplicas.js';
+import type { StandbyReplicator } from '../standby/standbyreplicator.js';
+import { mayAct } from '../standby/takeoverchecks.js';
+import { StateStoreError } from '../state/statestore.js';
 import type { Entry } from '../wire/state.js';
 import type { JobSpec, ListedJob } from '../wire/users.js';
-import type { Report } from '../wire/workers.js';
+import type { Heartbeat } from '../wire/workers.js';
 import type { Machine } from '../workers/machine.js';
-import { Fleet } from '../workers/machineregistry.js';
-import { type Claim, type Standing, Waiting } from './dependencytracker.js';
+import { MachineRegistry } from '../workers/machineregistry.js';
+import { type DependencyStatus, DependencyTracker, type DependentClaim } from './dependencytracker.js';
 import { FailureTracker } from './failuretracker.js';
-import { Questions } from './jobrequests.js';
+import { JobRequests } from './jobrequests.js';
 import { JobTable } from './jobtable.js';
 import { PlanInput } from './planinput.js';
 import { Planner } from './planner.js';
 import { Preemption } from './preemption.js';
-import { Telling } from './replicationsource.js';
-import { Demand } from './resourcedemand.js';
-import type { Others, StatusAnswer, SubmitAnswer } from './responses.js';
-import { Estimates } from './runtimeestimates.js';
-import { Draining } from './spotdraining.js';
-import { Starts } from './taskdispatcher.js';
-import { Progress } from './taskprogress.js';
-import { Unseen } from './unreconciledmachines.js';
-import { Inheritance } from './warmstart.js';
+import { ShardReplicationSource } from './replicationsource.js';
+import { ResourceDemandTracker } from './resourcedemand.js';
+import type { PeerShards, StatusAnswer, SubmitAnswer } from './responses.js';
+import { RuntimeEstimates } from './runtimeestimates.js';
+import { SpotDraining } from './spotdraining.js';
+import { TaskDispatcher } from './taskdispatcher.js';
+import { TaskProgress } from './taskprogress.js';
+import { UnreconciledMachines } from './unreconciledmachines.js';
+import { WarmStart } from './warmstart.js';
 
 const TICK_MS = 1000;
-const TELL_MS = 15_000;
-const STIR_MS = 30;
-const AGAIN_MS = 300;
+const STATUS_LOG_INTERVAL_MS = 15_000;
+const PLAN_DELAY_MS = 30;
+const LOAD_RETRY_MS = 300;
 
 /** One shard while this node owns it: its jobs, its machines and the plan that joins them. */
 export class Shard {
-  readonly fleet: Fleet;
-  private readonly table: JobTable;
+  readonly registry: MachineRegistry;
+  private readonly jobTable: JobTable;
   private readonly records: JobRecords;
-  private readonly estimates: Estimates;
+  private readonly estimates: RuntimeEstimates;
   private readonly planInput: PlanInput;
   private readonly planner: Planner;
-  private readonly demand: Demand;
-  private readonly supply: Supply;
+  private readonly resourceDemand: ResourceDemandTracker;
+  private readonly autoscaler: Autoscaler;
   private readonly preemption: Preemption;
-  private readonly starts: Starts;
+  private readonly dispatcher: TaskDispatcher;
   private readonly failures: FailureTracker;
-  private readonly waiting: Waiting;
-  private readonly progress: Progress;
-  private readonly questions: Questions;
-  private readonly draining: Draining;
-  private readonly telling: Telling | null;
-  private readonly inheritance: Inheritance;
+  private readonly dependencies: DependencyTracker;
+  private readonly taskProgress: TaskProgress;
+  private readonly jobRequests: JobRequests;
+  private readonly spotDraining: SpotDraining;
+  private readonly replicationSource: ShardReplicationSource | null;
+  private readonly warmStart: WarmStart;
   private readonly log: Log;
   private readonly claimedAt: number;
-  private readonly unseen: Unseen;
+  private readonly unreconciled: UnreconciledMachines;
   private loaded = false;
   private stopped = false;
   private planRequested = false;
   private ticking = false;
   /** Before this moment there is no other plan. */
   private planNotBefore = 0;
-  private toldAt = Number.NEGATIVE_INFINITY;
-  private toldAdopted = false;
+  private statusLoggedAt = Number.NEGATIVE_INFINITY;
+  private streamRestarted = false;
 
   constructor(
-    private readonly world: World,
+    private readonly context: ControllerContext,
     readonly index: number,
     readonly term: number,
-    private readonly entitledNow: () => boolean,
-    private readonly onLost: () => void,
-    others: Others,
+    private readonly leaseCovers: () => boolean,
+    private readonly onOwnershipLost: () => void,
+    others: PeerShards,
     /** The owner's side of its standby, and what came from the former owner; null without one. */
-    private readonly keeper: Keeper | null = null,
-    private readonly taken: Taken | null = null,
+    private readonly replicator: StandbyReplicator | null = null,
+    private readonly takeover: TakeoverState | null = null,
   ) {
-    this.log = world.log.child({ shard: index, term });
-    this.claimedAt = world.clock.now();
-    this.table = new JobTable(world, index, term);
-    const { jobs } = this.table;
+    this.log = context.log.child({ shard: index, term });
+    this.claimedAt = context.clock.now();
+    this.jobTable = new JobTable(context, index, term);
+    const { jobs } = this.jobTable;
     this.records = new JobRecords(
-      world.store,
+      context.store,
       index,
       term,
-      { ...world.settings.stateLimits, layoutKb: world.settings.layoutKb },
-      () => others.allRead(),
-      () => keeper?.recordsChanged(),
+      { ...context.settings.stateLimits, layoutKb: context.settings.layoutKb },
+      () => others.allSupportLatest(),
+      () => replicator?.recordsChanged(),
     );
-    this.fleet = new Fleet(world.clock, world.http, world.settings.workers, this.log, {
-      entitled: () => this.entitled,
-      renewRecord: (m) => this.supply.writeRecord(m),
-      found: (h) => this.progress.found(h),
-      changed: (h) => this.progress.changed(h),
-      gone: (h, why) => this.progress.gone(h, why),
-      session: (m) => this.telling?.machine(m),
-      announce: (held) =>
-        this.keeper?.announce(held.map((h) => ({ job: h.job, machine: h.machine.id }))) ?? null,
+    this.registry = new MachineRegistry(context.clock, context.http, context.settings.workers, this.log, {
+      holdsShard: () => this.mayAct,
+      renewFencingToken: (m) => this.autoscaler.writeRecord(m),
+      onAttemptFound: (h) => this.taskProgress.onAttemptFound(h),
+      onAttemptChanged: (h) => this.taskProgress.onAttemptChanged(h),
+      onAttemptGone: (h, why) => this.taskProgress.onAttemptGone(h, why),
+      onIncarnation: (m) => this.replicationSource?.machine(m),
+      announceStarts: (held) =>
+        this.replicator?.announce(held.map((h) => ({ job: h.job, machine: h.machine.id }))) ?? null,
       requestPlan: () => this.requestPlan(),
     });
-    this.unseen = new Unseen(world, this.fleet, taken?.warmth ?? null, this.log, this.claimedAt);
-    this.estimates = new Estimates(world, jobs);
-    this.waiting = new Waiting(world, index, jobs, this.log, {
-      endedHere: (id) => this.table.endedAs(id),
+    this.unreconciled = new UnreconciledMachines(
+      context,
+      this.registry,
+      takeover?.snapshot ?? null,
+      this.log,
+      this.claimedAt,
+    );
+    this.estimates = new RuntimeEstimates(context, jobs);
+    this.dependencies = new DependencyTracker(context, index, jobs, this.log, {
+      endedStatus: (id) => this.jobTable.endedStatus(id),
       locate: (id) => others.locate(id),
-      read: (id) => others.read(id),
-      recall: (id) => this.questions.recall(id),
-      ask: (shard, claims) => others.askNeeded(shard, index, claims),
-      tell: (shard, id, status) => others.tellOver(shard, id, status),
-      released: () => this.requestPlan(),
-      doomed: () => this.questions.endDoomed(),
+      jobStatusFromStore: (id) => others.jobStatusFromStore(id),
+      recall: (id) => this.jobRequests.recall(id),
+      requestStatus: (shard, claims) => others.requestDependencyStatus(shard, index, claims),
+      notifyEnded: (shard, id, status) => others.notifyDependencyEnded(shard, id, status),
+      onReleased: () => this.requestPlan(),
+      onCancelledByDependency: () => this.jobRequests.storePendingCancellations(),
       expectedEnd: (job, now) => this.planner.expectedEnd(job, now),
       runS: (spec) => this.estimates.runS(spec),
     });
-    this.failures = new FailureTracker(jobs, this.fleet.machines, this.log, (job) =>
-      this.telling?.blamed(job),
+    this.failures = new FailureTracker(jobs, this.registry.machines, this.log, (job) =>
+      this.replicationSource?.onQuarantineChanged(job),
     );
-    this.progress = new Progress(
-      world,
-      this.fleet,
-      this.table,
+    this.taskProgress = new TaskProgress(
+      context,
+      this.registry,
+      this.jobTable,
       this.records,
       this.estimates,
       this.failures,
@@ -134,200 +140,215 @@
         stopped: () => this.stopped,
         requestPlan: () => this.requestPlan(),
         lostOwnership: () => this.lostOwnership(),
-        left: (job, h) => this.telling?.left(job, h),
-        running: (h) => this.telling?.running(h),
-        imaged: (m) => this.telling?.machine(m),
-        learnt: (job) => this.telling?.learnt(job.spec.class),
-        ranSince: (h) => this.inheritance.ranSince(h),
-        over: (job, status) => {
-          this.telling?.over(job);
-          this.demand.forget(job.spec.id);
-          this.waiting.over(job.spec.id, status, job);
+        onAttemptLeft: (job, h) => this.replicationSource?.onAttemptLeft(job, h),
+        onRunning: (h) => this.replicationSource?.onRunning(h),
+        onImageCached: (m) => this.replicationSource?.machine(m),
+        onRuntimeLearnt: (job) => this.replicationSource?.onRuntimeLearnt(job.spec.class),
+        runningSince: (h) => this.warmStart.runningSince(h),
+        onJobEnded: (job, status) => {
+          this.replicationSource?.onJobEnded(job);
+          this.resourceDemand.forget(job.spec.id);
+          this.dependencies.onJobEnded(job.spec.id, status, job);
           this.requestPlan();
         },
       },
     );
-    this.starts = new Starts(world, term, this.fleet, jobs, this.log, {
-      useOf: (h) => this.table.useOf(h),
-      unseen: () => this.unseen.amounts(),
-      nowhereElse: (job) => this.unseen.nowhereElse(job),
-      withheld: (id) => this.supply.moving.has(id) || this.preemption.promised.has(id),
+    this.dispatcher = new TaskDispatcher(context, term, this.registry, jobs, this.log, {
+      usageOf: (h) => this.jobTable.usageOf(h),
+      unreconciledCapacity: () => this.unreconciled.capacity(),
+      surelyNotRunning: (job) => this.unreconciled.surelyNotRunning(job),
+      isReservedForTransfer: (id) =>
+        this.autoscaler.moving.has(id) || this.preemption.reservedForTransfer.has(id),
       lostOwnership: () => this.lostOwnership(),
     });
-    this.preemption = new Preemption(world, this.fleet, jobs, this.log, {
+    this.preemption = new Preemption(context, this.registry, jobs, this.log, {
       ready: () => this.ready,
-      nowhereElse: (job) => this.unseen.nowhereElse(job),
-      teamUsage: () => this.starts.teamUsage(),
-      free: (m) => this.starts.freeOn(m, new Map()),
-      moving: (id) => this.supply.moving.has(id),
-      give: (id, to) => this.give(id, to, true),
+      surelyNotRunning: (job) => this.unreconciled.surelyNotRunning(job),
+      teamUsage: () => this.dispatcher.teamUsage(),
+      freeCapacity: (m) => this.dispatcher.freeCapacity(m, new Map()),
+      isMoving: (id) => this.autoscaler.moving.has(id),
+      transferMachine: (id, to) => this.transferMachine(id, to, true),
       requestPlan: () => this.requestPlan(),
     });
-    this.supply = new Supply(world, index, term, this.fleet, this.log, {
+    this.autoscaler = new Autoscaler(context, index, term, this.registry, this.log, {
       stopped: () => this.stopped,
-      spare: (m) => this.isSpare(m),
-      recorded: (id, entry) => this.machineRecord(id, entry),
+      spare: (m) => this.isIdle(m),
+      recorded: (id, entry) => this.onMachineRecord(id, entry),
       lostOwnership: () => this.lostOwnership(),
-      uniqueName: (kind) => this.table.uniqueName(kind),
-      needOf: (jobClass) => this.table.needs.get(jobClass) ?? null,
-      sawNothing: () => this.table.needs.size === 0,
+      uniqueName: (kind) => this.jobTable.uniqueName(kind),
+      needOf: (jobClass) => this.jobTable.taskSizeByClass.get(jobClass) ?? null,
+      sawNothing: () => this.jobTable.taskSizeByClass.size === 0,
       requestPlan: () => this.requestPlan(),
     });
-    this.planInput = new PlanInput(world, this.fleet, this.estimates, {
-      useOf: (h) => this.table.useOf(h),
-      withheld: (id) => this.supply.moving.has(id) || this.preemption.promised.has(id),
-      rentals: () => this.supply.rentals,
-      unseen: () => this.unseen.amounts(),
-      heldBack: (job, now) => this.unseen.heldBack(job, now),
-    });
-    this.demand = new Demand(world, index, this.fleet, jobs, this.estimates, this.supply, this.preemption, {
-      teamUsage: () => this.starts.teamUsage(),
-      nowhereElse: (job) => this.unseen.nowhereElse(job),
-      guaranteed: (job) => this.planner.isGuaranteed(job),
-      spare: (m) => this.isSpare(m),
+    this.planInput = new PlanInput(context, this.registry, this.estimates, {
+      usageOf: (h) => this.jobTable.usageOf(h),
+      isReservedForTransfer: (id) =>
+        this.autoscaler.moving.has(id) || this.preemption.reservedForTransfer.has(id),
+      rentals: () => this.autoscaler.rentals,
+      unreconciledCapacity: () => this.unreconciled.capacity(),
+      blockedUntil: (job, now) => this.unreconciled.blockedUntil(job, now),
     });
+    this.resourceDemand = new ResourceDemandTracker(
+      context,
+      index,
+      this.registry,
+      jobs,
+      this.estimates,
+      this.autoscaler,
+      this.preemption,
+      {
+        teamUsage: () => this.dispatcher.teamUsage(),
+        nowhereElse: (job) => this.unreconciled.surelyNotRunning(job),
+        guaranteed: (job) => this.planner.isGuaranteed(job),
+        spare: (m) => this.isIdle(m),
+      },
+    );
     this.planner = new Planner(
-      world,
-      this.table,
-      this.fleet,
+      context,
+      this.jobTable,
+      this.registry,
       this.estimates,
       this.planInput,
-      this.waiting,
-      this.supply,
-      this.starts,
+      this.dependencies,
+      this.autoscaler,
+      this.dispatcher,
       this.preemption,
-      this.demand,
+      this.resourceDemand,
     );
-    this.questions = new Questions(
-      world,
+    this.jobRequests = new JobRequests(
+      context,
       index,
-      this.table,
+      this.jobTable,
       this.records,
       this.planner,
-      this.progress,
-      this.waiting,
+      this.taskProgress,
+      this.dependencies,
       this.log,
       {
         ready: () => this.ready,
-        entitled: () => this.entitled,
+        mayAct: () => this.mayAct,
         lostOwnership: () => this.lostOwnership(),
         requestPlan: () => this.requestPlan(),
       },
     );
-    this.draining = new Draining(this.fleet, jobs, this.estimates, TICK_MS);
-    this.inheritance = new Inheritance(world, taken?.warmth ?? null);
-    this.telling = keeper
-      ? new Telling(world, this.fleet, jobs, this.estimates, keeper, {
-          settled: (job) => this.unseen.nowhereElse(job),
+    this.spotDraining = new SpotDraining(this.registry, jobs, this.estimates, TICK_MS);
+    this.warmStart = new WarmStart(context, takeover?.snapshot ?? null);
+    this.replicationSource = replicator
+      ? new ShardReplicationSource(context, this.registry, jobs, this.estimates, replicator, {
+          placementsKnown: (job) => this.unreconciled.surelyNotRunning(job),
         })
       : null;
   }
 
-  get entitled(): boolean {
-    return mayDecide({
+  get mayAct(): boolean {
+    return mayAct({
       stopped: this.stopped,
-      leased: this.entitledNow(),
-      promised: this.keeper?.mayAct ?? true,
+      leased: this.leaseCovers(),
+      promised: this.replicator?.leaseCovers ?? true,
     });
   }
 
   get ready(): boolean {
-    return this.loaded && this.entitled;
+    return this.loaded && this.mayAct;
   }
 
   stop(): void {
     this.stopped = true;
-    this.fleet.stop();
-    this.waiting.stop();
-    this.keeper?.stop();
+    this.registry.stop();
+    this.dependencies.stop();
+    this.replicator?.stop();
   }
 
   /** Loads what the state service has of the shard; tried again until it works or the shard is lost. */
   async start(): Promise<void> {
     while (!this.stopped) {
       try {
-        const [jobs, machines] = await Promise.all([this.loadJobs(), this.world.store.list(KEYS.machines)]);
+        const [jobs, machines] = await Promise.all([this.loadJobs(), this.context.store.list(KEYS.machines)]);
         if (this.stopped) return;
-        const adopted = jobs.map((l) => this.progress.adopt(l));
+        const adopted = jobs.map((l) => this.taskProgress.adopt(l));
         for (const job of adopted) {
           // What it needs is not done under this term yet, so that no owner before can have started it.
-          if (job.spec.after.some((id) => this.table.jobs.has(id))) job.fresh = true;
+          if (job.spec.after.some((id) => this.jobTable.jobs.has(id))) job.acceptedUnderThisTerm = true;
         }
-        this.waiting.add(adopted);
-        for (const e of machines.entries) this.machineRecord(e.key.slice(KEYS.machines.length), e);
-        for (const m of this.fleet.machines.values()) {
-          m.unknown = true;
-          m.answeredAt = this.claimedAt;
-          m.givenAt = this.claimedAt;
+        this.dependencies.add(adopted);
+        for (const e of machines.entries) this.onMachineRecord(e.key.slice(KEYS.machines.length), e);
+        for (const m of this.registry.machines.values()) {
+          m.mayHoldUnreportedTasks = true;
+          m.leaseRenewedAt = this.claimedAt;
+          m.lastAcknowledgedAt = this.claimedAt;
         }
-        this.inheritance.give(adopted, this.fleet.machines.values(), this.estimates);
+        this.warmStart.apply(adopted, this.registry.machines.values(), this.estimates);
         this.loaded = true;
-        this.unseen.loaded();
+        this.unreconciled.onLoaded();
         this.log.info(
-          { jobs: jobs.length, machines: this.fleet.machines.size, warm: this.taken !== null },
+          { jobs: jobs.length, machines: this.registry.machines.size, warm: this.takeover !== null },
           'shard taken',
         );
-        const greeted = this.inheritance.greetingOrder([...this.fleet.machines.values()], adopted);
-        void this.fleet.greet(greeted, (m) => this.inheritance.session(m), this.greetAtOnce);
-        if (this.keeper && this.telling) {
-          this.keeper.source = this.telling;
-          this.keeper.start();
+        const greeted = this.warmStart.reconciliationOrder([...this.registry.machines.values()], adopted);
+        void this.registry.reconcileAll(
+          greeted,
+          (m) => this.warmStart.incarnationOf(m),
+          this.maxConcurrentReconciliations,
+        );
+        if (this.replicator && this.replicationSource) {
+          this.replicator.source = this.replicationSource;
+          this.replicator.start();
         }
         this.loop();
         return;
       } catch (error) {
         this.log.debug({ error: String(error) }, 'loading the shard failed');
-        await pause(this.world.clock, AGAIN_MS);
+        await pause(this.context.clock, LOAD_RETRY_MS);
       }
     }
   }
 
   /** Jobs with all changes up to the claim: from what the standby has followed, else read anew. */
   private async loadJobs(): Promise<LoadedJob[]> {
-    const followed = (await this.taken?.jobs(this.term)) ?? null;
+    const followed = (await this.takeover?.jobs(this.term)) ?? null;
     if (!followed) return this.records.load();
     this.log.info({ jobs: followed.jobs.length, changes: followed.changes }, 'records followed up');
     return followed.jobs;
   }
 
   /** Half of the sockets for workers: answers and orders need some meanwhile. */
-  private get greetAtOnce(): number {
-    return Math.max(4, Math.floor(partSockets(this.world.settings.limits.maxSockets).workers / 2));
+  private get maxConcurrentReconciliations(): number {
+    return Math.max(4, Math.floor(partSockets(this.context.settings.limits.maxSockets).workers / 2));
   }
 
   private loop(): void {
     if (this.stopped) return;
     this.tick();
-    this.world.clock.after(TICK_MS, () => this.loop());
+    this.context.clock.after(TICK_MS, () => this.loop());
   }
 
   /** Plans again soon; many changes at once make one plan. */
   requestPlan(): void {
     if (this.planRequested || this.stopped) return;
     this.planRequested = true;
-    this.world.clock.after(Math.max(STIR_MS, this.planNotBefore - this.world.clock.now()), () => {
+    this.context.clock.after(Math.max(PLAN_DELAY_MS, this.planNotBefore - this.context.clock.now()), () => {
       this.planRequested = false;
-      this.guarded(() => this.replan(this.world.clock.now()));
+      this.runIfActive(() => this.replan(this.context.clock.now()));
     });
   }
 
   // --- records of machines
 
   /** The record of a machine as the state service has it. */
-  machineRecord(id: string, entry: Entry | null): void {
-    const m = this.fleet.machines.get(id);
+  onMachineRecord(id: string, entry: Entry | null): void {
+    const m = this.registry.machines.get(id);
     const r = entry && readMachineRecord(entry.value);
     if (!entry || !r || r.shard !== this.index) {
-      if (m && (!entry || entry.version > m.version)) this.fleet.remove(m);
+      if (m && (!entry || entry.version > m.version)) this.registry.remove(m);
       return;
     }
     if (m) {
       if (entry.version > m.version) {
         m.version = entry.version;
-        m.leaving = r.state === 'leaving';
-        if (entry.version > m.token) {
-          m.token = entry.version;
-          m.synced = false;
+        m.decommissioning = r.state === 'leaving';
+        if (entry.version > m.fencingToken) {
+          m.fencingToken = entry.version;
+          m.reconciled = false;
         }
       }
       return;
@@ -336,161 +357,170 @@
   }
 
   private addMachine(id: string, r: MachineRecord, version: number): void {
-    const now = this.world.clock.now();
-    const listed = this.world.catalog.listedById.get(id);
-    this.fleet.machines.set(id, {
+    const now = this.context.clock.now();
+    const listed = this.context.catalog.listedById.get(id);
+    this.registry.machines.set(id, {
       id,
       addr: r.addr || listed?.addr || '',
-      type: this.world.names.types.index(r.type),
-      zone: this.world.names.zones.index(r.zone),
+      type: this.context.names.types.index(r.type),
+      zone: this.context.names.zones.index(r.zone),
       spot: r.spot,
-      leaving: r.state === 'leaving',
+      decommissioning: r.state === 'leaving',
       version,
-      token: Math.max(this.term, version),
-      session: 0,
-      seq: -1,
-      minSession: 0,
-      synced: false,
-      unknown: false,
-      answeredAt: now,
-      givenAt: now,
-      heardAt: null,
-      lost: false,
-      rentedAt: now - Math.max(0, this.world.clock.wall() - r.rentedAt),
-      noticeUntil: null,
-      held: new Map(),
+      fencingToken: Math.max(this.term, version),
+      incarnation: 0,
+      heartbeatSequence: -1,
+      minIncarnation: 0,
+      reconciled: false,
+      mayHoldUnreportedTasks: false,
+      leaseRenewedAt: now,
+      lastAcknowledgedAt: now,
+      lastHeartbeatAt: null,
+      leaseExpired: false,
+      rentedAt: now - Math.max(0, this.context.clock.wall() - r.rentedAt),
+      reclaimAt: null,
+      attempts: new Map(),
       images: new Map(),
       idleSince: now,
       unreachableAt: null,
-      unheard: 0,
-      errors: 0,
-      closedUntil: 0,
+      unconfirmedResponses: 0,
+      consecutiveErrors: 0,
+      quarantinedUntil: 0,
     });
-    const m = this.fleet.machines.get(id)!;
-    if (this.loaded) void this.fleet.contact(m, null);
+    const m = this.registry.machines.get(id)!;
+    if (this.loaded) void this.registry.reconcile(m, null);
     this.requestPlan();
   }
 
   private lostOwnership(): Error {
     this.stop();
-    this.onLost();
-    return new NotOwner();
+    this.onOwnershipLost();
+    return new NotOwnerError();
   }
 
   /** Gives an empty machine to another shard. False when it is not to be had. */
-  async give(id: string, to: number, promised = false): Promise<boolean> {
-    const m = this.fleet.machines.get(id);
-    if (!m || !this.ready || this.supply.moving.has(id)) return false;
-    if (promised ? !this.isEmpty(m) : !this.isSpare(m)) return false;
-    this.supply.moving.add(id);
+  async transferMachine(id: string, to: number, promised = false): Promise<boolean> {
+    const m = this.registry.machines.get(id);
+    if (!m || !this.ready || this.autoscaler.moving.has(id)) return false;
+    if (promised ? !this.isEmpty(m) : !this.isIdle(m)) return false;
+    this.autoscaler.moving.add(id);
     try {
-      await this.supply.writeRecord(m, { shard: to });
-      this.fleet.remove(m);
+      await this.autoscaler.writeRecord(m, { shard: to });
+      this.registry.remove(m);
       this.log.info({ machine: id, to }, 'machine given');
       return true;
     } catch (error) {
       this.log.info({ machine: id, error: String(error) }, 'giving failed');
-      if (!(error instanceof StateFailure) || error.maybe) await this.supply.settleRecord(m);
+      if (!(error instanceof StateStoreError) || error.mayHaveApplied) await this.autoscaler.settleRecord(m);
       return false;
     } finally {
-      this.supply.moving.delete(id);
+      this.autoscaler.moving.delete(id);
     }
   }
 
-  private isSpare(m: Machine): boolean {
-    return this.isEmpty(m) && !this.planner.hasBooked(m.id) && !this.preemption.promised.has(m.id);
+  private isIdle(m: Machine): boolean {
+    return (
+      this.isEmpty(m) && !this.planner.hasReservation(m.id) && !this.preemption.reservedForTransfer.has(m.id)
+    );
   }
 
   private isEmpty(m: Machine): boolean {
-    return m.synced && !m.leaving && !m.lost && !m.unknown && m.held.size === 0 && m.noticeUntil === null;
+    return (
+      m.reconciled &&
+      !m.decommissioning &&
+      !m.leaseExpired &&
+      !m.mayHoldUnreportedTasks &&
+      m.attempts.size === 0 &&
+      m.reclaimAt === null
+    );
   }
 
   // --- reports
 
-  report(m: Machine, r: Report): object | null {
+  onHeartbeat(m: Machine, r: Heartbeat): object | null {
     if (!this.loaded) return null;
-    return this.fleet.report(m, r);
+    return this.registry.onHeartbeat(m, r);
   }
 
   // --- what is asked of an owner
 
   /** A job of this shard that is not over yet. */
   job(id: string): Job | undefined {
-    return this.table.jobs.get(id);
+    return this.jobTable.jobs.get(id);
   }
 
   submit(spec: JobSpec): Promise<SubmitAnswer> {
-    return this.questions.submit(spec);
+    return this.jobRequests.submit(spec);
   }
 
   status(id: string): Promise<StatusAnswer | null> {
-    return this.questions.status(id);
+    return this.jobRequests.status(id);
   }
 
   cancel(id: string): Promise<'done' | 'cancelled' | null> {
-    return this.questions.cancel(id);
+    return this.jobRequests.cancel(id);
   }
 
   /** The first unfinished jobs after an id that begin with `under`, in the order of ids. */
   list(under: string, after: string, most: number): ListedJob[] {
-    return this.questions.list(under, after, most);
+    return this.jobRequests.list(under, after, most);
   }
 
   /** Another shard needs jobs of this one. */
-  neededBy(shard: number, claims: readonly Claim[]): Standing[] {
-    this.questions.check();
-    return this.waiting.claimed(shard, claims);
+  dependencyStatus(shard: number, claims: readonly DependentClaim[]): DependencyStatus[] {
+    this.jobRequests.requireReady();
+    return this.dependencies.onDependentClaims(shard, claims);
   }
 
   /** A job of another shard is durably over. */
-  overElsewhere(id: string, status: 'done' | 'cancelled'): void {
-    if (this.ready) this.waiting.over(id, status, null);
+  onDependencyEnded(id: string, status: 'done' | 'cancelled'): void {
+    if (this.ready) this.dependencies.onJobEnded(id, status, null);
   }
 
   // --- the plan
 
   private tick(): void {
-    this.guarded(() => {
-      const now = this.world.clock.now();
-      this.tellAdopted();
+    this.runIfActive(() => {
+      const now = this.context.clock.now();
+      this.restartStreamOnceReconciled();
       this.planner.age();
-      this.waiting.tick(now);
-      this.questions.endDoomed();
-      this.draining.drain(now);
-      this.fleet.pushStops();
-      this.preemption.keepPromises(now);
-      this.supply.returnIdle(now);
-      this.tell(now);
+      this.dependencies.tick(now);
+      this.jobRequests.storePendingCancellations();
+      this.spotDraining.drain(now);
+      this.registry.sendStops();
+      this.preemption.completeTransfers(now);
+      this.autoscaler.returnIdle(now);
+      this.logStatus(now);
       this.requestPlan();
     });
   }
 
   /** Once all machines are known it is sure of every job where it is, which the standby should know too. */
-  private tellAdopted(): void {
-    if (!this.keeper || this.toldAdopted || !this.unseen.adopted) return;
-    this.toldAdopted = true;
-    this.keeper.refresh();
+  private restartStreamOnceReconciled(): void {
+    if (!this.replicator || this.streamRestarted || !this.unreconciled.allReconciled) return;
+    this.streamRestarted = true;
+    this.replicator.restartStream();
   }
 
   /** How the shard stands, for its operators: what each team runs and has waiting, and what its machines do. */
-  private tell(now: number): void {
-    if (now - this.toldAt < TELL_MS) return;
-    this.toldAt = now;
+  private logStatus(now: number): void {
+    if (now - this.statusLoggedAt < STATUS_LOG_INTERVAL_MS) return;
+    this.statusLoggedAt = now;
     this.failures.sweep();
     const teams: Record<string, { jobs: number; placed: number; open: number }> = {};
-    for (const job of this.table.jobs.values()) {
+    for (const job of this.jobTable.jobs.values()) {
       teams[job.spec.team] ??= { jobs: 0, placed: 0, open: 0 };
       const team = teams[job.spec.team]!;
       team.jobs++;
-      team.placed += job.places.size;
-      team.open += openCount(job);
+      team.placed += job.placements.size;
+      team.open += unplacedCount(job);
     }
     const machines = { all: 0, booting: 0, empty: 0, unsure: 0 };
-    for (const m of this.fleet.machines.values()) {
+    for (const m of this.registry.machines.values()) {
       machines.all++;
-      if (m.heardAt === null) machines.booting++;
-      else if (!m.synced || m.lost || m.unknown) machines.unsure++;
-      else if (m.held.size === 0) machines.empty++;
+      if (m.lastHeartbeatAt === null) machines.booting++;
+      else if (!m.reconciled || m.leaseExpired || m.mayHoldUnreportedTasks) machines.unsure++;
+      else if (m.attempts.size === 0) machines.empty++;
     }
     this.log.info({ teams, machines }, 'load');
   }
@@ -500,20 +530,20 @@
    * each plan there is a pause in proportion to what it took.
    */
   private replan(now: number): void {
-    this.unseen.tell(now);
+    this.unreconciled.logOnceReconciled(now);
     this.planner.schedule(now);
-    this.fleet.pushStops();
-    const after = this.world.clock.now();
-    this.planNotBefore = after + this.planner.pauseAfter(after - now);
+    this.registry.sendStops();
+    const after = this.context.clock.now();
+    this.planNotBefore = after + this.planner.pauseAfterMs(after - now);
   }
 
-  private guarded(work: () => void): void {
+  private runIfActive(work: () => void): void {
     if (this.ticking || !this.loaded || this.stopped) return;
     this.ticking = true;
     try {
       // An owner that may not act loses no machine either: they are another's by now, or its again with its lease.
-      if (!this.entitled) return;
-      this.fleet.tick();
+      if (!this.mayAct) return;
+      this.registry.tick();
       work();
     } catch (error) {
       this.log.error({ error: error instanceof Error ? error.stack : String(error) }, 'tick failed');
@@ -525,22 +555,22 @@
   // --- renting and returning
 
   /** Promises a machine whose tasks end soon to a shard where urgent work waits longer. False when there is none. */
-  reserveMachine(to: number, need: Need, zone: string): boolean {
-    const now = this.world.clock.now();
-    return this.preemption.reserveMachine(to, need, zone, (h) => this.estimates.heldEnd(h, now));
+  reserveForTransfer(to: number, need: ResourceDemand, zone: string): boolean {
+    const now = this.context.clock.now();
+    return this.preemption.reserveForTransfer(to, need, zone, (h) => this.estimates.expectedEnd(h, now));
   }
 
-  gossip(node: string): Gossip {
-    return this.demand.gossip(node);
+  shardStatus(node: string): ShardStatus {
+    return this.resourceDemand.gossip(node);
   }
 
   /** Clears a machine for another shard's more urgent work. False when that is not to be. */
-  clearMachine(id: string, to: number, priority: number): boolean {
-    return this.preemption.clearMachine(id, to, priority);
+  evictForTransfer(id: string, to: number, priority: number): boolean {
+    return this.preemption.evictForTransfer(id, to, priority);
   }
 
   /** The cloud's list has been read. */
-  listed(): void {
-    this.supply.listed();
+  onMachineList(): void {
+    this.autoscaler.listed();
   }
 }
--- a/src/scheduler/taskdispatcher.ts
+++ b/src/scheduler/taskdispatcher.ts
@@ -1,12 +1,12 @@
 import type { Log } from '../config/log.js';
-import type { World } from '../context/context.js';
-import { type Job, kindAllowed, restPriority } from '../jobs/job.js';
+import type { ControllerContext } from '../context/context.js';
+import { type Job, kindAllowed, remainingTasksPriority } from '../jobs/job.js';
 import { type Amounts, fitCount } from '../plan/capacityprofile.js';
 import type { Plan } from '../plan/plan.js';
-import { machineUsable, needsMet } from '../standby/takeoverchecks.js';
+import { dependenciesMet, machineUsable } from '../standby/takeoverchecks.js';
 import { PRIORITY } from '../wire/users.js';
-import type { Held, Machine } from '../workers/machine.js';
-import type { Fleet, StartOrder } from '../workers/machineregistry.js';
+import type { Machine, TaskAttempt } from '../workers/machine.js';
+import type { MachineRegistry, TaskStart } from '../workers/machineregistry.js';
 
 const ATTEMPTS_PER_TERM = 2 ** 20;
 /**
@@ -14,54 +14,54 @@
  * and reports: more of them at once would keep a small controller from everything else.
  */
 const LOW_STARTS_PER_CORE = 800;
-const LOW_STARTS_SAVED_S = 2;
+const LOW_STARTS_BURST_S = 2;
 
-export interface StartHooks {
+export interface TaskDispatcherHooks {
   /** Whose a task is and what it takes; null when nobody remembers. */
-  useOf(h: Held): { team: number; need: Amounts } | null;
+  usageOf(h: TaskAttempt): { team: number; need: Amounts } | null;
   /** What machines that have not reported to this owner may hold. */
-  unseen(): Amounts;
+  unreconciledCapacity(): Amounts;
   /** Whether a task of a job that is not known to be anywhere is surely nowhere. */
-  nowhereElse(job: Job): boolean;
+  surelyNotRunning(job: Job): boolean;
   /** Whether a machine is on its way to another shard or back to the cloud. */
-  withheld(id: string): boolean;
+  isReservedForTransfer(id: string): boolean;
   lostOwnership(): Error;
 }
 
 /** Starts tasks, and sees to it that none starts where a rule forbids it, whatever the plan says. */
-export class Starts {
+export class TaskDispatcher {
   private attempts = 0;
   private lowStarts = 0;
   private lowStartsAt = Number.NEGATIVE_INFINITY;
   /** Zones of the tasks that this round of starts has placed, by job. */
   private readonly pending = new Map<string, number[]>();
-  private heldZones: Map<string, Map<number, number>> | null = null;
+  private attemptsByZone: Map<string, Map<number, number>> | null = null;
   /** Of which jobs it is known in this round of starts whether they may be where nobody has looked. */
-  private readonly sure = new Map<Job, boolean>();
+  private readonly notRunningCache = new Map<Job, boolean>();
 
   constructor(
-    private readonly world: World,
+    private readonly context: ControllerContext,
     private readonly term: number,
-    private readonly fleet: Fleet,
+    private readonly registry: MachineRegistry,
     private readonly jobs: ReadonlyMap<string, Job>,
     private readonly log: Log,
-    private readonly hooks: StartHooks,
+    private readonly hooks: TaskDispatcherHooks,
   ) {}
 
   /** Starts what the plan has for now, where the machines are truly free and the rules surely hold. */
   dispatch(plan: Plan, refs: (Machine | null)[], byOrder: Map<number, Job>, now: number): void {
-    const perMachine = new Map<Machine, StartOrder[]>();
+    const perMachine = new Map<Machine, TaskStart[]>();
     const free = new Map<Machine, Amounts>();
-    this.heldZones = null;
-    this.sure.clear();
+    this.attemptsByZone = null;
+    this.notRunningCache.clear();
     const usage = this.teamUsage();
     const gangs = new Map<Job, { m: Machine; index: number }[]>();
     const singles: { job: Job; m: Machine; index: number }[] = [];
-    for (const b of plan.bookings) {
+    for (const b of plan.reservations) {
       const m = refs[b.machine];
       const job = byOrder.get(b.job.id);
       if (!m || !job || b.start > now / 1000 + 0.01) continue;
-      if (!this.nowhere(job)) continue;
+      if (!this.isSurelyNotRunning(job)) continue;
       if (job.spec.kind === 'gang') {
         const list = gangs.get(job) ?? [];
         list.push({ m, index: b.task });
@@ -71,11 +71,11 @@
       }
     }
     const start = (job: Job, parts: { m: Machine; index: number }[]) => {
-      if (!this.permitted(job, parts, free, usage, now)) return;
+      if (!this.mayStart(job, parts, free, usage, now)) return;
       const attempt = this.nextAttempt();
       job.attempt = attempt;
       for (const p of parts) {
-        take(this.freeOn(p.m, free), job.need);
+        take(this.freeCapacity(p.m, free), job.need);
         const list = perMachine.get(p.m) ?? [];
         list.push({ job: job.spec.id, index: p.index, attempt });
         perMachine.set(p.m, list);
@@ -89,38 +89,38 @@
     };
     for (const [job, parts] of gangs) if (parts.length === job.spec.tasks) start(job, parts);
     for (const s of singles) {
-      if (restPriority(s.job) === PRIORITY.low && !this.mayStartLow(now)) continue;
+      if (remainingTasksPriority(s.job) === PRIORITY.low && !this.mayStartLow(now)) continue;
       start(s.job, [s]);
     }
     this.pending.clear();
     for (const [m, starts] of perMachine) {
-      for (const h of this.fleet.start(m, starts)) {
-        this.jobs.get(h.job)?.places.set(h.index, h);
+      for (const h of this.registry.startTasks(m, starts)) {
+        this.jobs.get(h.job)?.placements.set(h.index, h);
         this.log.debug({ task: `${h.job}/${h.index}`, attempt: h.attempt, machine: m.id }, 'task started');
       }
     }
   }
 
-  private nowhere(job: Job): boolean {
-    let sure = this.sure.get(job);
+  private isSurelyNotRunning(job: Job): boolean {
+    let sure = this.notRunningCache.get(job);
     if (sure === undefined) {
-      sure = this.hooks.nowhereElse(job);
-      this.sure.set(job, sure);
+      sure = this.hooks.surelyNotRunning(job);
+      this.notRunningCache.set(job, sure);
     }
     return sure;
   }
 
   private mayStartLow(now: number): boolean {
-    const perSecond = LOW_STARTS_PER_CORE * Math.min(1, this.world.settings.limits.cores);
+    const perSecond = LOW_STARTS_PER_CORE * Math.min(1, this.context.settings.limits.cores);
     const saved = this.lowStarts + ((now - this.lowStartsAt) / 1000) * perSecond;
-    this.lowStarts = Math.min(perSecond * LOW_STARTS_SAVED_S, saved);
+    this.lowStarts = Math.min(perSecond * LOW_STARTS_BURST_S, saved);
     this.lowStartsAt = now;
     if (this.lowStarts < 1) return false;
     this.lowStarts--;
     return true;
   }
 
-  private permitted(
+  private mayStart(
     job: Job,
     parts: { m: Machine; index: number }[],
     free: Map<Machine, Amounts>,
@@ -129,8 +129,8 @@
   ): boolean {
     if (job.state !== 'active' || job.notBefore > now) return false;
     // Whatever the plan says: not before all that it needs is known to be done.
-    if (!needsMet(job)) return false;
-    const team = this.world.settings.teams[job.team];
+    if (!dependenciesMet(job)) return false;
+    const team = this.context.settings.teams[job.team];
     const use = usage.get(job.team);
     if (team && use) {
       const n = parts.length;
@@ -141,9 +141,9 @@
     for (const p of parts) want.set(p.m, (want.get(p.m) ?? 0) + 1);
     for (const [m, n] of want) {
       if (!machineUsable(m)) return false;
-      if (this.hooks.withheld(m.id)) return false;
+      if (this.hooks.isReservedForTransfer(m.id)) return false;
       if (m.unreachableAt !== null && now - m.unreachableAt < 6000) return false;
-      if (fitCount(this.freeOn(m, free), job.need, n) < n) return false;
+      if (fitCount(this.freeCapacity(m, free), job.need, n) < n) return false;
       if (!kindAllowed(job, m.type, m.zone, m.spot)) return false;
     }
     return this.zonesPermit(job, parts);
@@ -151,7 +151,7 @@
 
   private zonesPermit(job: Job, parts: { m: Machine; index: number }[]): boolean {
     if (!job.spec.oneZone && !job.spec.spread) return true;
-    const zones = new Map(this.zonesHeld().get(job.spec.id));
+    const zones = new Map(this.zonesOfAttempts().get(job.spec.id));
     const count = (zone: number) => zones.set(zone, (zones.get(zone) ?? 0) + 1);
     for (const zone of this.pending.get(job.spec.id) ?? []) count(zone);
     for (const p of parts) count(p.m.zone);
@@ -161,19 +161,19 @@
   }
 
   /** Where tasks of each job are or may be, by zone; worked out once for each round of starts. */
-  private zonesHeld(): Map<string, Map<number, number>> {
-    if (!this.heldZones) {
-      this.heldZones = new Map();
-      for (const m of this.fleet.machines.values()) {
-        for (const h of m.held.values()) {
+  private zonesOfAttempts(): Map<string, Map<number, number>> {
+    if (!this.attemptsByZone) {
+      this.attemptsByZone = new Map();
+      for (const m of this.registry.machines.values()) {
+        for (const h of m.attempts.values()) {
           if (h.state === 'exited') continue;
-          const zones = this.heldZones.get(h.job) ?? new Map<number, number>();
+          const zones = this.attemptsByZone.get(h.job) ?? new Map<number, number>();
           zones.set(m.zone, (zones.get(m.zone) ?? 0) + 1);
-          this.heldZones.set(h.job, zones);
+          this.attemptsByZone.set(h.job, zones);
         }
       }
     }
-    return this.heldZones;
+    return this.attemptsByZone;
   }
 
   private nextAttempt(): number {
@@ -183,13 +183,13 @@
   }
 
   /** What is free on a machine beside all that it holds or may hold. */
-  freeOn(m: Machine, memo: Map<Machine, Amounts>): Amounts {
+  freeCapacity(m: Machine, memo: Map<Machine, Amounts>): Amounts {
     let free = memo.get(m);
     if (!free) {
-      free = { ...this.world.catalog.size(m.type) };
-      for (const h of m.held.values()) {
+      free = { ...this.context.catalog.size(m.type) };
+      for (const h of m.attempts.values()) {
         if (h.state === 'exited') continue;
-        const use = this.hooks.useOf(h);
+        const use = this.hooks.usageOf(h);
         if (use) take(free, use.need);
         else free.cpus = -1;
       }
@@ -201,20 +201,20 @@
   /** What each team's tasks take now, with all that may be somewhere unseen. */
   teamUsage(): Map<number, Amounts> {
     const usage = new Map<number, Amounts>();
-    const unseen = this.hooks.unseen();
-    this.world.settings.teams.forEach((_, team) => {
+    const unseen = this.hooks.unreconciledCapacity();
+    this.context.settings.teams.forEach((_, team) => {
       usage.set(team, { ...unseen });
     });
-    for (const m of this.fleet.machines.values()) {
-      for (const h of m.held.values()) {
+    for (const m of this.registry.machines.values()) {
+      for (const h of m.attempts.values()) {
         if (h.state === 'exited') continue;
-        const use = this.hooks.useOf(h);
+        const use = this.hooks.usageOf(h);
         if (use) {
           const sum = usage.get(use.team);
           if (sum) add(sum, use.need);
         } else {
           // Whose it is nobody remembers: it counts for everyone.
-          for (const sum of usage.values()) add(sum, this.world.catalog.size(m.type));
+          for (const sum of usage.values()) add(sum, this.context.catalog.size(m.type));
         }
       }
     }
--- a/src/schema/schema.ts
+++ b/src/schema/schema.ts
@@ -20,17 +20,17 @@
   /** The rest of an assignment of teams that is too long for one value. */
   moreTeams: (n: number) => `c/teams/${n}`,
   /** What a node's newest version understands; stays when the node is away. */
-  speaks: (name: string) => `c/speaks/${name}`,
-  types: 'c/types',
+  protocolVersion: (name: string) => `c/speaks/${name}`,
+  machineTypes: 'c/types',
   /** How a job ended; never deleted. */
   job: (id: string) => `job/${id}`,
   /** Unfinished jobs of all shards, and their done tasks. */
   active: 'act/',
   activeJob: (id: string) => `act/${id}`,
-  chunk: (id: string, chunk: number | string) => `act/${id}/${chunk}`,
+  completionChunk: (id: string, chunk: number | string) => `act/${id}/${chunk}`,
   /** A piece of a job's description that is too long for one value. */
-  part: (id: string, tag: string, n: number) => `part/${id}/${tag}/${n}`,
-  parts: (id: string, tag: string) => `part/${id}/${tag}/`,
+  specPart: (id: string, tag: string, n: number) => `part/${id}/${tag}/${n}`,
+  specParts: (id: string, tag: string) => `part/${id}/${tag}/`,
 };
 
 /**
@@ -55,9 +55,9 @@
   /** In the key of a node: it passes changes of the cluster's keys on to others (docs/changes.md). */
   feeds: v.optional(v.boolean()),
 });
-export type Holder = v.InferOutput<typeof holder>;
+export type LeaseHolder = v.InferOutput<typeof holder>;
 
-export function readHolder(value: unknown): Holder | null {
+export function readLeaseHolder(value: unknown): LeaseHolder | null {
   const p = v.safeParse(holder, value);
   return p.success ? p.output : null;
 }
--- a/src/standby/jobrecordreplica.ts
+++ b/src/standby/jobrecordreplica.ts
@@ -1,6 +1,6 @@
 import { Mutex } from 'async-mutex';
 import type { Log } from '../config/log.js';
-import type { World } from '../context/context.js';
+import type { ControllerContext } from '../context/context.js';
 import { type LoadedJob, readChunk, readLoaded, shardOfRecord } from '../jobs/records.js';
 import { KEYS } from '../schema/schema.js';
 import type { Entry } from '../wire/state.js';
@@ -13,7 +13,7 @@
  * The unfinished jobs of the shards that this node stands by for, as the state service has them: read once, and from then on
  * the changes since, all with one request. Nothing depends on how old it is: whoever takes a shard reads on to the revision of its claim.
  */
-export class RecordCopy {
+export class JobRecordReplica {
   private readonly jobs = new Map<string, { shard: number; loaded: LoadedJob }>();
   private readonly shards = new Set<number>();
   /** All changes up to it are in the copy; 0 when all has to be read. */
@@ -26,7 +26,7 @@
   private readonly mutex = new Mutex();
 
   constructor(
-    private readonly world: World,
+    private readonly context: ControllerContext,
     private readonly log: Log,
   ) {}
 
@@ -53,7 +53,7 @@
 
   /** The owner has changed something since. */
   changed(): void {
-    if (this.mutex.isLocked() || this.world.clock.now() - this.readAt < READ_EVERY_MS) return;
+    if (this.mutex.isLocked() || this.context.clock.now() - this.readAt < READ_EVERY_MS) return;
     void this.mutex
       .runExclusive(() => this.read())
       .catch((error) => this.log.debug({ error: String(error) }, 'changes not read yet'));
@@ -75,7 +75,7 @@
 
   /** Reads what has changed, or all of it; returns how many changes or records that were. */
   private async read(): Promise<number> {
-    const { store, clock } = this.world;
+    const { store, clock } = this.context;
     this.readAt = clock.now();
     if (this.revision > 0) {
       const result = await store.watch(KEYS.active, this.revision, 0);
@@ -110,7 +110,7 @@
     }
     const shard = shardOfRecord(e.value);
     if (shard === null || !this.shards.has(shard)) return;
-    const loaded = await readLoaded(this.world.store, id, e);
+    const loaded = await readLoaded(this.context.store, id, e);
     if (!loaded) {
       this.jobs.delete(id);
       return;
--- a/src/standby/replicationstream.ts
+++ b/src/standby/replicationstream.ts
@@ -1,13 +1,13 @@
-import { BATCH_MOST, type FeedRecord } from './messages.js';
+import { MAX_BATCH_RECORDS, type ReplicationRecord } from './messages.js';
 
 /** Records that wait to be acknowledged; beyond this the stream begins anew rather than grow. */
-const QUEUED_MOST = 6000;
+const MAX_QUEUED_RECORDS = 6000;
 /** Records of a snapshot that are drawn at once, so that it takes its turns beside all else. */
-const PIECE = 200;
+const SNAPSHOT_CHUNK_RECORDS = 200;
 
-export interface FeedSource {
+export interface ReplicationSource {
   /** All that a standby has to know now; drawn piece by piece, each record as of when it is drawn. */
-  snapshot(): Iterator<FeedRecord>;
+  snapshot(): Iterator<ReplicationRecord>;
 }
 
 interface Announced {
@@ -21,13 +21,13 @@
  * It begins with a snapshot in pieces; records of what happens meanwhile come between the pieces, each later than what it
  * changes, so that the last word on anything is the newest.
  */
-export class Feed {
-  private queue: FeedRecord[] = [];
+export class ReplicationStream {
+  private queue: ReplicationRecord[] = [];
   /** Sequence number of the first record in the queue. */
   private first = 0;
-  private pieces: Iterator<FeedRecord> | null = null;
+  private pieces: Iterator<ReplicationRecord> | null = null;
   /** The standby may take itself for level: what may be started has to be announced and acknowledged before. */
-  private maybeLevel = false;
+  private mayBeInSync = false;
   /** Where the newest stream begins; what was level before it is so until that has been acknowledged. */
   private begun = 0;
   private announced: Announced[] = [];
@@ -35,7 +35,7 @@
   /** Streams begun since the standby was named. */
   streams = 0;
 
-  constructor(private readonly source: FeedSource) {
+  constructor(private readonly source: ReplicationSource) {
     this.begin();
   }
 
@@ -50,10 +50,10 @@
     for (const a of this.announced) a.next = this.begun + 1;
   }
 
-  add(record: FeedRecord): void {
+  add(record: ReplicationRecord): void {
     if (this.closed) return;
     this.queue.push(record);
-    if (this.queue.length > QUEUED_MOST) this.begin();
+    if (this.queue.length > MAX_QUEUED_RECORDS) this.begin();
   }
 
   /**
@@ -68,7 +68,7 @@
       if (!seen.has(key)) this.add({ t: 'at', job, machine });
       seen.add(key);
     }
-    if (!this.maybeLevel) return null;
+    if (!this.mayBeInSync) return null;
     return new Promise((settle) => {
       this.announced.push({ next: this.first + this.queue.length, settle });
     });
@@ -80,18 +80,18 @@
   }
 
   /** Whether the standby has all that there is. */
-  get level(): boolean {
-    return this.maybeLevel && this.pieces === null && this.queue.length === 0;
+  get inSync(): boolean {
+    return this.mayBeInSync && this.pieces === null && this.queue.length === 0;
   }
 
   /** Records that are not acknowledged yet. */
-  get behind(): number {
+  get unacknowledged(): number {
     return this.queue.length;
   }
 
   /** What the next message holds. */
-  batch(): { from: number; records: FeedRecord[] } {
-    for (let i = 0; this.pieces && i < PIECE && this.queue.length < BATCH_MOST; i++) {
+  batch(): { from: number; records: ReplicationRecord[] } {
+    for (let i = 0; this.pieces && i < SNAPSHOT_CHUNK_RECORDS && this.queue.length < MAX_BATCH_RECORDS; i++) {
       const drawn = this.pieces.next();
       if (!drawn.done) {
         this.queue.push(drawn.value);
@@ -99,9 +99,9 @@
       }
       this.pieces = null;
       this.queue.push({ t: 'level' });
-      this.maybeLevel = true;
+      this.mayBeInSync = true;
     }
-    return { from: this.first, records: this.queue.slice(0, BATCH_MOST) };
+    return { from: this.first, records: this.queue.slice(0, MAX_BATCH_RECORDS) };
   }
 
   /** The standby has all records before `next`. */
@@ -115,7 +115,7 @@
     this.queue.splice(0, next - this.first);
     this.first = next;
     // It has forgotten what it had, and is level again only with the mark of the new stream.
-    if (next > this.begun && this.pieces !== null) this.maybeLevel = false;
+    if (next > this.begun && this.pieces !== null) this.mayBeInSync = false;
     this.settle((a) => a.next <= next, true);
   }
 
--- a/src/standby/shardreplica.ts
+++ b/src/standby/shardreplica.ts
@@ -1,4 +1,4 @@
-import type { FeedRecord } from './messages.js';
+import type { ReplicationRecord } from './messages.js';
 
 /** Bounds of what a standby keeps of one shard; beyond them it knows less, and says so, rather than grow. */
 const MACHINES_OF_JOB = 64;
@@ -6,29 +6,29 @@
 const RUNS_MOST = 20_000;
 
 /** What a new owner knows of a shard from the one before it. */
-export interface Warmth {
+export interface ReplicaSnapshot {
   /**
    * Machines on which tasks of a job may be that the former owner, or one before it, has started; empty: none was started
    * ever. Null: not known, they may be anywhere.
    */
-  mayBeOn(job: string): ReadonlySet<string> | null;
+  machinesOf(job: string): ReadonlySet<string> | null;
   /** Time of day since which an attempt has run; null when that is not known. */
-  ranSince(task: string, attempt: number): number | null;
+  runningSince(task: string, attempt: number): number | null;
   /** The session of a machine and its images, as the former owner last knew them. */
   machine(id: string): { session: number; images: readonly (readonly [string, number])[] } | null;
   /** Run-time ratios of the classes. */
   classes(): Iterable<[string, { log: number; count: number }]>;
-  suspect(job: string): { failures: number; until: number } | null;
+  quarantine(job: string): { failures: number; until: number } | null;
 }
 
 const NONE: ReadonlySet<string> = new Set();
 
 /** The standby's side of what it follows of one shard (`Feed`). */
-export class WarmCopy implements Warmth {
+export class ShardReplica implements ReplicaSnapshot {
   /** Sequence number of the record that comes next. */
-  next = 0;
+  nextSequence = 0;
   /** The snapshot is complete, and every record since has been taken. */
-  level = false;
+  inSync = false;
   private started = false;
   private readonly where = new Map<string, Set<string> | null>();
   private places = 0;
@@ -38,17 +38,17 @@
   private readonly suspects = new Map<string, { failures: number; until: number }>();
 
   /** Takes records; what it has already is skipped, and after a gap nothing is taken until the gap is filled. */
-  take(from: number, records: readonly FeedRecord[]): void {
+  applyBatch(from: number, records: readonly ReplicationRecord[]): void {
     // A stream that begins anew may leave out what waited before it.
-    if (from > this.next && records[0]?.t === 'begin') this.next = from;
-    if (from > this.next) return;
-    for (let i = this.next - from; i < records.length; i++) {
+    if (from > this.nextSequence && records[0]?.t === 'begin') this.nextSequence = from;
+    if (from > this.nextSequence) return;
+    for (let i = this.nextSequence - from; i < records.length; i++) {
       this.apply(records[i]!);
-      this.next++;
+      this.nextSequence++;
     }
   }
 
-  private apply(r: FeedRecord): void {
+  private apply(r: ReplicationRecord): void {
     if (r.t === 'begin') {
       this.clear();
       this.started = true;
@@ -57,7 +57,7 @@
     if (!this.started) return;
     switch (r.t) {
       case 'level':
-        this.level = true;
+        this.inSync = true;
         return;
       case 'at':
         this.mayBe(r.job, r.machine);
@@ -68,7 +68,7 @@
         else for (const m of r.machines) this.mayBe(r.job, m);
         return;
       case 'off':
-        if (this.where.get(r.job)?.delete(r.machine)) this.places--;
+        if (this.where.get(r.job)?.delete(r.onMachineChanged)) this.places--;
         return;
       case 'over':
         this.forget(r.job);
@@ -94,7 +94,7 @@
   }
 
   private clear(): void {
-    this.level = false;
+    this.inSync = false;
     this.places = 0;
     for (const map of [this.where, this.runs, this.machines, this.ratios, this.suspects]) map.clear();
   }
@@ -125,14 +125,14 @@
     return this.places + this.where.size + this.runs.size + this.machines.size + this.suspects.size;
   }
 
-  mayBeOn(job: string): ReadonlySet<string> | null {
+  machinesOf(job: string): ReadonlySet<string> | null {
     // Of what was never level nothing is sure.
-    if (!this.level) return null;
+    if (!this.inSync) return null;
     const known = this.where.get(job);
     return known === undefined ? NONE : known;
   }
 
-  ranSince(task: string, attempt: number): number | null {
+  runningSince(task: string, attempt: number): number | null {
     return this.runs.get(`${task}#${attempt}`) ?? null;
   }
 
@@ -144,7 +144,7 @@
     return this.ratios;
   }
 
-  suspect(job: string): { failures: number; until: number } | null {
+  quarantine(job: string): { failures: number; until: number } | null {
     return this.suspects.get(job) ?? null;
   }
 }
--- a/src/standby/standbylease.ts
+++ b/src/standby/standbylease.ts
@@ -7,50 +7,50 @@
  */
 
 /** How long an owner may act after it sent a message that its standby acknowledged. */
-export const PROMISE_MS = 2000;
+export const STANDBY_LEASE_MS = 2000;
 /** Beside drift, for clocks that are read in steps. */
 const MARGIN_MS = 50;
 
 /** The owner's side, for one term. */
-export interface Pledge {
+export interface OwnerLease {
   /** Revision of the key that names the standby whose promise binds; null when none does. */
-  readonly bound: number | null;
+  readonly boundRevision: number | null;
   /** While it is bound, it acts until then. */
   readonly until: number;
 }
 
-export const UNBOUND: Pledge = { bound: null, until: Number.POSITIVE_INFINITY };
+export const NO_STANDBY: OwnerLease = { boundRevision: null, until: Number.POSITIVE_INFINITY };
 
 /**
  * A message under this revision is sent now. The first one binds: the standby may claim from `PROMISE_MS` after it has
  * answered, and it answers no sooner than this.
  */
-export function sending(p: Pledge, revision: number, now: number): Pledge {
-  return p.bound === revision ? p : { bound: revision, until: now + lasting() };
+export function onSend(p: OwnerLease, revision: number, now: number): OwnerLease {
+  return p.boundRevision === revision ? p : { boundRevision: revision, until: now + leaseDurationMs() };
 }
 
 /** The standby has answered a message that was sent at `sentAt`. */
-export function acknowledged(p: Pledge, revision: number, sentAt: number): Pledge {
-  if (p.bound !== revision) return p;
-  return { bound: revision, until: Math.max(p.until, sentAt + lasting()) };
+export function onAcknowledged(p: OwnerLease, revision: number, sentAt: number): OwnerLease {
+  if (p.boundRevision !== revision) return p;
+  return { boundRevision: revision, until: Math.max(p.until, sentAt + leaseDurationMs()) };
 }
 
 /** The standby is known to be struck off, or never to have been named: no claim of it can be applied any more. */
-export function struckOff(p: Pledge, revision: number): Pledge {
-  return p.bound === revision ? UNBOUND : p;
+export function onEvicted(p: OwnerLease, revision: number): OwnerLease {
+  return p.boundRevision === revision ? NO_STANDBY : p;
 }
 
 /** Whether the owner may act, as far as its standby goes; its state lease has to last as well. */
-export function mayAct(p: Pledge, now: number): boolean {
+export function leaseCovers(p: OwnerLease, now: number): boolean {
   return now < p.until;
 }
 
-function lasting(): number {
-  return PROMISE_MS * (1 - 2 * DRIFT) - MARGIN_MS;
+function leaseDurationMs(): number {
+  return STANDBY_LEASE_MS * (1 - 2 * DRIFT) - MARGIN_MS;
 }
 
 /** The standby's side, for one term and one revision of the key that names it. */
-export interface Vigil {
+export interface ReplicaState {
   readonly term: number;
   readonly revision: number;
   /** When it last answered the owner. */
@@ -62,7 +62,12 @@
 }
 
 /** A message of the owner has come; null when it must not be answered. */
-export function answering(v: Vigil | null, term: number, revision: number, now: number): Vigil | null {
+export function onMessage(
+  v: ReplicaState | null,
+  term: number,
+  revision: number,
+  now: number,
+): ReplicaState | null {
   if (!v || v.term < term || (v.term === term && v.revision < revision))
     return { term, revision, answeredAt: now, released: false, claimed: false };
   // From before: delivered late, by a connection that has broken since.
@@ -71,17 +76,17 @@
 }
 
 /** The owner says that it acts no more under this term. */
-export function releasing(v: Vigil | null, term: number, revision: number): Vigil | null {
+export function onRelease(v: ReplicaState | null, term: number, revision: number): ReplicaState | null {
   return v && v.term === term && v.revision === revision ? { ...v, released: true } : null;
 }
 
 /** Whether the owner's promise is surely over. */
-export function mayClaim(v: Vigil, now: number): boolean {
+export function mayClaim(v: ReplicaState, now: number): boolean {
   if (v.claimed) return false;
-  return v.released || now > v.answeredAt + PROMISE_MS * (1 + 2 * DRIFT) + MARGIN_MS;
+  return v.released || now > v.answeredAt + STANDBY_LEASE_MS * (1 + 2 * DRIFT) + MARGIN_MS;
 }
 
 /** A claim is sent now. */
-export function claiming(v: Vigil): Vigil {
+export function onClaim(v: ReplicaState): ReplicaState {
   return { ...v, claimed: true };
 }
--- a/src/standby/standbyreplicas.ts
+++ b/src/standby/standbyreplicas.ts
@@ -1,39 +1,46 @@
 import type { Log } from '../config/log.js';
 import type { LoadedJob } from '../jobs/records.js';
-import type { RecordCopy } from './jobrecordreplica.js';
-import { readAssumeMessage, readStandMessage, type StandAnswer } from './messages.js';
-import { WarmCopy, type Warmth } from './shardreplica.js';
-import { answering, claiming, mayClaim, PROMISE_MS, releasing, type Vigil } from './standbylease.js';
-
-const LOOK_MS = 125;
+import type { JobRecordReplica } from './jobrecordreplica.js';
+import { type ReplicationResponse, readHandoverMessage, readReplicationMessage } from './messages.js';
+import { type ReplicaSnapshot, ShardReplica } from './shardreplica.js';
+import {
+  mayClaim,
+  onClaim,
+  onMessage,
+  onRelease,
+  type ReplicaState,
+  STANDBY_LEASE_MS,
+} from './standbylease.js';
+
+const MIN_CHECK_INTERVAL_MS = 125;
 /**
  * An owner that answers nothing may only be slow, or stand still for a moment, and to take its shard over costs more than to
  * wait a little longer; one whose connections are refused is over as soon as its promise is.
  */
-const SILENT_MS = 3500;
-const CLAIM_AGAIN_MS = 200;
+const OWNER_SILENT_MS = 3500;
+const CLAIM_RETRY_MS = 200;
 
-export interface FollowerHooks {
+export interface StandbyReplicasHooks {
   now(): number;
   after(ms: number, run: () => void): void;
-  run: string;
+  incarnation: string;
   /** Whether this node may take shards: its lease lasts, it knows the keys, the workers reach it. */
-  mayTake(): boolean;
+  mayTakeOver(): boolean;
   /** Whether connections to a node are refused. */
   refused(node: string): boolean;
   /** Versions of a shard's owner key and standby key as this node's copy shows them, and how new that copy is. */
-  seen(shard: number): { owner: number; standby: number; revision: number };
+  cachedVersions(shard: number): { owner: number; standby: number; revision: number };
   /** How long ago the state service last renewed this node's lease. */
-  stateAgoMs(): number;
+  leaseRenewedAgoMs(): number;
   /** Replaces the owner's key: the new term; null when that surely failed for good; throws when it may be tried again. */
   claim(shard: number, term: number, revision: number): Promise<number | null>;
   /** The shard is this node's. */
-  taken(shard: number, term: number, from: Taken): void;
+  onTakeover(shard: number, term: number, from: TakeoverState): void;
 }
 
 /** What comes with a shard that was taken over. */
-export interface Taken {
-  warmth: Warmth;
+export interface TakeoverState {
+  snapshot: ReplicaSnapshot;
   /** Its unfinished jobs with all changes up to a revision; null when they are to be read anew. */
   jobs(revision: number): Promise<{ jobs: LoadedJob[]; changes: number } | null>;
   /** The former owner has said that it acts no more. */
@@ -41,23 +48,23 @@
   owner: string;
 }
 
-interface Followed {
-  vigil: Vigil;
+interface ReplicatedShard {
+  state: ReplicaState;
   owner: string;
-  copy: WarmCopy;
+  replica: ShardReplica;
   changes: number;
-  claimingNow: boolean;
+  claiming: boolean;
   claimAt: number;
 }
 
 /** The standby's side, for all shards that this node stands by for: follows them, and claims when a promise is over. */
-export class Follower {
-  private readonly shards = new Map<number, Followed>();
+export class StandbyReplicas {
+  private readonly shards = new Map<number, ReplicatedShard>();
 
   constructor(
-    private readonly records: RecordCopy,
+    private readonly records: JobRecordReplica,
     private readonly log: Log,
-    private readonly hooks: FollowerHooks,
+    private readonly hooks: StandbyReplicasHooks,
   ) {}
 
   start(): void {
@@ -70,73 +77,73 @@
   }
 
   /** A message of an owner; null when it is not answered. */
-  hear(args: unknown, from: string): StandAnswer | null {
-    const m = readStandMessage(args);
+  onReplicationMessage(args: unknown, from: string): ReplicationResponse | null {
+    const m = readReplicationMessage(args);
     // A run of this node before this one may have sent a claim that is still under way: it is not this one's to answer for.
-    if (!m || m.run !== this.hooks.run) return null;
+    if (!m || m.run !== this.hooks.incarnation) return null;
     const known = this.shards.get(m.shard);
     // A former owner that does not know yet that it is none.
     if (!known && this.isOver(m.shard, m.term, m.revision)) return null;
-    const vigil = answering(known?.vigil ?? null, m.term, m.revision, this.hooks.now());
-    if (!vigil) return null;
+    const replicaState = onMessage(known?.state ?? null, m.term, m.revision, this.hooks.now());
+    if (!replicaState) return null;
     let f = known;
-    if (!f || f.vigil.term !== m.term || f.vigil.revision !== m.revision) {
+    if (!f || f.state.term !== m.term || f.state.revision !== m.revision) {
       f = {
-        vigil,
+        state: replicaState,
         owner: from,
-        copy: new WarmCopy(),
+        replica: new ShardReplica(),
         changes: m.changes,
-        claimingNow: false,
+        claiming: false,
         claimAt: Number.NEGATIVE_INFINITY,
       };
       this.shards.set(m.shard, f);
       this.records.follow(m.shard);
       this.log.info({ shard: m.shard, term: m.term, owner: from }, 'standing by');
     }
-    f.vigil = vigil;
-    f.copy.take(m.from, m.records);
+    f.state = replicaState;
+    f.replica.applyBatch(m.from, m.records);
     if (m.changes !== f.changes) {
       f.changes = m.changes;
       this.records.changed();
     }
-    return { next: f.copy.next, stateAgoMs: this.hooks.stateAgoMs() };
+    return { next: f.replica.nextSequence, stateAgoMs: this.hooks.leaseRenewedAgoMs() };
   }
 
   /** The owner hands a shard over: true once it is this node's. */
-  async assume(args: unknown): Promise<boolean> {
-    const m = readAssumeMessage(args);
+  async onHandover(args: unknown): Promise<boolean> {
+    const m = readHandoverMessage(args);
     const f = m && this.shards.get(m.shard);
-    const vigil = f ? releasing(f.vigil, m.term, m.revision) : null;
-    if (!f || !vigil || m.run !== this.hooks.run || !this.hooks.mayTake()) return false;
-    f.vigil = vigil;
+    const replicaState = f ? onRelease(f.state, m.term, m.revision) : null;
+    if (!f || !replicaState || m.run !== this.hooks.incarnation || !this.hooks.mayTakeOver()) return false;
+    f.state = replicaState;
     return this.claim(m.shard, f);
   }
 
   /** Looks again when the first promise may be over, and more often once one is: mostly the next answer comes before. */
   private loop(): void {
-    for (const [shard, f] of this.shards) this.look(shard, f);
-    let next = PROMISE_MS;
-    for (const { vigil } of this.shards.values())
-      next = Math.min(next, vigil.answeredAt + PROMISE_MS * 1.05 - this.hooks.now());
-    this.hooks.after(Math.max(LOOK_MS, next), () => this.loop());
+    for (const [shard, f] of this.shards) this.checkOwner(shard, f);
+    let next = STANDBY_LEASE_MS;
+    for (const { state: replicaState } of this.shards.values())
+      next = Math.min(next, replicaState.answeredAt + STANDBY_LEASE_MS * 1.05 - this.hooks.now());
+    this.hooks.after(Math.max(MIN_CHECK_INTERVAL_MS, next), () => this.loop());
   }
 
-  private look(shard: number, f: Followed): void {
+  private checkOwner(shard: number, f: ReplicatedShard): void {
     const now = this.hooks.now();
-    if (!f.claimingNow && this.isOver(shard, f.vigil.term, f.vigil.revision)) {
-      this.leave(shard, f);
+    if (!f.claiming && this.isOver(shard, f.state.term, f.state.revision)) {
+      this.stopReplicating(shard, f);
       return;
     }
-    if (f.claimingNow || !this.hooks.mayTake()) return;
-    if (f.vigil.claimed) {
+    if (f.claiming || !this.hooks.mayTakeOver()) return;
+    if (f.state.claimed) {
       // Not executed the first time: nothing has been answered since, so that it stands as it did.
-      if (now - f.claimAt > CLAIM_AGAIN_MS) void this.claim(shard, f);
+      if (now - f.claimAt > CLAIM_RETRY_MS) void this.claim(shard, f);
       return;
     }
-    if (!mayClaim(f.vigil, now)) return;
-    const silentMs = now - f.vigil.answeredAt;
+    if (!mayClaim(f.state, now)) return;
+    const silentMs = now - f.state.answeredAt;
     const refused = this.hooks.refused(f.owner);
-    if (!f.vigil.released && !refused && silentMs < SILENT_MS) return;
+    if (!f.state.released && !refused && silentMs < OWNER_SILENT_MS) return;
     const why = { shard, owner: f.owner, silentMs: Math.round(silentMs), refused };
     this.log.info(why, 'owner is silent: taking over');
     void this.claim(shard, f);
@@ -144,24 +151,24 @@
 
   /** Struck off, or a later owner's: what this node's copy of the keys shows is newer than the vigil. */
   private isOver(shard: number, term: number, revision: number): boolean {
-    const seen = this.hooks.seen(shard);
+    const seen = this.hooks.cachedVersions(shard);
     const over = (version: number, mine: number) =>
       version > mine || (version === 0 && seen.revision >= revision);
     return over(seen.owner, term) || over(seen.standby, revision);
   }
 
-  private leave(shard: number, f: Followed): void {
+  private stopReplicating(shard: number, f: ReplicatedShard): void {
     if (this.shards.get(shard) !== f) return;
     this.shards.delete(shard);
     this.records.leave(shard);
   }
 
-  private async claim(shard: number, f: Followed): Promise<boolean> {
-    if (f.claimingNow) return false;
-    f.vigil = claiming(f.vigil);
-    f.claimingNow = true;
+  private async claim(shard: number, f: ReplicatedShard): Promise<boolean> {
+    if (f.claiming) return false;
+    f.state = onClaim(f.state);
+    f.claiming = true;
     f.claimAt = this.hooks.now();
-    const { term, revision, released } = f.vigil;
+    const { term, revision, released } = f.state;
     try {
       const taken = await this.hooks.claim(shard, term, revision);
       if (this.shards.get(shard) === f) this.shards.delete(shard);
@@ -169,8 +176,8 @@
         this.records.leave(shard);
         return false;
       }
-      this.hooks.taken(shard, taken, {
-        warmth: f.copy,
+      this.hooks.onTakeover(shard, taken, {
+        snapshot: f.replica,
         jobs: async (upTo) => {
           try {
             return await this.records.upTo(upTo, shard);
@@ -186,17 +193,17 @@
       this.log.info({ shard, error: String(error) }, 'taking over is tried again');
       return false;
     } finally {
-      f.claimingNow = false;
+      f.claiming = false;
     }
   }
 
   /** For those on call: what this node stands by for, and how much it keeps. */
-  told(): { shard: number; owner: string; level: boolean; kept: number }[] {
+  status(): { shard: number; owner: string; level: boolean; kept: number }[] {
     return [...this.shards].map(([shard, f]) => ({
       shard,
       owner: f.owner,
-      level: f.copy.level,
-      kept: f.copy.size,
+      level: f.replica.inSync,
+      kept: f.replica.size,
     }));
   }
 }
--- a/src/standby/standbyreplicator.ts
+++ b/src/standby/standbyreplicator.ts
@@ -1,123 +1,129 @@
 import { pause } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
-import type { World } from '../context/context.js';
+import type { ControllerContext } from '../context/context.js';
 import type { Mesh } from '../peer/mesh.js';
-import { type Holder, KEYS } from '../schema/schema.js';
-import { StateFailure } from '../state/statestore.js';
+import { KEYS, type LeaseHolder } from '../schema/schema.js';
+import { StateStoreError } from '../state/statestore.js';
 import type { Condition } from '../wire/state.js';
-import { type FeedRecord, readStandAnswer, readStandKey, STANDBY_OPS, type StandKey } from './messages.js';
-import { Feed, type FeedSource } from './replicationstream.js';
 import {
-  acknowledged,
-  mayAct,
-  type Pledge,
-  PROMISE_MS,
-  sending,
-  struckOff,
-  UNBOUND,
+  type ReplicationRecord,
+  readReplicationResponse,
+  readStandbyRecord,
+  STANDBY_OPS,
+  type StandbyRecord,
+} from './messages.js';
+import { type ReplicationSource, ReplicationStream } from './replicationstream.js';
+import {
+  leaseCovers,
+  NO_STANDBY,
+  type OwnerLease,
+  onAcknowledged,
+  onEvicted,
+  onSend,
+  STANDBY_LEASE_MS,
 } from './standbylease.js';
-import type { StruckOff } from './standbyselection.js';
+import type { EvictionBackoff } from './standbyselection.js';
 
 /** The owner's messages to its standby. */
-const EVERY_MS = 800;
-const LOOK_MS = 250;
+const HEARTBEAT_INTERVAL_MS = 800;
+const CHECK_INTERVAL_MS = 250;
 /** A standby that has not acknowledged anything sent since this long ago is struck off, well before the promise ends. */
-const SILENT_MS = 700;
+const ACKNOWLEDGE_TIMEOUT_MS = 700;
 /** A standby that is not level after so long is too slow to be of use. */
-const LEVEL_MS = 20_000;
-const ASSUME_MS = 2500;
+const SYNC_TIMEOUT_MS = 20_000;
+const HANDOVER_TIMEOUT_MS = 2500;
 /** When all nodes come up together, the first to be seen is not always the best. */
-const SETTLE_MS = 1500;
-const TELL_MS = 15_000;
+const INITIAL_DELAY_MS = 1500;
+const STATUS_LOG_INTERVAL_MS = 15_000;
 
-export interface KeeperHooks {
+export interface StandbyReplicatorHooks {
   /** Whether the state lease lasts that the shard hangs on; the promise is the keeper's own. */
-  leased(): boolean;
+  holdsLease(): boolean;
   lease(): number | null;
   /** Who should stand by; null when nobody can. */
-  choose(): string | null;
+  chooseStandby(): string | null;
   /** The home node of a shard that is away from home, when it can stand by. */
-  homeBack(): string | null;
+  eligibleHomeNode(): string | null;
   /** How a node that is there has shown itself. */
-  present(node: string): Holder | null;
+  presenceOf(node: string): LeaseHolder | null;
   /** Somebody else has the shard. */
-  lost(): void;
+  onShardLost(): void;
   /** Starts announced before this, or others, may go on. */
   requestPlan(): void;
 }
 
-interface Standby {
+interface StandbySlot {
   node: string;
-  run: string;
+  incarnation: string;
   revision: number;
-  feed: Feed;
-  since: number;
+  stream: ReplicationStream;
+  namedAt: number;
   /** Nothing of what was sent since then is acknowledged; null when all is. */
-  openSince: number | null;
+  unacknowledgedSince: number | null;
   sentAt: number;
-  flying: boolean;
-  level: boolean;
-  stateAgoMs: number;
+  sending: boolean;
+  inSync: boolean;
+  leaseRenewedAgoMs: number;
 }
 
 /**
  * The owner's side of one shard's standby: names it, keeps its promise and its copy alive, strikes it off when it does not
  * answer, and hands over to it. Requests to the state service are made only when the standby changes.
  */
-export class Keeper {
-  private pledge: Pledge = UNBOUND;
-  private standby: Standby | null = null;
+export class StandbyReplicator {
+  private ownerLease: OwnerLease = NO_STANDBY;
+  private standby: StandbySlot | null = null;
   private stopped = false;
-  private busy = false;
-  private naming = 0;
-  private nameFrom = 0;
-  private toldAt = 0;
+  private changing = false;
+  private namedCount = 0;
+  private nameNotBefore = 0;
+  private loggedAt = 0;
   /** Changes of job records, counted: the standby reads them when there were some. */
   private changes = 0;
   /** The longest that an acknowledgement took since it was last told, in milliseconds. */
   private slowestMs = 0;
 
   constructor(
-    private readonly world: World,
+    private readonly context: ControllerContext,
     private readonly mesh: Mesh,
     private readonly shard: number,
     private readonly term: number,
-    private readonly struck: StruckOff,
+    private readonly evictionBackoff: EvictionBackoff,
     private readonly log: Log,
-    private readonly hooks: KeeperHooks,
+    private readonly hooks: StandbyReplicatorHooks,
   ) {}
 
   /** Where a standby learns what there is; set before `start`. */
-  source: FeedSource = { snapshot: () => [][Symbol.iterator]() };
+  source: ReplicationSource = { snapshot: () => [][Symbol.iterator]() };
 
   start(): void {
-    this.nameFrom = this.world.clock.now() + SETTLE_MS;
+    this.nameNotBefore = this.context.clock.now() + INITIAL_DELAY_MS;
     this.loop();
   }
 
   /** This owner acts no more. */
   stop(): void {
     this.stopped = true;
-    this.standby?.feed.close(false);
+    this.standby?.stream.close(false);
   }
 
   /** Whether the promise to the standby, if one is bound, lets this owner act now. */
-  get mayAct(): boolean {
-    return mayAct(this.pledge, this.world.clock.now());
+  get leaseCovers(): boolean {
+    return leaseCovers(this.ownerLease, this.context.clock.now());
   }
 
   /** The node that could take over at once, with all that is known here. */
-  get levelStandby(): string | null {
+  get inSyncStandby(): string | null {
     const s = this.standby;
-    return s?.level && s.openSince === null ? s.node : null;
+    return s?.inSync && s.unacknowledgedSince === null ? s.node : null;
   }
 
   /** How long ago the state service last served the standby; null without a level one. */
-  get standbyStateAgoMs(): number | null {
-    return this.levelStandby === null ? null : this.standby!.stateAgoMs;
+  get standbyLeaseRenewedAgoMs(): number | null {
+    return this.inSyncStandby === null ? null : this.standby!.leaseRenewedAgoMs;
   }
 
-  private get owned(): Condition {
+  private get ownerCondition(): Condition {
     return { key: KEYS.owner(this.shard), version: this.term };
   }
 
@@ -128,34 +134,34 @@
   private loop(): void {
     if (this.stopped) return;
     // Also while the state service is out: a standby that heard nothing would take the shard when it is back.
-    this.look(this.world.clock.now());
-    this.world.clock.after(LOOK_MS, () => this.loop());
+    this.checkStandby(this.context.clock.now());
+    this.context.clock.after(CHECK_INTERVAL_MS, () => this.loop());
   }
 
-  private look(now: number): void {
+  private checkStandby(now: number): void {
     const s = this.standby;
     if (!s) {
-      const node = now >= this.nameFrom && this.hooks.leased() ? this.hooks.choose() : null;
-      if (node !== null && !this.busy) void this.guarded(() => this.name(node));
+      const node = now >= this.nameNotBefore && this.hooks.holdsLease() ? this.hooks.chooseStandby() : null;
+      if (node !== null && !this.changing) void this.runExclusive(() => this.nameStandby(node));
       return;
     }
-    if (now - this.toldAt > TELL_MS) this.tell(s, now);
-    const here = this.hooks.present(s.node);
-    const silent = s.openSince !== null && now - s.openSince > SILENT_MS;
-    const slow = !s.level && now - s.since > LEVEL_MS;
-    const gone = here !== null && here.run !== s.run;
+    if (now - this.loggedAt > STATUS_LOG_INTERVAL_MS) this.logStatus(s, now);
+    const here = this.hooks.presenceOf(s.node);
+    const silent = s.unacknowledgedSince !== null && now - s.unacknowledgedSince > ACKNOWLEDGE_TIMEOUT_MS;
+    const slow = !s.inSync && now - s.namedAt > SYNC_TIMEOUT_MS;
+    const gone = here !== null && here.run !== s.incarnation;
     if (silent || slow || gone) {
-      if (!this.busy)
-        void this.guarded(() => this.strike(s, silent ? 'silent' : slow ? 'slow' : 'restarted'));
+      if (!this.changing)
+        void this.runExclusive(() => this.evict(s, silent ? 'silent' : slow ? 'slow' : 'restarted'));
       return;
     }
     // No other reason is worth a change.
-    const home = this.hooks.homeBack();
+    const home = this.hooks.eligibleHomeNode();
     if (home !== null && home !== s.node) {
-      if (!this.busy) void this.guarded(() => this.strike(s, 'home is back'));
+      if (!this.changing) void this.runExclusive(() => this.evict(s, 'home is back'));
       return;
     }
-    if (!s.flying && (now - s.sentAt >= EVERY_MS || s.feed.urgent)) void this.send(s);
+    if (!s.sending && (now - s.sentAt >= HEARTBEAT_INTERVAL_MS || s.stream.urgent)) void this.send(s);
   }
 
   /** Records of jobs have changed in the state service. */
@@ -164,8 +170,8 @@
   }
 
   /** Tells the standby, if there is one, with the next message. */
-  note(record: FeedRecord): void {
-    this.standby?.feed.add(record);
+  replicate(record: ReplicationRecord): void {
+    this.standby?.stream.add(record);
   }
 
   /**
@@ -174,132 +180,142 @@
    */
   announce(starts: readonly { job: string; machine: string }[]): Promise<boolean> | null {
     const s = this.standby;
-    const waits = s?.feed.announce(starts) ?? null;
-    if (s && waits && !s.flying && !this.stopped) void this.send(s);
+    const waits = s?.stream.announce(starts) ?? null;
+    if (s && waits && !s.sending && !this.stopped) void this.send(s);
     return waits;
   }
 
   /** The stream begins anew: what is sure has become much more. */
-  refresh(): void {
-    this.standby?.feed.begin();
+  restartStream(): void {
+    this.standby?.stream.begin();
   }
 
-  private async guarded(work: () => Promise<void>): Promise<void> {
-    this.busy = true;
+  private async runExclusive(work: () => Promise<void>): Promise<void> {
+    this.changing = true;
     try {
       await work();
     } catch (error) {
       this.log.debug({ error: String(error) }, 'standby not changed');
-      await pause(this.world.clock, LOOK_MS);
+      await pause(this.context.clock, CHECK_INTERVAL_MS);
     } finally {
-      this.busy = false;
+      this.changing = false;
     }
   }
 
-  private async name(node: string): Promise<void> {
-    const here = this.hooks.present(node);
+  private async nameStandby(node: string): Promise<void> {
+    const here = this.hooks.presenceOf(node);
     const lease = this.hooks.lease();
     if (!here || lease === null) return;
-    const value: StandKey = {
+    const value: StandbyRecord = {
       node,
       run: here.run,
       term: this.term,
-      tag: `${this.world.run}-${this.term}-${this.naming++}`,
+      tag: `${this.context.incarnation}-${this.term}-${this.namedCount++}`,
     };
-    const { store } = this.world;
+    const { store } = this.context;
     const before = (await store.get(this.key))?.version ?? 0;
     const write = { put: this.key, value, lease };
     let revision: number | null = null;
     try {
-      const r = await store.txn([this.owned, { key: this.key, version: before }], [write], true);
-      if (!r.ok && r.failed.includes(this.owned.key)) this.hooks.lost();
+      const r = await store.compareAndSwap(
+        [this.ownerCondition, { key: this.key, version: before }],
+        [write],
+        true,
+      );
+      if (!r.ok && r.failed.includes(this.ownerCondition.key)) this.hooks.onShardLost();
       if (r.ok) revision = r.revision;
     } catch (error) {
-      if (!(error instanceof StateFailure) || !error.maybe) throw error;
+      if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
       // Nothing has been sent under it yet, so that nobody can claim by it: what is there now is taken as it is.
       const stored = await store.get(this.key);
-      if (stored && readStandKey(stored.value)?.tag === value.tag) revision = stored.version;
+      if (stored && readStandbyRecord(stored.value)?.tag === value.tag) revision = stored.version;
     }
     if (revision === null || this.stopped) return;
     this.standby = {
       node,
-      run: here.run,
+      incarnation: here.run,
       revision,
-      feed: new Feed(this.source),
-      since: this.world.clock.now(),
-      openSince: null,
+      stream: new ReplicationStream(this.source),
+      namedAt: this.context.clock.now(),
+      unacknowledgedSince: null,
       sentAt: Number.NEGATIVE_INFINITY,
-      flying: false,
-      level: false,
-      stateAgoMs: Number.POSITIVE_INFINITY,
+      sending: false,
+      inSync: false,
+      leaseRenewedAgoMs: Number.POSITIVE_INFINITY,
     };
     this.log.info({ standby: node }, 'standby named');
   }
 
-  private async send(s: Standby): Promise<void> {
-    s.flying = true;
-    const now = this.world.clock.now();
+  private async send(s: StandbySlot): Promise<void> {
+    s.sending = true;
+    const now = this.context.clock.now();
     s.sentAt = now;
-    s.openSince ??= now;
-    this.pledge = sending(this.pledge, s.revision, now);
-    const { from, records } = s.feed.batch();
+    s.unacknowledgedSince ??= now;
+    this.ownerLease = onSend(this.ownerLease, s.revision, now);
+    const { from, records } = s.stream.batch();
     const message = {
       shard: this.shard,
       term: this.term,
       revision: s.revision,
-      run: s.run,
+      run: s.incarnation,
       from,
       records,
       changes: this.changes,
     };
     try {
-      const answer = readStandAnswer(await this.mesh.ask(s.node, STANDBY_OPS.stand, message, PROMISE_MS));
+      const answer = readReplicationResponse(
+        await this.mesh.request(s.node, STANDBY_OPS.replicate, message, STANDBY_LEASE_MS),
+      );
       if (!answer || this.stopped || this.standby !== s) return;
-      this.pledge = acknowledged(this.pledge, s.revision, now);
-      s.openSince = null;
-      s.stateAgoMs = answer.stateAgoMs;
-      this.slowestMs = Math.max(this.slowestMs, this.world.clock.now() - now);
-      const waited = s.feed.urgent;
-      s.feed.acknowledge(answer.next);
-      if (s.feed.level && !s.level) {
-        s.level = true;
-        this.log.info({ standby: s.node, ms: Math.round(this.world.clock.now() - s.since) }, 'standby level');
+      this.ownerLease = onAcknowledged(this.ownerLease, s.revision, now);
+      s.unacknowledgedSince = null;
+      s.leaseRenewedAgoMs = answer.stateAgoMs;
+      this.slowestMs = Math.max(this.slowestMs, this.context.clock.now() - now);
+      const waited = s.stream.urgent;
+      s.stream.acknowledge(answer.next);
+      if (s.stream.inSync && !s.inSync) {
+        s.inSync = true;
+        this.log.info(
+          { standby: s.node, ms: Math.round(this.context.clock.now() - s.namedAt) },
+          'standby level',
+        );
       }
       if (waited) this.hooks.requestPlan();
     } catch (error) {
       this.log.debug({ standby: s.node, error: String(error) }, 'standby did not answer');
     } finally {
-      s.flying = false;
-      if (!this.stopped && this.standby === s && s.openSince === null && s.feed.urgent) void this.send(s);
+      s.sending = false;
+      if (!this.stopped && this.standby === s && s.unacknowledgedSince === null && s.stream.urgent)
+        void this.send(s);
     }
   }
 
   /** From when this is known to be done, the owner is bound by nothing. */
-  private async strike(s: Standby, why: string): Promise<void> {
-    const { store } = this.world;
+  private async evict(s: StandbySlot, why: string): Promise<void> {
+    const { store } = this.context;
     const named = { key: this.key, version: s.revision };
     let done = false;
     try {
-      const r = await store.txn([this.owned, named], [{ delete: this.key }], true);
-      if (!r.ok && r.failed.includes(this.owned.key)) {
-        this.hooks.lost();
+      const r = await store.compareAndSwap([this.ownerCondition, named], [{ delete: this.key }], true);
+      if (!r.ok && r.failed.includes(this.ownerCondition.key)) {
+        this.hooks.onShardLost();
         return;
       }
       done = r.ok;
     } catch (error) {
-      if (!(error instanceof StateFailure) || !error.maybe) throw error;
+      if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
     }
     if (!done) {
       // An earlier try may have been applied late: what counts is that the key is gone while the term still stands.
-      const r = await store.txn([this.owned, { key: this.key, version: 0 }], [], true);
-      if (!r.ok && r.failed.includes(this.owned.key)) this.hooks.lost();
+      const r = await store.compareAndSwap([this.ownerCondition, { key: this.key, version: 0 }], [], true);
+      if (!r.ok && r.failed.includes(this.ownerCondition.key)) this.hooks.onShardLost();
       done = r.ok;
     }
     if (!done || this.standby !== s) return;
     this.standby = null;
-    this.pledge = struckOff(this.pledge, s.revision);
-    s.feed.close(true);
-    if (why !== 'home is back') this.struck.note(s.node, this.world.clock.now());
+    this.ownerLease = onEvicted(this.ownerLease, s.revision);
+    s.stream.close(true);
+    if (why !== 'home is back') this.evictionBackoff.onEvicted(s.node, this.context.clock.now());
     this.log.info({ standby: s.node, why }, 'standby struck off');
     this.hooks.requestPlan();
   }
@@ -311,23 +327,23 @@
   async handOver(): Promise<boolean> {
     const s = this.standby;
     if (!s) return false;
-    const message = { shard: this.shard, term: this.term, revision: s.revision, run: s.run };
+    const message = { shard: this.shard, term: this.term, revision: s.revision, run: s.incarnation };
     try {
-      return (await this.mesh.ask(s.node, STANDBY_OPS.assume, message, ASSUME_MS)) === true;
+      return (await this.mesh.request(s.node, STANDBY_OPS.handOver, message, HANDOVER_TIMEOUT_MS)) === true;
     } catch (error) {
       this.log.info({ standby: s.node, error: String(error) }, 'handing over got no answer');
       return false;
     }
   }
 
-  private tell(s: Standby, now: number): void {
-    this.toldAt = now;
-    const { level, feed } = s;
+  private logStatus(s: StandbySlot, now: number): void {
+    this.loggedAt = now;
+    const { inSync: level, stream: feed } = s;
     this.log.info(
       {
         standby: s.node,
         level,
-        behind: feed.behind,
+        behind: feed.unacknowledged,
         streams: feed.streams,
         slowestMs: Math.round(this.slowestMs),
       },
--- a/src/standby/standbyselection.ts
+++ b/src/standby/standbyselection.ts
@@ -1,12 +1,12 @@
 /** What the choice of a standby goes by; names of nodes as in the settings. */
-export interface Candidates {
+export interface StandbyCandidates {
   owner: string;
   /** Where the shard should go; the owner itself when it is well where it is. */
   home: string;
   /** All nodes, in the order of their names: a roll restarts them in it. */
   order: readonly string[];
   /** Whether a node is there, follows shards and takes them. */
-  fit(node: string): boolean;
+  isEligible(node: string): boolean;
   /** How many machines the shards have that a node owns and stands by for. */
   load(node: string): number;
   zoneOf(node: string): string;
@@ -19,8 +19,8 @@
  * back is a switch. Else the zone of most of its machines comes first, then whoever has least to do, then the node that
  * comes before the owner in a roll: the one after it would be restarted next.
  */
-export function chooseStandby(c: Candidates): string | null {
-  if (c.home !== c.owner && c.fit(c.home)) return c.home;
+export function chooseStandby(c: StandbyCandidates): string | null {
+  if (c.home !== c.owner && c.isEligible(c.home)) return c.home;
   const n = c.order.length;
   const at = c.order.indexOf(c.owner);
   const back = (node: string) => (at - c.order.indexOf(node) + n) % n;
@@ -33,7 +33,7 @@
     back(node),
   ];
   for (const node of c.order) {
-    if (node === c.owner || !c.fit(node)) continue;
+    if (node === c.owner || !c.isEligible(node)) continue;
     if (best === null || before(rank(node), rank(best))) best = node;
   }
   return best;
@@ -45,20 +45,23 @@
 }
 
 /** A node that was struck off is left alone for a while, longer each time it happens again soon. */
-const AGAIN_MS = 5000;
-const AGAIN_MOST_MS = 60_000;
-const FORGIVEN_MS = 120_000;
+const BACKOFF_MS = 5000;
+const MAX_BACKOFF_MS = 60_000;
+const BACKOFF_RESET_MS = 120_000;
 
-export class StruckOff {
+export class EvictionBackoff {
   private readonly nodes = new Map<string, { at: number; pauseMs: number }>();
 
-  note(node: string, now: number): void {
+  onEvicted(node: string, now: number): void {
     const last = this.nodes.get(node);
-    const soon = last && now - last.at < FORGIVEN_MS;
-    this.nodes.set(node, { at: now, pauseMs: soon ? Math.min(AGAIN_MOST_MS, last.pauseMs * 2) : AGAIN_MS });
+    const soon = last && now - last.at < BACKOFF_RESET_MS;
+    this.nodes.set(node, {
+      at: now,
+      pauseMs: soon ? Math.min(MAX_BACKOFF_MS, last.pauseMs * 2) : BACKOFF_MS,
+    });
   }
 
-  waits(node: string, now: number): boolean {
+  isBackingOff(node: string, now: number): boolean {
     const last = this.nodes.get(node);
     return last !== undefined && now - last.at < last.pauseMs;
   }
--- a/src/standby/takeoverchecks.ts
+++ b/src/standby/takeoverchecks.ts
@@ -1,4 +1,4 @@
-import type { Warmth } from './shardreplica.js';
+import type { ReplicaSnapshot } from './shardreplica.js';
 
 /**
  * What is checked before a shard's new owner decides (docs/standby.md). What the former owner told is a hint; each check
@@ -6,7 +6,7 @@
  */
 
 /** A key of a former ownership, or a claim thought lost, must not be taken up: its tokens and attempts have been used. */
-export function termIsNew(term: number, spent: ReadonlySet<number>): boolean {
+export function isFreshTerm(term: number, spent: ReadonlySet<number>): boolean {
   return !spent.has(term);
 }
 
@@ -19,17 +19,17 @@
 }
 
 /** Asked just before each step, so that a freeze or a drifting clock between two steps is found. */
-export function mayDecide(facts: { stopped: boolean; leased: boolean; promised: boolean }): boolean {
+export function mayAct(facts: { stopped: boolean; leased: boolean; promised: boolean }): boolean {
   return !facts.stopped && facts.leased && facts.promised;
 }
 
 export interface MachineFacts {
-  synced: boolean;
-  leaving: boolean;
-  lost: boolean;
-  unknown: boolean;
+  reconciled: boolean;
+  decommissioning: boolean;
+  leaseExpired: boolean;
+  mayHoldUnreportedTasks: boolean;
   addr: string;
-  noticeUntil: number | null;
+  reclaimAt: number | null;
 }
 
 /**
@@ -37,12 +37,22 @@
  * that is leaving or under notice is on its way to somebody else.
  */
 export function machineUsable(m: MachineFacts): boolean {
-  return m.synced && !m.leaving && !m.lost && !m.unknown && m.addr !== '' && m.noticeUntil === null;
+  return (
+    m.reconciled &&
+    !m.decommissioning &&
+    !m.leaseExpired &&
+    !m.mayHoldUnreportedTasks &&
+    m.addr !== '' &&
+    m.reclaimAt === null
+  );
 }
 
 /** Not before all that it needs is durably done, and never what is about to be cancelled with one of those. */
-export function needsMet(job: { waitsFor: { size: number }; doomed: boolean }): boolean {
-  return job.waitsFor.size === 0 && !job.doomed;
+export function dependenciesMet(job: {
+  pendingDependencies: { size: number };
+  cancelledByDependency: boolean;
+}): boolean {
+  return job.pendingDependencies.size === 0 && !job.cancelledByDependency;
 }
 
 /**
@@ -50,14 +60,14 @@
  * anybody else. Of others, every machine on which the former owner announced a start has to have reported under the new token
  * or to have surely lost its lease; without announcements, every machine of the shard.
  */
-export function surelyNowhere(
+export function surelyNotRunning(
   job: { fresh: boolean; id: string },
-  warmth: Warmth | null,
+  warmth: ReplicaSnapshot | null,
   adopted: boolean,
   unseen: (machine: string) => boolean,
 ): boolean {
   if (job.fresh || adopted) return true;
-  const machines = warmth?.mayBeOn(job.id) ?? null;
+  const machines = warmth?.machinesOf(job.id) ?? null;
   if (machines === null) return false;
   for (const m of machines) if (unseen(m)) return false;
   return true;
--- a/src/state/rateallocation.ts
+++ b/src/state/rateallocation.ts
@@ -9,7 +9,7 @@
  * the same, and beside it a part of what is left, for work that comes before the next dealing. Nodes whose demand is not
  * known keep an even part. Together the wants never exceed the rate.
  */
-export function shareRate(rate: number, demands: readonly Demand[]): number[] {
+export function allocateRate(rate: number, demands: readonly Demand[]): number[] {
   if (demands.length === 0) return [];
   const even = rate / demands.length;
   const known = demands.filter((d): d is number => d !== null).sort((a, b) => a - b);
--- a/src/state/ratelimiter.ts
+++ b/src/state/ratelimiter.ts
@@ -8,7 +8,7 @@
 }
 
 /** A request that waited too long for its turn; it was not sent. */
-export class Overloaded extends Error {}
+export class RateLimitExceededError extends Error {}
 
 /** While requests wait and none is refused, a node uses more of what the others leave, in steps of this. */
 const GROWTH = 1.25;
@@ -24,12 +24,12 @@
  * requests waiting goes beyond its part, up to `most`, until the service refuses one. Where somebody deals the rate to
  * all nodes by what they want, the share that a node was given goes before that.
  */
-export class Limiter {
-  private level: number;
-  private at: number;
+export class RateLimiter {
+  private tokens: number;
+  private refilledAt: number;
   private perSecond: number;
   private grownAt = 0;
-  private shareUntil = Number.NEGATIVE_INFINITY;
+  private allocatedUntil = Number.NEGATIVE_INFINITY;
   /** Tokens taken lately, fading. */
   private used = 0;
   private usedAt: number;
@@ -38,68 +38,68 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly part: number,
+    private readonly evenShare: number,
     private readonly ownBurst: number,
-    private readonly most = part,
+    private readonly maxRate = evenShare,
   ) {
-    this.perSecond = part;
-    this.level = ownBurst;
-    this.at = clock.now();
-    this.usedAt = this.at;
+    this.perSecond = evenShare;
+    this.tokens = ownBurst;
+    this.refilledAt = clock.now();
+    this.usedAt = this.refilledAt;
   }
 
   /** Sets this node's share of the rate, a second, for so long; after that it keeps to its own part again. */
-  share(perSecond: number, validMs: number): void {
+  allocate(perSecond: number, validMs: number): void {
     this.refill();
     this.perSecond = perSecond;
-    this.shareUntil = this.clock.now() + validMs;
+    this.allocatedUntil = this.clock.now() + validMs;
   }
 
   /** What this node takes and would take a second: its use of late, and all that waits. */
   get demand(): number {
-    this.fade();
-    return this.used / (USE_MS / 1000) + this.queued;
+    this.decayUsage();
+    return this.used / (USE_MS / 1000) + this.queuedAmount;
   }
 
-  private get shared(): boolean {
-    return this.clock.now() < this.shareUntil;
+  private get isAllocated(): boolean {
+    return this.clock.now() < this.allocatedUntil;
   }
 
   /** A burst is what comes in together in a second. */
   private get burst(): number {
-    return this.shared ? Math.max(1, this.perSecond) : this.ownBurst;
+    return this.isAllocated ? Math.max(1, this.perSecond) : this.ownBurst;
   }
 
-  private get queued(): number {
+  private get queuedAmount(): number {
     return this.waiting.reduce((sum, w) => sum + w.amount, 0);
   }
 
-  private fade(): void {
+  private decayUsage(): void {
     const now = this.clock.now();
     this.used *= Math.exp((this.usedAt - now) / USE_MS);
     this.usedAt = now;
   }
 
-  private spend(amount: number): void {
-    this.fade();
+  private consume(amount: number): void {
+    this.decayUsage();
     this.used += amount;
-    this.level -= amount;
+    this.tokens -= amount;
   }
 
   /** The service has refused a request for its rate. */
-  refused(): void {
+  onRejected(): void {
     this.refill();
-    this.level = Math.min(this.level, 0);
-    if (this.shared) return;
-    this.perSecond = this.part;
+    this.tokens = Math.min(this.tokens, 0);
+    if (this.isAllocated) return;
+    this.perSecond = this.evenShare;
     this.grownAt = this.clock.now() + HUMBLE_MS;
   }
 
   private grow(): void {
     const now = this.clock.now();
-    if (this.shared || now - this.grownAt < GROW_EVERY_MS) return;
+    if (this.isAllocated || now - this.grownAt < GROW_EVERY_MS) return;
     this.grownAt = now;
-    this.perSecond = Math.min(this.most, this.perSecond * GROWTH);
+    this.perSecond = Math.min(this.maxRate, this.perSecond * GROWTH);
   }
 
   get rate(): number {
@@ -110,19 +110,19 @@
   /** How long a request that comes now would wait for its turn. */
   get delayMs(): number {
     this.refill();
-    return Math.max(0, ((this.queued - this.level) * 1000) / this.perSecond);
+    return Math.max(0, ((this.queuedAmount - this.tokens) * 1000) / this.perSecond);
   }
 
   /** True when nothing waits and there is room for `amount` now. */
-  free(amount: number): boolean {
+  hasTokens(amount: number): boolean {
     this.refill();
-    return this.waiting.length === 0 && this.level >= amount;
+    return this.waiting.length === 0 && this.tokens >= amount;
   }
 
-  take(amount: number, urgent: boolean, waitMs: number): Promise<void> {
+  acquire(amount: number, urgent: boolean, waitMs: number): Promise<void> {
     this.refill();
-    if (urgent || (this.waiting.length === 0 && this.level >= Math.min(amount, this.burst))) {
-      this.spend(amount);
+    if (urgent || (this.waiting.length === 0 && this.tokens >= Math.min(amount, this.burst))) {
+      this.consume(amount);
       return Promise.resolve();
     }
     return new Promise((go, refuse) => {
@@ -133,12 +133,12 @@
 
   private refill(): void {
     const now = this.clock.now();
-    if (this.shareUntil !== Number.NEGATIVE_INFINITY && !this.shared) {
-      this.shareUntil = Number.NEGATIVE_INFINITY;
-      this.perSecond = this.part;
+    if (this.allocatedUntil !== Number.NEGATIVE_INFINITY && !this.isAllocated) {
+      this.allocatedUntil = Number.NEGATIVE_INFINITY;
+      this.perSecond = this.evenShare;
     }
-    this.level = Math.min(this.burst, this.level + ((now - this.at) * this.perSecond) / 1000);
-    this.at = now;
+    this.tokens = Math.min(this.burst, this.tokens + ((now - this.refilledAt) * this.perSecond) / 1000);
+    this.refilledAt = now;
   }
 
   private arm(): void {
@@ -158,12 +158,12 @@
       const first = this.waiting[0]!;
       if (now > first.until) {
         this.waiting.shift();
-        first.refuse(new Overloaded('rate limit'));
+        first.refuse(new RateLimitExceededError('rate limit'));
         continue;
       }
-      if (this.level < Math.min(first.amount, this.burst)) break;
+      if (this.tokens < Math.min(first.amount, this.burst)) break;
       this.waiting.shift();
-      this.spend(first.amount);
+      this.consume(first.amount);
       first.go();
     }
     if (this.waiting.length > 0) this.arm();
--- a/src/state/statestore.ts
+++ b/src/state/statestore.ts
@@ -1,6 +1,6 @@
 // This package: dealings with the state service: its requests, within its rates.
 import { type Clock, pause } from '../clock/clock.js';
-import { type HttpAnswer, HttpFailure, type Requester } from '../http/client.js';
+import { type HttpAnswer, HttpRequestError, type Requester } from '../http/client.js';
 import {
   type Change,
   type Condition,
@@ -15,19 +15,19 @@
   writeLeaseRequest,
   writeTxn,
 } from '../wire/state.js';
-import { Limiter, Overloaded } from './ratelimiter.js';
+import { RateLimitExceededError, RateLimiter } from './ratelimiter.js';
 
 /** `done` false: the request surely had no effect. True: it may have had, or may yet have. */
-export class StateFailure extends Error {
+export class StateStoreError extends Error {
   constructor(
     message: string,
-    readonly maybe: boolean,
+    readonly mayHaveApplied: boolean,
   ) {
     super(message);
   }
 }
 
-export type TxnResult = { ok: true; revision: number } | { ok: false; failed: string[] };
+export type CompareAndSwapResult = { ok: true; revision: number } | { ok: false; failed: string[] };
 
 export interface StateLimits {
   rps: number;
@@ -56,12 +56,12 @@
 
 /** The state service, within this node's part of its rates. */
 export class StateStore {
-  private readonly requests: Limiter;
-  private readonly changes: Limiter;
-  private readonly questions: Limiter;
+  private readonly requests: RateLimiter;
+  private readonly writes: RateLimiter;
+  private readonly userReads: RateLimiter;
   /** What all nodes together may take. */
-  readonly shared: StateRates;
-  private readonly looking = new Map<string, Promise<Entry | null>>();
+  readonly clusterRates: StateRates;
+  private readonly pendingReads = new Map<string, Promise<Entry | null>>();
 
   constructor(
     private readonly clock: Clock,
@@ -71,35 +71,35 @@
   ) {
     // The service counts all nodes together; each keeps to its part, with some left for lease renewals.
     const part = SHARED / limits.nodes;
-    this.shared = { requests: limits.rps * SHARED, changes: limits.writeRps * SHARED };
+    this.clusterRates = { requests: limits.rps * SHARED, changes: limits.writeRps * SHARED };
     const most = Math.max(part, MOST_OF_ALL);
-    const limiter = (rate: number) => new Limiter(clock, rate * part, rate * part, rate * most);
+    const limiter = (rate: number) => new RateLimiter(clock, rate * part, rate * part, rate * most);
     this.requests = limiter(limits.rps);
-    this.changes = limiter(limits.writeRps);
+    this.writes = limiter(limits.writeRps);
     const asked = limits.rps * part * QUESTIONS_SHARE;
-    this.questions = new Limiter(clock, asked, asked, limits.rps * most * QUESTIONS_SHARE);
+    this.userReads = new RateLimiter(clock, asked, asked, limits.rps * most * QUESTIONS_SHARE);
   }
 
   /** What this node takes and would take. */
   get demand(): StateRates {
-    return { requests: this.requests.demand, changes: this.changes.demand };
+    return { requests: this.requests.demand, changes: this.writes.demand };
   }
 
   /** Sets this node's share of the rates, for so long. */
-  share(rates: StateRates, validMs: number): void {
-    this.requests.share(rates.requests, validMs);
-    this.changes.share(rates.changes, validMs);
-    this.questions.share(rates.requests * QUESTIONS_SHARE, validMs);
+  allocate(rates: StateRates, validMs: number): void {
+    this.requests.allocate(rates.requests, validMs);
+    this.writes.allocate(rates.changes, validMs);
+    this.userReads.allocate(rates.requests * QUESTIONS_SHARE, validMs);
   }
 
   /** How long a change that comes now would wait for this node's part of the rate. */
-  get delayMs(): number {
-    return Math.max(this.requests.delayMs, this.changes.delayMs);
+  get writeDelayMs(): number {
+    return Math.max(this.requests.delayMs, this.writes.delayMs);
   }
 
   /** How many changes this node may make a second at present. */
-  get changesPerSecond(): number {
-    return this.changes.rate;
+  get writesPerSecond(): number {
+    return this.writes.rate;
   }
 
   /**
@@ -108,15 +108,15 @@
    * they keep neither acceptances nor completions waiting. A read that has been sent is not shared any more: what it
    * finds may be older than what a user has been told since. Fails soon when there are too many.
    */
-  look(key: string): Promise<Entry | null> {
-    const waiting = this.looking.get(key);
+  getCoalesced(key: string): Promise<Entry | null> {
+    const waiting = this.pendingReads.get(key);
     if (waiting) return waiting;
-    const read = this.questions
-      .take(1, false, QUESTION_WAIT_MS)
-      .catch(() => Promise.reject(new StateFailure('too many questions', false)))
-      .finally(() => this.looking.delete(key))
+    const read = this.userReads
+      .acquire(1, false, QUESTION_WAIT_MS)
+      .catch(() => Promise.reject(new StateStoreError('too many questions', false)))
+      .finally(() => this.pendingReads.delete(key))
       .then(() => this.get(key));
-    this.looking.set(key, read);
+    this.pendingReads.set(key, read);
     return read;
   }
 
@@ -124,7 +124,7 @@
     const answer = await this.send('GET', STATE_PATHS.key(key), null, 0, false);
     if (answer.status === 404) return null;
     const entry = answer.status === 200 ? readEntry(answer.body) : null;
-    if (!entry) throw new StateFailure(`get ${key}: ${answer.status}`, false);
+    if (!entry) throw new StateStoreError(`get ${key}: ${answer.status}`, false);
     return entry;
   }
 
@@ -136,7 +136,7 @@
     for (;;) {
       const answer = await this.send('GET', STATE_PATHS.list(prefix, after, PAGE), null, 0, false);
       const page = answer.status === 200 ? readEntries(answer.body) : null;
-      if (!page) throw new StateFailure(`list ${prefix}: ${answer.status}`, false);
+      if (!page) throw new StateStoreError(`list ${prefix}: ${answer.status}`, false);
       if (after === null) revision = page.revision;
       entries.push(...page.entries);
       const last = page.entries.at(-1);
@@ -145,11 +145,14 @@
     }
   }
 
-  async txn(when: Condition[], writes: Write[], urgent = false): Promise<TxnResult> {
+  async compareAndSwap(when: Condition[], writes: Write[], urgent = false): Promise<CompareAndSwapResult> {
     const answer = await this.send('POST', STATE_PATHS.txn, writeTxn(when, writes), writes.length, urgent);
     const result = answer.status === 200 || answer.status === 409 ? readTxn(answer.body) : null;
     if (!result)
-      throw new StateFailure(`txn: ${answer.status} ${JSON.stringify(answer.body)}`, answer.status === 200);
+      throw new StateStoreError(
+        `txn: ${answer.status} ${JSON.stringify(answer.body)}`,
+        answer.status === 200,
+      );
     return answer.status === 200
       ? { ok: true, revision: result.revision }
       : { ok: false, failed: result.failed };
@@ -158,7 +161,7 @@
   async grant(ttlMs: number): Promise<number> {
     const answer = await this.send('POST', STATE_PATHS.leases, writeLeaseRequest(ttlMs), 0, true);
     const lease = answer.status === 200 ? readLease(answer.body) : null;
-    if (lease === null) throw new StateFailure(`lease: ${answer.status}`, true);
+    if (lease === null) throw new StateStoreError(`lease: ${answer.status}`, true);
     return lease;
   }
 
@@ -167,13 +170,13 @@
     const answer = await this.send('POST', STATE_PATHS.renew(lease), {}, 0, true, timeoutMs);
     if (answer.status === 200) return true;
     if (answer.status === 404) return false;
-    throw new StateFailure(`renew: ${answer.status}`, true);
+    throw new StateStoreError(`renew: ${answer.status}`, true);
   }
 
   async revoke(lease: number): Promise<void> {
     const answer = await this.send('DELETE', STATE_PATHS.lease(lease), null, 0, true);
     if (answer.status !== 200 && answer.status !== 404)
-      throw new StateFailure(`revoke: ${answer.status}`, true);
+      throw new StateStoreError(`revoke: ${answer.status}`, true);
   }
 
   /** Null when the service no longer keeps changes that old. */
@@ -192,7 +195,7 @@
     );
     if (answer.status === 410) return null;
     const result = answer.status === 200 ? readChanges(answer.body) : null;
-    if (!result) throw new StateFailure(`watch: ${answer.status}`, false);
+    if (!result) throw new StateStoreError(`watch: ${answer.status}`, false);
     return result;
   }
 
@@ -209,14 +212,14 @@
       const answer = await this.sendOnce(method, path, body, changes, urgent, timeoutMs);
       // 503 and 429 say that nothing was executed.
       if (answer.status === 429) {
-        (changes > 0 ? this.changes : this.requests).refused();
+        (changes > 0 ? this.writes : this.requests).onRejected();
         if (this.clock.now() - begun < REFUSED_MOST_MS) {
           await pause(this.clock, REFUSED_PAUSE_MS);
           continue;
         }
       }
       if (answer.status === 503 || answer.status === 429)
-        throw new StateFailure(`${path}: ${answer.status}`, false);
+        throw new StateStoreError(`${path}: ${answer.status}`, false);
       return answer;
     }
   }
@@ -230,12 +233,12 @@
     timeoutMs: number,
   ): Promise<HttpAnswer> {
     try {
-      await this.requests.take(1, urgent, 2000);
-      if (changes > 0) await this.changes.take(changes, urgent, 2000);
+      await this.requests.acquire(1, urgent, 2000);
+      if (changes > 0) await this.writes.acquire(changes, urgent, 2000);
       return await this.http.request(this.addr, method, path, body, timeoutMs);
     } catch (error) {
-      if (error instanceof Overloaded) throw new StateFailure('over this node’s rate', false);
-      if (error instanceof HttpFailure) throw new StateFailure(error.message, error.sent);
+      if (error instanceof RateLimitExceededError) throw new StateStoreError('over this node’s rate', false);
+      if (error instanceof HttpRequestError) throw new StateStoreError(error.message, error.sent);
       throw error;
     }
   }
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -4,7 +4,7 @@
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
 export type ExitCause = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
 
-export interface TaskReport {
+export interface TaskStatus {
   job: string;
   index: number;
   attempt: number;
@@ -13,20 +13,20 @@
   saved: boolean;
 }
 
-export interface Report {
+export interface Heartbeat {
   machine: string;
   addr: string;
   type: string;
   zone: string;
   spot: boolean;
-  session: number;
-  seq: number;
-  token: number;
-  noticeS: number | null;
-  tasks: TaskReport[];
+  incarnation: number;
+  sequence: number;
+  fencingToken: number;
+  reclaimInS: number | null;
+  tasks: TaskStatus[];
 }
 
-export type Order =
+export type WorkerCommand =
   | { op: 'start'; job: string; index: number; attempt: number }
   | { op: 'stop'; job: string; index: number; attempt: number; graceS: number }
   | { op: 'forget'; job: string; index: number; attempt: number };
@@ -77,11 +77,11 @@
 }
 
 /** Reads a worker's report; null when it is not one. */
-export function readReport(body: unknown): Report | null {
+export function readHeartbeat(body: unknown): Heartbeat | null {
   const parsed = v.safeParse(reportBody, body);
   if (!parsed.success) return null;
   const b = parsed.output;
-  const tasks: TaskReport[] = [];
+  const tasks: TaskStatus[] = [];
   for (const p of b.pieces) {
     const slash = p.piece.lastIndexOf('/');
     const state = STATES[p.status];
@@ -101,34 +101,34 @@
     type: b.flavor,
     zone: b.yard,
     spot: b.loaner,
-    session: b.shift,
-    seq: b.tally,
-    token: b.baton,
-    noticeS: b.recallS ?? null,
+    incarnation: b.shift,
+    sequence: b.tally,
+    fencingToken: b.baton,
+    reclaimInS: b.recallS ?? null,
     tasks,
   };
 }
 
-function writeOrder(o: Order): object {
+function writeCommand(o: WorkerCommand): object {
   const base = { verb: VERBS[o.op], piece: taskName(o.job, o.index), try: o.attempt };
   return o.op === 'stop' ? { ...base, windDownS: o.graceS } : base;
 }
 
 /** The answer to a report. */
-export function writeOrders(token: number, orders: Order[]): object {
-  return { baton: token, orders: orders.map(writeOrder) };
+export function writeHeartbeatResponse(token: number, orders: WorkerCommand[]): object {
+  return { baton: token, orders: orders.map(writeCommand) };
 }
 
 /** A command sent straight to a worker. */
-export function writeCommands(token: number, session: number, orders: Order[]): object {
-  return { baton: token, shift: session, orders: orders.map(writeOrder) };
+export function writeCommands(token: number, session: number, orders: WorkerCommand[]): object {
+  return { baton: token, shift: session, orders: orders.map(writeCommand) };
 }
 
 export function writeRedirect(node: string | null): object {
   return node === null ? {} : { foreman: node };
 }
 
-export const WORKER_PATHS = { report: '/v1/report', commands: '/do', show: '/show' } as const;
+export const WORKER_PATHS = { heartbeat: '/v1/report', commands: '/do', status: '/show' } as const;
 
 // --- the worker's side
 
@@ -141,17 +141,17 @@
 }
 
 /** A report, as a worker sends it. */
-export function writeReport(r: Report): object {
+export function writeHeartbeat(r: Heartbeat): object {
   return {
     worker: r.machine,
     addr: r.addr,
     flavor: r.type,
     yard: r.zone,
     loaner: r.spot,
-    shift: r.session,
-    tally: r.seq,
-    baton: r.token,
-    recallS: r.noticeS,
+    shift: r.incarnation,
+    tally: r.sequence,
+    baton: r.fencingToken,
+    recallS: r.reclaimInS,
     pieces: r.tasks.map((t) => ({
       piece: taskName(t.job, t.index),
       try: t.attempt,
@@ -179,16 +179,16 @@
 });
 
 /** What a worker is told, in the answer to a report or straight; null when it cannot be read. */
-export function readOrders(
+export function readCommands(
   body: unknown,
-): { token: number | null; session: number | null; orders: Order[] } | null {
+): { token: number | null; session: number | null; orders: WorkerCommand[] } | null {
   const parsed = v.safeParse(ordersBody, body);
   if (!parsed.success) return null;
   const { baton, shift, orders } = parsed.output;
   return {
     token: baton ?? null,
     session: shift ?? null,
-    orders: orders.map((o): Order => {
+    orders: orders.map((o): WorkerCommand => {
       const slash = o.piece.lastIndexOf('/');
       const base = { job: o.piece.slice(0, slash), index: Number(o.piece.slice(slash + 1)), attempt: o.try };
       const op = OPS[o.verb];
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -1,7 +1,7 @@
 import type { ExitCause, TaskState } from '../wire/workers.js';
 
 /** A task attempt that is, or may be, on a machine. */
-export interface Held {
+export interface TaskAttempt {
   job: string;
   index: number;
   attempt: number;
@@ -14,15 +14,15 @@
    * report, and the next report tells. `unsure`: the command got no answer and may yet be executed, until the machine
    * has a newer token or session. `known`: the machine has reported it.
    */
-  phase: 'sending' | 'answer' | 'unsure' | 'known';
+  startPhase: 'sending' | 'answer' | 'unsure' | 'known';
   /** Token that the start was sent under. */
-  token: number;
+  fencingToken: number;
   orderedAt: number;
   runningAt: number | null;
   exitedAt: number | null;
   stop: { graceS: number; since: number; sentAt: number; hard: boolean } | null;
   /** The exit is recorded as far as it needs to be: the machine may forget it. */
-  settled: boolean;
+  exitRecorded: boolean;
 }
 
 export interface Machine {
@@ -31,61 +31,61 @@
   type: number;
   zone: number;
   spot: boolean;
-  leaving: boolean;
+  decommissioning: boolean;
   /** Version of its assignment record. */
   version: number;
-  token: number;
-  session: number;
-  seq: number;
+  fencingToken: number;
+  incarnation: number;
+  heartbeatSequence: number;
   /** Reports of sessions before this one come late. */
-  minSession: number;
+  minIncarnation: number;
   /** It has reported under the present token. */
-  synced: boolean;
+  reconciled: boolean;
   /** It may hold tasks of an earlier owner's that nobody has reported. */
-  unknown: boolean;
+  mayHoldUnreportedTasks: boolean;
   /** Its lease counts from here at the latest. */
-  answeredAt: number;
+  leaseRenewedAt: number;
   /** When this owner last answered a report of it with 200, or took it over. */
-  givenAt: number;
-  heardAt: number | null;
+  lastAcknowledgedAt: number;
+  lastHeartbeatAt: number | null;
   /** Its lease surely ran out with no report since. */
-  lost: boolean;
+  leaseExpired: boolean;
   rentedAt: number;
-  noticeUntil: number | null;
-  held: Map<string, Held>;
+  reclaimAt: number | null;
+  attempts: Map<string, TaskAttempt>;
   images: Map<number, number>;
   idleSince: number | null;
   /** When it last gave no answer to a question or an order; null once it has answered one, or stays with this node. */
   unreachableAt: number | null;
   /** Answers to its reports since it should have shown the present token. */
-  unheard: number;
-  errors: number;
-  closedUntil: number;
+  unconfirmedResponses: number;
+  consecutiveErrors: number;
+  quarantinedUntil: number;
 }
 
 /** A machine that hears the answers to its reports sends the next one to the same node within this. */
-export function nextReportMs(reportS: number): number {
+export function nextHeartbeatWithinMs(reportS: number): number {
   return reportS * 1250 + 500;
 }
 
 /** What a report counts for: `late` and `foreign` say nothing, `untokened` only that the machine is there. */
-export type Weight = 'late' | 'foreign' | 'untokened' | 'ok';
+export type HeartbeatValidity = 'late' | 'foreign' | 'untokened' | 'ok';
 
 /**
  * What a report counts for beside what is known of its machine. Copies may come at any later time: only one that is newer than
  * all that is known, and shows the present token, tells what the machine holds now.
  */
-export function weigh(
-  known: Pick<Machine, 'session' | 'seq' | 'minSession' | 'token'>,
-  r: { session: number; seq: number; token: number },
-): Weight {
-  if (r.session < known.minSession || r.session < known.session) return 'late';
-  if (r.session === known.session && r.seq <= known.seq) return 'late';
-  if (r.token > known.token) return 'foreign';
-  return r.token < known.token ? 'untokened' : 'ok';
+export function classifyHeartbeat(
+  known: Pick<Machine, 'incarnation' | 'heartbeatSequence' | 'minIncarnation' | 'fencingToken'>,
+  r: { incarnation: number; sequence: number; fencingToken: number },
+): HeartbeatValidity {
+  if (r.incarnation < known.minIncarnation || r.incarnation < known.incarnation) return 'late';
+  if (r.incarnation === known.incarnation && r.sequence <= known.heartbeatSequence) return 'late';
+  if (r.fencingToken > known.fencingToken) return 'foreign';
+  return r.fencingToken < known.fencingToken ? 'untokened' : 'ok';
 }
 
-export function heldKey(job: string, index: number, attempt: number): string {
+export function attemptKey(job: string, index: number, attempt: number): string {
   return `${job}/${index}#${attempt}`;
 }
 
@@ -103,4 +103,4 @@
 }
 
 /** A machine with so many errors in a row is given back. */
-export const SICK_ERRORS = 3;
+export const MAX_CONSECUTIVE_ERRORS = 3;
