--- a/src/workers/machineregistry.ts
+++ b/src/workers/machineregistry.ts
@@ -2,19 +2,26 @@
 import type { Clock } from '../clock/clock.js';
 import { DRIFT } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
-import { HttpFailure, type Requester } from '../http/client.js';
+import { HttpRequestError, type Requester } from '../http/client.js';
 import {
-  type Order,
-  type Report,
-  readReport,
+  type Heartbeat,
+  readHeartbeat,
   WORKER_PATHS,
+  type WorkerCommand,
   writeCommands,
-  writeOrders,
+  writeHeartbeatResponse,
 } from '../wire/workers.js';
-import { type Held, heldKey, type Machine, nextReportMs, type Weight, weigh } from './machine.js';
+import {
+  attemptKey,
+  classifyHeartbeat,
+  type HeartbeatValidity,
+  type Machine,
+  nextHeartbeatWithinMs,
+  type TaskAttempt,
+} from './machine.js';
 
 /** How it became sure that a task is not on its machine. */
-export type GoneWhy =
+export type GoneReason =
   | 'never sent'
   | 'not executed'
   | 'not reported'
@@ -22,56 +29,56 @@
   | 'lease over'
   | 'machine gone';
 
-export interface FleetHooks {
+export interface MachineRegistryHooks {
   /** True while this node surely holds the shard. */
-  entitled(): boolean;
+  holdsShard(): boolean;
   /** Makes a newer token durable; returns the new version of the machine's record. */
-  renewRecord(m: Machine): Promise<number>;
+  renewFencingToken(m: Machine): Promise<number>;
   /** A machine reports a task that was not known to be there. */
-  found(h: Held): void;
+  onAttemptFound(h: TaskAttempt): void;
   /** State or cause of a known task changed. */
-  changed(h: Held): void;
+  onAttemptChanged(h: TaskAttempt): void;
   /** A task is surely no longer on its machine. */
-  gone(h: Held, why: GoneWhy): void;
+  onAttemptGone(h: TaskAttempt, why: GoneReason): void;
   /** A machine has begun a session that was not known. */
-  session(m: Machine): void;
+  onIncarnation(m: Machine): void;
   /**
    * Says where tasks may be started before their orders are sent. Null when nothing has to be waited for; else true once
    * they may be sent, false when they must not be any more.
    */
-  announce(held: readonly Held[]): Promise<boolean> | null;
+  announceStarts(held: readonly TaskAttempt[]): Promise<boolean> | null;
   /** Something changed that the plan should take in. */
   requestPlan(): void;
 }
 
-export interface StartOrder {
+export interface TaskStart {
   job: string;
   index: number;
   attempt: number;
 }
 
-type Via = 'report' | 'command';
+type HeartbeatChannel = 'report' | 'command';
 
-const COMMAND_MS = 3000;
-const SHOW_MS = 2000;
-const CONTACT_EVERY_MS = 1500;
+const COMMAND_TIMEOUT_MS = 3000;
+const STATUS_TIMEOUT_MS = 2000;
+const RECONCILE_INTERVAL_MS = 1500;
 const LEASE_MARGIN_MS = 500;
 /**
  * So many answers in a row may go to a machine whose reports do not show the present token. One that still does not is deaf:
  * answered on, it would count as renewed for ever, and all that may be on it would be waited for.
  */
-const UNHEARD_MOST = 2;
-const UNHEARD_LEASES = 2;
+const MAX_UNCONFIRMED_RESPONSES = 2;
+const UNCONFIRMED_RESPONSE_LEASES = 2;
 
 /** Dealings with the machines of one shard. */
-export class Fleet {
+export class MachineRegistry {
   readonly machines = new Map<string, Machine>();
   /** Tasks that are to stop and have not exited, as far as is known. */
-  private readonly stopping = new Set<Held>();
-  private readonly contacting = new Set<string>();
-  private readonly contactedAt = new Map<string, number>();
+  private readonly stopping = new Set<TaskAttempt>();
+  private readonly reconciling = new Set<string>();
+  private readonly reconcileStartedAt = new Map<string, number>();
   /** Machines whose turn to be contacted is still to come. */
-  private readonly awaitingContact = new Set<string>();
+  private readonly awaitingReconciliation = new Set<string>();
   private stopped = false;
 
   constructor(
@@ -79,52 +86,53 @@
     private readonly http: Requester,
     private readonly times: { reportS: number; leaseS: number },
     private readonly log: Log,
-    private readonly hooks: FleetHooks,
+    private readonly hooks: MachineRegistryHooks,
   ) {}
 
   stop(): void {
     this.stopped = true;
   }
 
-  private get live(): boolean {
-    return !this.stopped && this.hooks.entitled();
+  private get isActive(): boolean {
+    return !this.stopped && this.hooks.holdsShard();
   }
 
   /** The orders for a reporting machine, or null when the report must not be answered with 200. */
-  report(m: Machine, r: Report): object | null {
-    if (!this.live) return null;
-    const absorbed = this.absorb(m, r, 'report');
+  onHeartbeat(m: Machine, r: Heartbeat): object | null {
+    if (!this.isActive) return null;
+    const absorbed = this.applyHeartbeat(m, r, 'report');
     if (absorbed === 'late' || absorbed === 'foreign') return null;
     if (absorbed === 'untokened') {
-      void this.contact(m, r.session);
+      void this.reconcile(m, r.incarnation);
       // Now and then it is answered all the same: it may hear by now, and be out of reach for orders alone.
-      const lately = this.clock.now() - m.givenAt < this.times.leaseS * 1000 * UNHEARD_LEASES;
-      if (++m.unheard > UNHEARD_MOST && lately) return null;
+      const lately =
+        this.clock.now() - m.lastAcknowledgedAt < this.times.leaseS * 1000 * UNCONFIRMED_RESPONSE_LEASES;
+      if (++m.unconfirmedResponses > MAX_UNCONFIRMED_RESPONSES && lately) return null;
     }
-    m.answeredAt = this.clock.now();
-    m.givenAt = m.answeredAt;
-    return writeOrders(m.token, absorbed === 'ok' ? this.pendingOrders(m) : []);
+    m.leaseRenewedAt = this.clock.now();
+    m.lastAcknowledgedAt = m.leaseRenewedAt;
+    return writeHeartbeatResponse(m.fencingToken, absorbed === 'ok' ? this.pendingCommands(m) : []);
   }
 
   /** Starts tasks on a machine that has reported under the present token. */
-  start(m: Machine, starts: StartOrder[]): Held[] {
+  startTasks(m: Machine, starts: TaskStart[]): TaskAttempt[] {
     const now = this.clock.now();
-    const held = starts.map((s): Held => {
-      const h: Held = {
+    const held = starts.map((s): TaskAttempt => {
+      const h: TaskAttempt = {
         ...s,
         machine: m,
         state: 'fetching',
         cause: null,
         saved: false,
-        phase: 'sending',
-        token: m.token,
+        startPhase: 'sending',
+        fencingToken: m.fencingToken,
         orderedAt: now,
         runningAt: null,
         exitedAt: null,
         stop: null,
-        settled: false,
+        exitRecorded: false,
       };
-      m.held.set(keyOf(h), h);
+      m.attempts.set(keyOf(h), h);
       return h;
     });
     m.idleSince = null;
@@ -133,7 +141,7 @@
   }
 
   /** Stops a task; a later call can only shorten the grace. */
-  halt(h: Held, graceS: number): void {
+  stopTask(h: TaskAttempt, graceS: number): void {
     const now = this.clock.now();
     if (h.state === 'exited') return;
     if (h.stop) {
@@ -145,24 +153,24 @@
   }
 
   /** Sends stops that have not been sent, or long ago, straight to the machines. */
-  pushStops(): void {
+  sendStops(): void {
     const now = this.clock.now();
-    const due = new Map<Machine, Held[]>();
+    const due = new Map<Machine, TaskAttempt[]>();
     for (const h of this.stopping) {
       const m = h.machine;
-      if (h.state === 'exited' || this.machines.get(m.id) !== m || !m.held.has(keyOf(h))) {
+      if (h.state === 'exited' || this.machines.get(m.id) !== m || !m.attempts.has(keyOf(h))) {
         this.stopping.delete(h);
         continue;
       }
-      if (!h.stop || now - h.stop.sentAt <= 2000 || !m.synced || !m.addr) continue;
+      if (!h.stop || now - h.stop.sentAt <= 2000 || !m.reconciled || !m.addr) continue;
       const list = due.get(m);
       if (list) list.push(h);
       else due.set(m, [h]);
     }
     for (const [m, stops] of due) {
-      if (!this.live) return;
+      if (!this.isActive) return;
       for (const h of stops) h.stop!.sentAt = now;
-      void this.command(m, stops.map(stopOrder)).catch(() => undefined);
+      void this.sendCommands(m, stops.map(stopCommand)).catch(() => undefined);
     }
   }
 
@@ -171,16 +179,17 @@
     const now = this.clock.now();
     for (const m of this.machines.values()) {
       // A machine that still boots has no lease to run out, and stays in the plan.
-      const begun = m.heardAt !== null || m.unknown;
-      if (!m.lost && begun && now > this.leaseEnd(m)) this.lose(m);
-      if (m.unknown && now > this.unknownUntil(m)) {
-        m.unknown = false;
+      const begun = m.lastHeartbeatAt !== null || m.mayHoldUnreportedTasks;
+      if (!m.leaseExpired && begun && now > this.leaseEnd(m)) this.expireLease(m);
+      if (m.mayHoldUnreportedTasks && now > this.unreportedTasksUntil(m)) {
+        m.mayHoldUnreportedTasks = false;
         this.hooks.requestPlan();
       }
       // One that was taken over and could not be asked at first (no socket free, no answer) is asked again as well.
       // So is one that gave no answer, until it gives one: its reports alone do not show that it hears.
-      const asked = !m.synced || m.unreachableAt !== null;
-      if (asked && m.addr && !m.lost && begun && !this.awaitingContact.has(m.id)) void this.contact(m, null);
+      const asked = !m.reconciled || m.unreachableAt !== null;
+      if (asked && m.addr && !m.leaseExpired && begun && !this.awaitingReconciliation.has(m.id))
+        void this.reconcile(m, null);
     }
   }
 
@@ -188,17 +197,21 @@
    * Another node was reported to by a machine of this shard and sent it here. As long as it neither comes nor answers it gets
    * nothing new: it may hear no answers, which is a fault of its own.
    */
-  reportedElsewhere(id: string): void {
+  onHeartbeatElsewhere(id: string): void {
     const m = this.machines.get(id);
-    if (!m?.synced || m.heardAt === null || this.clock.now() - m.heardAt <= nextReportMs(this.times.reportS))
+    if (
+      !m?.reconciled ||
+      m.lastHeartbeatAt === null ||
+      this.clock.now() - m.lastHeartbeatAt <= nextHeartbeatWithinMs(this.times.reportS)
+    )
       return;
     m.unreachableAt ??= this.clock.now();
-    void this.contact(m, null);
+    void this.reconcile(m, null);
   }
 
   /** When the machine has surely dropped all that it held, unless it reports before. */
   leaseEnd(m: Machine): number {
-    return this.leaseFrom(m.answeredAt);
+    return this.leaseFrom(m.leaseRenewedAt);
   }
 
   /**
@@ -206,8 +219,8 @@
    * began under them. That one lasts no longer than a lease from the change of owner, or from the last answer of this owner's,
    * whatever sessions have begun since.
    */
-  unknownUntil(m: Machine): number {
-    return this.leaseFrom(m.givenAt);
+  unreportedTasksUntil(m: Machine): number {
+    return this.leaseFrom(m.lastAcknowledgedAt);
   }
 
   private leaseFrom(at: number): number {
@@ -217,35 +230,35 @@
   /** The machine is no more. */
   remove(m: Machine): void {
     this.machines.delete(m.id);
-    this.contactedAt.delete(m.id);
-    this.dropAll(m, 'machine gone');
-    m.unknown = false;
+    this.reconcileStartedAt.delete(m.id);
+    this.forgetAttempts(m, 'machine gone');
+    m.mayHoldUnreportedTasks = false;
   }
 
   /**
    * Asks a machine for its report under the present token. Until it has given one, a command of an earlier owner that
    * the network holds back could still be executed there.
    */
-  async contact(m: Machine, session: number | null): Promise<void> {
-    const last = this.contactedAt.get(m.id) ?? Number.NEGATIVE_INFINITY;
-    if ((m.synced && m.unreachableAt === null) || !m.addr || this.contacting.has(m.id)) return;
-    if (session === null && this.clock.now() - last < CONTACT_EVERY_MS) return;
-    this.contacting.add(m.id);
-    this.contactedAt.set(m.id, this.clock.now());
+  async reconcile(m: Machine, incarnation: number | null): Promise<void> {
+    const last = this.reconcileStartedAt.get(m.id) ?? Number.NEGATIVE_INFINITY;
+    if ((m.reconciled && m.unreachableAt === null) || !m.addr || this.reconciling.has(m.id)) return;
+    if (incarnation === null && this.clock.now() - last < RECONCILE_INTERVAL_MS) return;
+    this.reconciling.add(m.id);
+    this.reconcileStartedAt.set(m.id, this.clock.now());
     try {
-      let shift = session ?? (m.synced ? m.session : null);
-      if (shift === null) {
-        const shown = await this.http.request(m.addr, 'GET', WORKER_PATHS.show, null, SHOW_MS);
-        const r = readReport(shown.body);
+      let target = incarnation ?? (m.reconciled ? m.incarnation : null);
+      if (target === null) {
+        const shown = await this.http.request(m.addr, 'GET', WORKER_PATHS.status, null, STATUS_TIMEOUT_MS);
+        const r = readHeartbeat(shown.body);
         if (!r || r.machine !== m.id) return;
-        shift = r.session;
+        target = r.incarnation;
       }
-      if (this.live) await this.command(m, [], shift);
+      if (this.isActive) await this.sendCommands(m, [], target);
     } catch {
       // It is asked again, and its own reports come as well. Until it answers, nothing is planned on it.
-      if (m.heardAt !== null) m.unreachableAt = this.clock.now();
+      if (m.lastHeartbeatAt !== null) m.unreachableAt = this.clock.now();
     } finally {
-      this.contacting.delete(m.id);
+      this.reconciling.delete(m.id);
     }
   }
 
@@ -253,76 +266,78 @@
    * Asks machines that were taken over for their reports, so many at once, in this order. With the session that the former
    * owner knew one question is enough; a machine that has another says so.
    */
-  async greet(
+  async reconcileAll(
     machines: readonly Machine[],
     sessionOf: (m: Machine) => number | null,
     atOnce: number,
   ): Promise<void> {
     const waiting = [...machines];
-    for (const m of waiting) this.awaitingContact.add(m.id);
+    for (const m of waiting) this.awaitingReconciliation.add(m.id);
     const one = async () => {
       for (let m = waiting.shift(); m; m = waiting.shift()) {
-        this.awaitingContact.delete(m.id);
+        this.awaitingReconciliation.delete(m.id);
         if (this.stopped) return;
         const guess = sessionOf(m);
-        await this.contact(m, guess);
-        if (guess !== null && !m.synced && !this.stopped && this.machines.get(m.id) === m)
-          await this.contact(m, m.session > 0 ? m.session : null);
+        await this.reconcile(m, guess);
+        if (guess !== null && !m.reconciled && !this.stopped && this.machines.get(m.id) === m)
+          await this.reconcile(m, m.incarnation > 0 ? m.incarnation : null);
       }
     };
     await Promise.all(Array.from({ length: Math.min(atOnce, waiting.length) }, one));
   }
 
-  private lose(m: Machine): void {
-    if (m.heardAt === null) {
+  private expireLease(m: Machine): void {
+    if (m.lastHeartbeatAt === null) {
       // Taken over and never heard of: what it may have held is gone, and it may well still boot.
-      m.unknown = false;
+      m.mayHoldUnreportedTasks = false;
       this.hooks.requestPlan();
       return;
     }
-    this.log.info({ machine: m.id, held: m.held.size }, 'machine lost: its lease ran out');
-    m.lost = true;
-    m.synced = false;
-    m.unknown = false;
+    this.log.info({ machine: m.id, held: m.attempts.size }, 'machine lost: its lease ran out');
+    m.leaseExpired = true;
+    m.reconciled = false;
+    m.mayHoldUnreportedTasks = false;
     // What its present session still reports is from before its lease ended.
-    if (m.session > 0) m.minSession = m.session + 1;
-    this.dropAll(m, 'lease over');
+    if (m.incarnation > 0) m.minIncarnation = m.incarnation + 1;
+    this.forgetAttempts(m, 'lease over');
     this.hooks.requestPlan();
   }
 
-  private dropAll(m: Machine, why: GoneWhy): void {
-    const all = [...m.held.values()];
-    m.held.clear();
-    for (const h of all) if (h.state !== 'exited' || !h.settled) this.hooks.gone(h, why);
+  private forgetAttempts(m: Machine, why: GoneReason): void {
+    const all = [...m.attempts.values()];
+    m.attempts.clear();
+    for (const h of all) if (h.state !== 'exited' || !h.exitRecorded) this.hooks.onAttemptGone(h, why);
   }
 
-  private async sendStarts(m: Machine, held: Held[]): Promise<void> {
-    const announced = this.hooks.announce(held);
+  private async sendStarts(m: Machine, held: TaskAttempt[]): Promise<void> {
+    const announced = this.hooks.announceStarts(held);
     if (announced !== null) {
       const clear = await announced;
-      held = this.stillWanted(m, held, clear && this.live);
+      held = this.startableAttempts(m, held, clear && this.isActive);
       if (held.length === 0) return;
       // What it is sent under is what makes it void later.
-      for (const h of held) h.token = m.token;
+      for (const h of held) h.fencingToken = m.fencingToken;
     }
-    const orders = held.map((h): Order => ({ op: 'start', job: h.job, index: h.index, attempt: h.attempt }));
+    const orders = held.map(
+      (h): WorkerCommand => ({ op: 'start', job: h.job, index: h.index, attempt: h.attempt }),
+    );
     try {
-      const executed = await this.command(m, orders, m.session, () => {
-        for (const h of held) if (h.phase === 'sending') h.phase = 'known';
+      const executed = await this.sendCommands(m, orders, m.incarnation, () => {
+        for (const h of held) if (h.startPhase === 'sending') h.startPhase = 'known';
       });
       if (executed) m.unreachableAt = null;
-      else this.refuse(held, 'not executed');
+      else this.rejectStarts(held, 'not executed');
     } catch (error) {
       m.unreachableAt = this.clock.now();
-      if (error instanceof HttpFailure && !error.sent) {
-        this.refuse(held, 'never sent');
+      if (error instanceof HttpRequestError && !error.sent) {
+        this.rejectStarts(held, 'never sent');
         return;
       }
       // The command may be executed at any later time while token and session match. Only a newer token, or the end of
       // the session, makes sure that it is not.
-      for (const h of held) if (h.phase === 'sending') h.phase = 'unsure';
+      for (const h of held) if (h.startPhase === 'sending') h.startPhase = 'unsure';
       this.log.info({ machine: m.id, tasks: held.length }, 'start unanswered, renewing the token');
-      void this.renewToken(m);
+      void this.renewFencingToken(m);
     }
   }
 
@@ -330,36 +345,36 @@
    * Of starts that had to wait before they could be sent, those that may still be. Meanwhile the machine may have lost its lease
    * or begun a new session, so that the task counts as gone and may be starting elsewhere, or the task may be to stop.
    */
-  private stillWanted(m: Machine, held: Held[], mayStart: boolean): Held[] {
-    const usable = mayStart && m.synced && !m.lost && !m.leaving && m.noticeUntil === null;
-    const there = held.filter((h) => this.machines.get(m.id) === m && m.held.get(keyOf(h)) === h);
+  private startableAttempts(m: Machine, held: TaskAttempt[], mayStart: boolean): TaskAttempt[] {
+    const usable = mayStart && m.reconciled && !m.leaseExpired && !m.decommissioning && m.reclaimAt === null;
+    const there = held.filter((h) => this.machines.get(m.id) === m && m.attempts.get(keyOf(h)) === h);
     const wanted = usable ? there.filter((h) => h.stop === null) : [];
     const not = there.filter((h) => !wanted.includes(h));
-    if (not.length > 0) this.refuse(not, 'never sent');
+    if (not.length > 0) this.rejectStarts(not, 'never sent');
     return wanted;
   }
 
-  private refuse(held: Held[], why: GoneWhy): void {
+  private rejectStarts(held: TaskAttempt[], why: GoneReason): void {
     for (const h of held) {
-      if (h.phase !== 'sending') continue;
-      h.machine.held.delete(keyOf(h));
-      this.hooks.gone(h, why);
+      if (h.startPhase !== 'sending') continue;
+      h.machine.attempts.delete(keyOf(h));
+      this.hooks.onAttemptGone(h, why);
     }
     this.hooks.requestPlan();
   }
 
-  private async renewToken(m: Machine): Promise<void> {
+  private async renewFencingToken(m: Machine): Promise<void> {
     while (
       !this.stopped &&
       this.machines.get(m.id) === m &&
-      [...m.held.values()].some((h) => h.phase === 'unsure')
+      [...m.attempts.values()].some((h) => h.startPhase === 'unsure')
     ) {
       try {
-        const version = await this.hooks.renewRecord(m);
+        const version = await this.hooks.renewFencingToken(m);
         m.version = version;
-        m.token = Math.max(m.token, version);
-        m.synced = false;
-        void this.contact(m, null);
+        m.fencingToken = Math.max(m.fencingToken, version);
+        m.reconciled = false;
+        void this.reconcile(m, null);
         return;
       } catch {
         await new Promise<void>((resolve) => {
@@ -370,73 +385,74 @@
   }
 
   /** True when executed, false when the machine surely did not execute it. */
-  private async command(
+  private async sendCommands(
     m: Machine,
-    orders: Order[],
-    session = m.session,
+    orders: WorkerCommand[],
+    session = m.incarnation,
     executed: () => void = () => undefined,
   ): Promise<boolean> {
-    const body = writeCommands(m.token, session, orders);
-    const answer = await this.http.request(m.addr, 'POST', WORKER_PATHS.commands, body, COMMAND_MS);
-    const r = readReport(answer.body);
+    const body = writeCommands(m.fencingToken, session, orders);
+    const answer = await this.http.request(m.addr, 'POST', WORKER_PATHS.commands, body, COMMAND_TIMEOUT_MS);
+    const r = readHeartbeat(answer.body);
     if (answer.status === 200) executed();
     if (r && r.machine === m.id && this.machines.get(m.id) === m && !this.stopped)
-      this.absorb(m, r, 'command');
+      this.applyHeartbeat(m, r, 'command');
     return answer.status === 200;
   }
 
-  private absorb(m: Machine, r: Report, via: Via): Weight {
-    const weight = weigh(m, r);
+  private applyHeartbeat(m: Machine, r: Heartbeat, via: HeartbeatChannel): HeartbeatValidity {
+    const weight = classifyHeartbeat(m, r);
     if (weight === 'late' || weight === 'foreign') return weight;
     const now = this.clock.now();
-    const fresh = r.session > m.session;
+    const fresh = r.incarnation > m.incarnation;
     // The lease of a session counts from its beginning, which is known only to lie before this report. A session that shows
     // itself in the answer to a command outlasts the last answered report, which was of the session before it.
-    if (fresh) m.answeredAt = Math.max(m.answeredAt, now);
-    if (fresh && m.session > 0) {
+    if (fresh) m.leaseRenewedAt = Math.max(m.leaseRenewedAt, now);
+    if (fresh && m.incarnation > 0) {
       // A new session begins with no tasks.
-      this.dropAll(m, 'new session');
+      this.forgetAttempts(m, 'new session');
     }
-    m.session = r.session;
-    if (fresh) this.hooks.session(m);
-    m.seq = r.seq;
+    m.incarnation = r.incarnation;
+    if (fresh) this.hooks.onIncarnation(m);
+    m.heartbeatSequence = r.sequence;
     m.addr = r.addr;
-    if (m.heardAt === null) {
+    if (m.lastHeartbeatAt === null) {
       // Until now it booted; only from here on does it stand idle.
       m.idleSince = now;
       this.hooks.requestPlan();
     }
-    const stays = m.heardAt !== null && now - m.heardAt <= nextReportMs(this.times.reportS);
+    const stays =
+      m.lastHeartbeatAt !== null && now - m.lastHeartbeatAt <= nextHeartbeatWithinMs(this.times.reportS);
     if (via === 'command' || stays) m.unreachableAt = null;
-    m.heardAt = now;
-    if (m.lost) {
-      m.lost = false;
-      m.answeredAt = now;
+    m.lastHeartbeatAt = now;
+    if (m.leaseExpired) {
+      m.leaseExpired = false;
+      m.leaseRenewedAt = now;
       this.hooks.requestPlan();
     }
-    if (r.noticeS !== null) {
-      const until = now + r.noticeS * 1000;
-      if (m.noticeUntil === null) this.hooks.requestPlan();
-      m.noticeUntil = m.noticeUntil === null ? until : Math.min(m.noticeUntil, until);
+    if (r.reclaimInS !== null) {
+      const until = now + r.reclaimInS * 1000;
+      if (m.reclaimAt === null) this.hooks.requestPlan();
+      m.reclaimAt = m.reclaimAt === null ? until : Math.min(m.reclaimAt, until);
     }
     if (weight === 'untokened') return weight;
-    m.unheard = 0;
-    if (!m.synced) {
-      m.synced = true;
+    m.unconfirmedResponses = 0;
+    if (!m.reconciled) {
+      m.reconciled = true;
       this.hooks.requestPlan();
     }
-    this.reconcile(m, r, via);
-    m.unknown = false;
+    this.reconcileAttempts(m, r, via);
+    m.mayHoldUnreportedTasks = false;
     return 'ok';
   }
 
-  private reconcile(m: Machine, r: Report, via: Via): void {
+  private reconcileAttempts(m: Machine, r: Heartbeat, via: HeartbeatChannel): void {
     const now = this.clock.now();
     const seen = new Set<string>();
     for (const t of r.tasks) {
-      const key = heldKey(t.job, t.index, t.attempt);
+      const key = attemptKey(t.job, t.index, t.attempt);
       seen.add(key);
-      let h = m.held.get(key);
+      let h = m.attempts.get(key);
       const isNew = !h;
       if (!h) {
         h = {
@@ -447,58 +463,58 @@
           state: t.state,
           cause: t.cause,
           saved: t.saved,
-          phase: 'known',
-          token: m.token,
+          startPhase: 'known',
+          fencingToken: m.fencingToken,
           orderedAt: now,
           runningAt: t.state === 'running' ? now : null,
           exitedAt: t.state === 'exited' ? now : null,
           stop: null,
-          settled: false,
+          exitRecorded: false,
         };
-        m.held.set(key, h);
-        this.hooks.found(h);
+        m.attempts.set(key, h);
+        this.hooks.onAttemptFound(h);
         continue;
       }
-      if (h.phase !== 'sending') h.phase = 'known';
+      if (h.startPhase !== 'sending') h.startPhase = 'known';
       if (!isNew && (h.state !== t.state || h.cause !== t.cause)) {
         h.state = t.state;
         h.cause = t.cause;
         h.saved = t.saved;
         if (t.state === 'running' && h.runningAt === null) h.runningAt = now;
         if (t.state === 'exited') h.exitedAt = now;
-        this.hooks.changed(h);
+        this.hooks.onAttemptChanged(h);
       }
     }
-    for (const [key, h] of [...m.held]) {
+    for (const [key, h] of [...m.attempts]) {
       if (seen.has(key)) continue;
-      if (h.phase === 'sending') continue;
+      if (h.startPhase === 'sending') continue;
       // An answer under way to the worker is not yet in what a direct command returns.
-      if (h.phase === 'answer' && via === 'command') continue;
-      if (h.phase === 'unsure' && h.token >= m.token) continue;
-      m.held.delete(key);
-      if (!(h.state === 'exited' && h.settled)) this.hooks.gone(h, 'not reported');
+      if (h.startPhase === 'answer' && via === 'command') continue;
+      if (h.startPhase === 'unsure' && h.fencingToken >= m.fencingToken) continue;
+      m.attempts.delete(key);
+      if (!(h.state === 'exited' && h.exitRecorded)) this.hooks.onAttemptGone(h, 'not reported');
     }
-    if (m.held.size === 0) m.idleSince ??= now;
+    if (m.attempts.size === 0) m.idleSince ??= now;
     else m.idleSince = null;
   }
 
-  private pendingOrders(m: Machine): Order[] {
-    const orders: Order[] = [];
-    for (const h of m.held.values()) {
+  private pendingCommands(m: Machine): WorkerCommand[] {
+    const orders: WorkerCommand[] = [];
+    for (const h of m.attempts.values()) {
       if (h.state === 'exited') {
-        if (h.settled) orders.push({ op: 'forget', job: h.job, index: h.index, attempt: h.attempt });
+        if (h.exitRecorded) orders.push({ op: 'forget', job: h.job, index: h.index, attempt: h.attempt });
       } else if (h.stop) {
-        orders.push(stopOrder(h));
+        orders.push(stopCommand(h));
       }
     }
     return orders;
   }
 }
 
-function keyOf(h: Held): string {
-  return heldKey(h.job, h.index, h.attempt);
+function keyOf(h: TaskAttempt): string {
+  return attemptKey(h.job, h.index, h.attempt);
 }
 
-function stopOrder(h: Held): Order {
+function stopCommand(h: TaskAttempt): WorkerCommand {
   return { op: 'stop', job: h.job, index: h.index, attempt: h.attempt, graceS: h.stop?.graceS ?? 0 };
 }
--- a/tests/aims.test.ts
+++ b/tests/aims.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Aims, RANKS } from '../src/scheduler/servicelevelobjectives.js';
+import { ServiceLevelObjectives, SLO_RANKS } from '../src/scheduler/servicelevelobjectives.js';
 import { FakeCluster, job } from './support/cluster.js';
 
 const objectives = [
@@ -11,19 +11,19 @@
 ];
 
 test('a waiting gang ranks by the aims it can still meet, and is not put off for ever', () => {
-  const aims = new Aims(objectives);
+  const aims = new ServiceLevelObjectives(objectives);
   const at = (ageS: number, runS = 60, deadlineS: number | null = null) =>
     aims.rank({ class: 'train', deadlineS }, ageS, runS);
-  assert.equal(at(0), RANKS.allInReach);
-  assert.equal(at(70), RANKS.allInReach);
-  assert.equal(at(90), RANKS.someLost, 'the first aim is missed, the others are far off');
-  assert.equal(at(165), RANKS.lastChance, 'it has to start by 190 s to be done by 250 s');
-  assert.equal(at(195), RANKS.allLost);
-  assert.equal(at(90, 150), RANKS.lastChance, 'a longer run has to start sooner');
-  assert.equal(at(90, 60, 400), RANKS.allInReach, 'what was accepted for a deadline is not put off');
-  assert.equal(at(90, 60, 160), RANKS.lastChance, 'and goes first when the deadline is near');
-  assert.equal(at(1001), RANKS.allInReach, 'by its acceptance, before all that came later');
-  assert.equal(aims.rank({ class: 'other', deadlineS: null }, 500, 60), RANKS.allInReach);
+  assert.equal(at(0), SLO_RANKS.allReachable);
+  assert.equal(at(70), SLO_RANKS.allReachable);
+  assert.equal(at(90), SLO_RANKS.someMissed, 'the first aim is missed, the others are far off');
+  assert.equal(at(165), SLO_RANKS.lastChance, 'it has to start by 190 s to be done by 250 s');
+  assert.equal(at(195), SLO_RANKS.allMissed);
+  assert.equal(at(90, 150), SLO_RANKS.lastChance, 'a longer run has to start sooner');
+  assert.equal(at(90, 60, 400), SLO_RANKS.allReachable, 'what was accepted for a deadline is not put off');
+  assert.equal(at(90, 60, 160), SLO_RANKS.lastChance, 'and goes first when the deadline is near');
+  assert.equal(at(1001), SLO_RANKS.allReachable, 'by its acceptance, before all that came later');
+  assert.equal(aims.rank({ class: 'other', deadlineS: null }, 500, 60), SLO_RANKS.allReachable);
 });
 
 // Guards against a burst after which every gang waits behind those that have already missed their aim.
--- a/tests/changes.test.ts
+++ b/tests/changes.test.ts
@@ -5,7 +5,7 @@
 import { ChangeLog } from '../src/changefeed/changelog.js';
 import { sourceOrder } from '../src/changefeed/sourceorder.js';
 import { watchPaceMs } from '../src/changefeed/watchpacing.js';
-import { Mirror } from '../src/controller/clusterstatecache.js';
+import { ClusterStateCache } from '../src/controller/clusterstatecache.js';
 import type { Change } from '../src/wire/state.js';
 import { FakeClock } from './support/clock.js';
 import { FakeCluster, job } from './support/cluster.js';
@@ -34,7 +34,7 @@
     const version = c.change(`c/record/${i % 3}`);
     assert.ok(
       await c.knownWithin(`c/record/${i % 3}`, version, SOON_MS, but),
-      `change ${i} is not known: ${[...c.nodes].filter(([, n]) => n.mirror.entries.get(`c/record/${i % 3}`)?.version !== version).map(([name, n]) => `${name} by ${n.feed.source}`)}`,
+      `change ${i} is not known: ${[...c.nodes].filter(([, n]) => n.stateCache.entries.get(`c/record/${i % 3}`)?.version !== version).map(([name, n]) => `${name} by ${n.feed.source}`)}`,
     );
     await c.clock.advance(everyMs);
   }
@@ -135,11 +135,11 @@
     list: async () => ({ entries: [{ key: 'c/old', value: 0, version: 5 }], revision: 10 }),
     watch: async () => told.shift() ?? new Promise(() => undefined),
   };
-  const mirror = new Mirror(clock, source, 'c/', pino({ level: 'silent' }), () => undefined);
-  void mirror.run();
+  const stateCache = new ClusterStateCache(clock, source, 'c/', pino({ level: 'silent' }), () => undefined);
+  void stateCache.run();
   await clock.advance(1000);
-  assert.deepEqual([...mirror.entries.keys()], ['c/new']);
-  assert.deepEqual([mirror.entries.get('c/new')?.version, mirror.revision], [24, 25]);
+  assert.deepEqual([...stateCache.entries.keys()], ['c/new']);
+  assert.deepEqual([stateCache.entries.get('c/new')?.version, stateCache.revision], [24, 25]);
 });
 
 test('followers that are cut off from their source go to the other one, and to the state service without either', async () => {
@@ -172,7 +172,7 @@
   };
   await everyoneKnows(c, 20, 100);
   for (const [key, item] of c.state.items)
-    assert.equal(c.nodes.get('n2')!.mirror.entries.get(key)?.version, item.version);
+    assert.equal(c.nodes.get('n2')!.stateCache.entries.get(key)?.version, item.version);
   // Neither source keeps what n3 lacks: one watch at the state service brings all of it, and no list.
   c.tamper = (answer, from) =>
     from === 'n3' && 'changes' in (answer as object) ? { refused: 'gap' } : answer;
@@ -224,10 +224,10 @@
   await c.clock.advance(1000);
   const node = c.nodes.get('n3')!;
   node.down = false;
-  void node.mirror.run();
+  void node.stateCache.run();
   const version = c.change('c/last');
   assert.ok(await c.knownWithin('c/last', version, 5000));
-  assert.ok(!node.mirror.entries.has('c/gone'));
+  assert.ok(!node.stateCache.entries.has('c/gone'));
   assert.equal(c.requests.get('n3 list'), 1);
   for (const name of ['n0', 'n1', 'n2']) assert.equal(c.requests.get(`${name} list`) ?? 0, 0);
 });
@@ -241,12 +241,12 @@
   assert.ok(await c.knownWithin('c/deleted', old, 2000));
   assert.equal(n3.feed.source, 'n1');
   const dropped = c.drop('c/deleted');
-  assert.ok(await c.clock.until(() => !n3.mirror.entries.has('c/deleted'), SOON_MS));
-  assert.ok(n3.mirror.revision >= dropped);
+  assert.ok(await c.clock.until(() => !n3.stateCache.entries.has('c/deleted'), SOON_MS));
+  assert.ok(n3.stateCache.revision >= dropped);
   for (let i = 0; i < 40; i++) {
     await c.clock.advance(100);
-    assert.ok(!n3.mirror.entries.has('c/deleted'), 'it came back');
-    assert.ok(n3.mirror.revision >= dropped);
+    assert.ok(!n3.stateCache.entries.has('c/deleted'), 'it came back');
+    assert.ok(n3.stateCache.revision >= dropped);
   }
 });
 
@@ -259,7 +259,7 @@
   await c.clock.advance(100);
   c.cut.clear();
   assert.ok(await c.knownWithin('c/two', missed[1]!, SOON_MS));
-  assert.equal(c.nodes.get('n4')!.mirror.entries.get('c/one')?.version, missed[0]);
+  assert.equal(c.nodes.get('n4')!.stateCache.entries.get('c/one')?.version, missed[0]);
   assert.equal(c.watches('n4') + (c.requests.get('n4 list') ?? 0), 0);
 });
 
@@ -344,7 +344,7 @@
     for (let i = 0; i < 10; i++) c.addWorker('c8', 'a');
     for (const n of nodes) c.startNode(n);
     await c.clock.advance(15_000);
-    const source = c.nodes.get('n4')!.node.members.feed.source;
+    const source = c.nodes.get('n4')!.node.membership.changeFeed.source;
     assert.ok(source !== null, 'n4 follows');
     const behind = nodes.findIndex((n) => c.owner(nodes.indexOf(n)) === source);
     const awake = trouble === 'frozen' ? c.freeze(source) : null;
@@ -367,7 +367,7 @@
     }
     const at = c.state.items.get('c/lead')!.version;
     for (const n of nodes)
-      assert.equal(c.nodes.get(n)!.node.members.mirror.entries.get('c/lead')?.version, at, n);
+      assert.equal(c.nodes.get(n)!.node.membership.stateCache.entries.get('c/lead')?.version, at, n);
   }
 });
 
@@ -384,7 +384,7 @@
     c.state.serve('POST', '/txn', { when: [], writes: [{ set: 'c/record', value: i }] });
     await c.clock.advance(1000);
     for (const n of nodes)
-      assert.equal(c.nodes.get(n)!.node.members.mirror.entries.get('c/record')?.value, i, n);
+      assert.equal(c.nodes.get(n)!.node.membership.stateCache.entries.get('c/record')?.value, i, n);
   }
   const fresh = ['n1', 'n3', 'n4', 'n5'];
   const asked = c.sent.filter(
@@ -403,6 +403,6 @@
     c.startNode(n);
     await c.clock.advance(15_000);
   }
-  const watching = nodes.filter((n) => c.nodes.get(n)!.node.members.feed.source === null);
+  const watching = nodes.filter((n) => c.nodes.get(n)!.node.membership.changeFeed.source === null);
   assert.equal(watching.length, 2, `${watching} watch`);
 });
--- a/tests/cluster.test.ts
+++ b/tests/cluster.test.ts
@@ -84,7 +84,7 @@
   assert.ok(await c.clock.until(() => c.net.held.length === 1, 5000));
   c.silent.add(first);
   const second = c.addWorker('c8', 'a');
-  const owner = [...c.nodes].find(([, r]) => r.node.members.owner(0)?.node === 'n0') ? 'n0' : 'n1';
+  const owner = [...c.nodes].find(([, r]) => r.node.membership.owner(0)?.node === 'n0') ? 'n0' : 'n1';
   c.killNode(owner);
   const cutAt = c.clock.now();
   c.startNode(owner);
@@ -153,7 +153,7 @@
   c.startNode('n1');
   await c.clock.advance(8000);
   const owner = (shard: number) =>
-    [...c.nodes].find(([name, r]) => r.node.members.owner(shard)?.node === name)![0];
+    [...c.nodes].find(([name, r]) => r.node.membership.owner(shard)?.node === name)![0];
   const record = () => c.state.value(`c/m/${w.id}`) as { shard: number };
   const from = record().shard;
   const name = owner(from);
@@ -516,7 +516,7 @@
   assert.ok(await c.submit('n1', job('wk-1')));
   assert.ok(await started(c, 'wk-1/0'));
   const owner = c.nodes.get('n0')!;
-  assert.equal(owner.node.members.owner(0)?.node, 'n0');
+  assert.equal(owner.node.membership.owner(0)?.node, 'n0');
   const term = c.state.items.get('c/own/0')!.version;
   // The state service does not answer n0 alone; its watches stay open and tell nothing, so its copy grows old.
   c.net.fate = (from, addr) => (from === 'n0' && addr.startsWith('10.2.0.1') ? 'silent' : 'deliver');
@@ -527,7 +527,7 @@
   let watching = true;
   c.net.fate = (from, _addr, _method, path) =>
     from === 'n0' && watching && path.startsWith('/watch') ? 'silent' : 'deliver';
-  await c.clock.until(() => owner.node.members.valid, 5000);
+  await c.clock.until(() => owner.node.membership.holdsLease, 5000);
   for (let i = 0; i < 100; i++) {
     const held = c.state.items.get('c/own/0');
     const reply = await owner.api.handle({
@@ -555,7 +555,7 @@
   await c.clock.advance(15_000);
   c.net.fate = () => 'deliver';
   await c.clock.advance(60_000);
-  assert.equal(c.nodes.get('n1')!.node.members.owner(0)?.node, 'n0');
+  assert.equal(c.nodes.get('n1')!.node.membership.owner(0)?.node, 'n0');
   const bookings = c.rented.map((r) => r.request);
   assert.ok(bookings.filter((b) => b.startsWith('n0')).length > 4);
   assert.equal(new Set(bookings).size, bookings.length);
@@ -568,7 +568,7 @@
   c.startNode('n1');
   assert.ok(await c.submit('n1', job('wk-1')));
   assert.ok(await started(c, 'wk-1/0'));
-  assert.equal(c.nodes.get('n0')!.node.members.owner(0)?.node, 'n0');
+  assert.equal(c.nodes.get('n0')!.node.membership.owner(0)?.node, 'n0');
   c.nodes.get('n1')!.cut = true;
   assert.equal(status((await c.call('n1', 'GET', '/api/jobs/wk-1')).body), 'queued');
   assert.equal((await c.call('n1', 'POST', '/api/jobs', job('wk-1'))).status, 200);
@@ -586,10 +586,10 @@
   c.startNode('n1');
   assert.ok(await c.submit('n0', job('wk-1', { pieces: 2 })));
   assert.ok(await started(c, 'wk-1/0'));
-  assert.equal(c.nodes.get('n0')!.node.members.owner(0)?.node, 'n0');
+  assert.equal(c.nodes.get('n0')!.node.membership.owner(0)?.node, 'n0');
   c.net.fate = (from, addr) => (from === 'n0' && addr.startsWith('10.2.0.1') ? 'refuse' : 'deliver');
   w.end('wk-1/0', 'done');
-  assert.ok(await c.clock.until(() => c.nodes.get('n1')!.node.members.owner(0)?.node === 'n1', 20_000));
+  assert.ok(await c.clock.until(() => c.nodes.get('n1')!.node.membership.owner(0)?.node === 'n1', 20_000));
   await c.clock.advance(5000);
   c.net.fate = () => 'deliver';
   await c.clock.advance(5000);
@@ -607,7 +607,7 @@
   c.startNode('n0');
   c.startNode('n1');
   assert.ok(await c.submit('n1', job('wk-1')));
-  assert.equal(c.nodes.get('n0')!.node.members.owner(0)?.node, 'n0');
+  assert.equal(c.nodes.get('n0')!.node.membership.owner(0)?.node, 'n0');
   c.nodes.get('n1')!.cut = true;
   assert.equal((await c.call('n1', 'POST', '/api/jobs', job('wk-2', { dueS: 900 }))).status, 201);
   assert.equal((await c.call('n1', 'POST', '/api/jobs', job('wk-2', { dueS: 900 }))).status, 200);
@@ -636,7 +636,7 @@
   c.startNode('n0');
   c.startNode('n1');
   assert.ok(await c.submit('n1', job('wk-1', { cpus: 1 })));
-  const owner = c.nodes.get('n1')!.node.members.owner(0)!.node;
+  const owner = c.nodes.get('n1')!.node.membership.owner(0)!.node;
   const other = owner === 'n0' ? 'n1' : 'n0';
   const submit = (id: string, change: object = {}) =>
     c.call(other, 'POST', '/api/jobs', job(id, { cpus: 1, ...change }));
@@ -702,10 +702,10 @@
   c.startNode('n0');
   c.startNode('n1');
   assert.ok(await c.submit('n1', job('wk-1')));
-  assert.equal(c.nodes.get('n1')!.node.members.owner(0)?.node, 'n0');
+  assert.equal(c.nodes.get('n1')!.node.membership.owner(0)?.node, 'n0');
   await c.nodes.get('n0')!.node.leave();
   assert.equal(c.nodes.get('n0')!.node.healthy, false);
-  const owner = () => c.nodes.get('n1')!.node.members.owner(0)?.node;
+  const owner = () => c.nodes.get('n1')!.node.membership.owner(0)?.node;
   assert.ok(await c.clock.until(() => owner() === 'n1', 3000));
   await c.clock.advance(10_000);
   assert.equal(owner(), 'n1', 'it takes nothing back');
--- a/tests/condor.test.ts
+++ b/tests/condor.test.ts
@@ -8,7 +8,7 @@
 import { SubmitError } from '../src/condor/macros.js';
 import { ClassAdMatcher, kindAd } from '../src/condor/matcher.js';
 import { ClusterPlan } from '../src/condor/procs.js';
-import { Catalog, Names } from '../src/context/context.js';
+import { MachineTypeCatalog, NameTables } from '../src/context/context.js';
 import { Plan } from '../src/plan/plan.js';
 import { FakeCluster, job } from './support/cluster.js';
 import { ask, condorCluster, expandThroughCrashes, finisher, HEAD, submission } from './support/condor.js';
@@ -164,8 +164,8 @@
 });
 
 function market() {
-  const names = new Names();
-  const catalog = new Catalog(names);
+  const names = new NameTables();
+  const catalog = new MachineTypeCatalog(names);
   const type = (name: string, cpus: number, memoryGb: number, zones: string[]) => ({
     name,
     cpus,
@@ -204,7 +204,7 @@
     planMachine({
       id,
       images: new Set(),
-      held: cpus > 0 ? [{ team: 0, end: 1, need: { cpus, gpus: 0, memoryGb: 1 } }] : [],
+      running: cpus > 0 ? [{ team: 0, end: 1, need: { cpus, gpus: 0, memoryGb: 1 } }] : [],
     });
   assert.equal(single.kind(0, 0, false), true, 'only its machines can tell');
   const before = matcher.asked;
@@ -224,11 +224,11 @@
   const place = (held: { team: number; end: number; need: typeof size }[]) => {
     const p = new Plan(
       0,
-      [planMachine({ id: 'm-0', held }), planMachine({ id: 'm-1' })],
+      [planMachine({ id: 'm-0', running: held }), planMachine({ id: 'm-1' })],
       [{ cpus: 0, gpus: 0 }],
     );
-    p.book(asked);
-    return p.bookings[0]!.machine;
+    p.reserve(asked);
+    return p.reservations[0]!.machine;
   };
   assert.equal(place([]), 1, 'both are empty: the preferred one');
   assert.equal(
--- a/tests/condor/matching.ts
+++ b/tests/condor/matching.ts
@@ -4,12 +4,12 @@
  *     node target/check/tests/condor/matching.js
  */
 import { ClassAdMatcher } from '../../src/condor/matcher.js';
-import { Catalog, Names } from '../../src/context/context.js';
+import { MachineTypeCatalog, NameTables } from '../../src/context/context.js';
 import type { Match, PlanJob, PlanMachine } from '../../src/plan/model.js';
 import { Plan } from '../../src/plan/plan.js';
 
-const names = new Names();
-const catalog = new Catalog(names);
+const names = new NameTables();
+const catalog = new MachineTypeCatalog(names);
 catalog.set(
   Array.from({ length: 12 }, (_, i) => ({
     name: `t${i}`,
@@ -35,10 +35,10 @@
     size: catalog.size(i % 12),
     readyAt: 0,
     until: Number.POSITIVE_INFINITY,
-    closed: false,
+    quarantined: false,
     fetchGbPerS: 1,
     images: new Set([i % 7]),
-    held: [{ team: 0, end: 60, need: { cpus: 1 + (i % 5), gpus: 0, memoryGb: 2 } }],
+    running: [{ team: 0, end: 60, need: { cpus: 1 + (i % 5), gpus: 0, memoryGb: 2 } }],
   }));
 const kindText = (i: number) =>
   `(Memory >= ${16_384 + i * 64}) && (Arch == "X86_64") && (OpSys == "LINUX") && (Zone == "a" || GPUs > ${i % 3}) && !regexp("^t${i % 12}$", MachineType)`;
@@ -50,7 +50,7 @@
   text: (i: number) => string,
 ): { first: number; again: number } {
   const matcher = new ClassAdMatcher(names, catalog);
-  const fleet = machines(n);
+  const registry = machines(n);
   const compiled = Array.from({ length: requirements }, (_, i) =>
     matcher.compile({ requirements: text(i), rank: null }),
   );
@@ -58,7 +58,7 @@
     const begun = performance.now();
     let yes = 0;
     for (const m of compiled)
-      for (const x of fleet) if (m.kind(x.type, x.zone, x.spot) && (!m.machine || m.machine(x))) yes++;
+      for (const x of registry) if (m.kind(x.type, x.zone, x.spot) && (!m.machine || m.machine(x))) yes++;
     return { rate: (n * requirements) / ((performance.now() - begun) / 1000), yes };
   };
   const first = ask();
@@ -86,10 +86,10 @@
 
 /** The median time of a plan of 400 jobs on 1,000 machines. */
 function planMs(match: (i: number) => Match | null): number {
-  const fleet = machines(1000);
+  const registry = machines(1000);
   const times = Array.from({ length: 15 }, () => {
     const begun = performance.now();
-    const plan = new Plan(0, fleet, [{ cpus: 0, gpus: 0 }]);
+    const plan = new Plan(0, registry, [{ cpus: 0, gpus: 0 }]);
     for (let i = 0; i < 400; i++) {
       const job: PlanJob = {
         id: i,
@@ -110,7 +110,7 @@
         tasks: [0, 1],
         present: new Map(),
       };
-      plan.book(job);
+      plan.reserve(job);
     }
     return performance.now() - begun;
   });
--- a/tests/deaf.test.ts
+++ b/tests/deaf.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Reach } from '../src/controller/workerconnectivity.js';
+import { WorkerConnectivity } from '../src/controller/workerconnectivity.js';
 import type { Worker } from '../src/emulator/worker.js';
 import { FakeClock } from './support/clock.js';
 import { FakeCluster, job, LEASE_S } from './support/cluster.js';
@@ -127,14 +127,14 @@
 
 test('a machine that goes from node to node says nothing against its owner; one that comes back to the same does', async () => {
   const clock = new FakeClock();
-  const reach = new Reach(clock);
+  const reach = new WorkerConnectivity(clock);
   for (const by of ['n1', 'n2']) {
-    reach.sentHere('m-1', by);
-    reach.sentHere('m-2', by);
+    reach.onRedirect('m-1', by);
+    reach.onRedirect('m-2', by);
     await clock.advance(5000);
   }
-  assert.equal(reach.cutOff(2, 0), false);
-  reach.sentHere('m-1', 'n2');
-  reach.sentHere('m-2', 'n2');
-  assert.equal(reach.cutOff(2, 0), true);
+  assert.equal(reach.isCutOff(2, 0), false);
+  reach.onRedirect('m-1', 'n2');
+  reach.onRedirect('m-2', 'n2');
+  assert.equal(reach.isCutOff(2, 0), true);
 });
--- a/tests/failures.test.ts
+++ b/tests/failures.test.ts
@@ -4,7 +4,7 @@
 import { type Job, makeJob } from '../src/jobs/job.js';
 import { FailureTracker } from '../src/scheduler/failuretracker.js';
 import { readJob } from '../src/wire/users.js';
-import { type Machine, SICK_ERRORS } from '../src/workers/machine.js';
+import { MAX_CONSECUTIVE_ERRORS, type Machine } from '../src/workers/machine.js';
 import { FakeCluster, job } from './support/cluster.js';
 
 function setting(jobs: string[], machines: string[]) {
@@ -15,9 +15,9 @@
     const record = { accepted: 0, deadline: 0, order: i, fresh: true, version: 1 };
     j.set(id, makeJob(spec, record, { team: 0, types: null, zone: null, image: 0, match: null }));
   }
-  const m = new Map(machines.map((id) => [id, { id, errors: 0, closedUntil: 0 } as Machine]));
+  const m = new Map(machines.map((id) => [id, { id, consecutiveErrors: 0, quarantinedUntil: 0 } as Machine]));
   const failures = new FailureTracker(j, m, pino({ level: 'silent' }));
-  const fails = (id: string, on: string, at: number) => failures.failed(j.get(id)!, m.get(on)!, at);
+  const fails = (id: string, on: string, at: number) => failures.onTaskFailed(j.get(id)!, m.get(on)!, at);
   return { jobs: j, machines: m, failures, fails };
 }
 
@@ -26,21 +26,21 @@
   const { jobs, machines, failures, fails } = setting(['wk-1'], ['a', 'b', 'c', 'd']);
   const bad = jobs.get('wk-1')!;
   for (let i = 0; i < 4; i++) fails('wk-1', 'a', 1000);
-  assert.equal(machines.get('a')!.errors, 1, 'four failures of one job at once are one');
-  assert.ok(machines.get('a')!.closedUntil > 1000);
+  assert.equal(machines.get('a')!.consecutiveErrors, 1, 'four failures of one job at once are one');
+  assert.ok(machines.get('a')!.quarantinedUntil > 1000);
   fails('wk-1', 'b', 1100);
-  assert.equal(bad.suspect, false);
+  assert.equal(bad.quarantined, false);
   fails('wk-1', 'c', 1200);
-  assert.equal(bad.suspect, true);
-  for (const id of ['a', 'b', 'c']) assert.equal(machines.get(id)!.closedUntil, 0);
+  assert.equal(bad.quarantined, true);
+  for (const id of ['a', 'b', 'c']) assert.equal(machines.get(id)!.quarantinedUntil, 0);
   const first = bad.notBefore;
   fails('wk-1', 'd', 1300);
   assert.equal(bad.notBefore, first, 'the same round');
-  assert.equal(machines.get('d')!.errors, 0);
+  assert.equal(machines.get('d')!.consecutiveErrors, 0);
   fails('wk-1', 'd', first + 10);
   assert.ok(bad.notBefore - (first + 10) >= 2 * (first - 1200), 'ever less often');
-  failures.succeeded(bad, machines.get('d')!);
-  assert.equal(bad.suspect, false);
+  failures.onTaskSucceeded(bad, machines.get('d')!);
+  assert.equal(bad.quarantined, false);
   assert.equal(bad.notBefore, 0, 'soon again when it turns out good');
 });
 
@@ -50,15 +50,15 @@
   fails('wk-3', 'b', 0);
   fails('wk-1', 'a', 100);
   fails('wk-1', 'b', 200);
-  assert.equal(machines.get('a')!.errors, SICK_ERRORS);
-  assert.equal(machines.get('b')!.errors, SICK_ERRORS);
+  assert.equal(machines.get('a')!.consecutiveErrors, MAX_CONSECUTIVE_ERRORS);
+  assert.equal(machines.get('b')!.consecutiveErrors, MAX_CONSECUTIVE_ERRORS);
   fails('wk-1', 'c', 300);
   fails('wk-4', 'c', 400);
   assert.ok(
-    [...jobs.values()].every((j) => !j.suspect),
+    [...jobs.values()].every((j) => !j.quarantined),
     'a gang on sick machines keeps its aim',
   );
-  assert.equal(machines.get('c')!.errors, SICK_ERRORS);
+  assert.equal(machines.get('c')!.consecutiveErrors, MAX_CONSECUTIVE_ERRORS);
 });
 
 test('a job that fails everywhere rents nothing, is tried with one task, keeps nobody waiting, and can be cancelled', async () => {
--- a/tests/mesh.test.ts
+++ b/tests/mesh.test.ts
@@ -47,7 +47,9 @@
   // The name and a long question come in one piece: the name has to be taken first.
   for (let i = 0; i < 2000 && got === null; i++) {
     await new Promise((resolve) => setImmediate(resolve));
-    got = await two.ask('n1', 'give', { machine: 'm-1', text: 'x'.repeat(20_000) }, 1000).catch(() => null);
+    got = await two
+      .request('n1', 'give', { machine: 'm-1', text: 'x'.repeat(20_000) }, 1000)
+      .catch(() => null);
   }
   assert.deepEqual((got as { op: string; from: string }).op, 'give');
   assert.deepEqual((got as { op: string; from: string }).from, 'n2');
--- a/tests/plan.test.ts
+++ b/tests/plan.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { chooseReservation, matchSpares, shardFor } from '../src/autoscaler/rebalancing.js';
+import { chooseReservation, chooseTransfers, shardFor } from '../src/autoscaler/rebalancing.js';
 import { assignTeams } from '../src/controller/leader.js';
 import { makeJob, withinGuarantee } from '../src/jobs/job.js';
 import { Plan } from '../src/plan/plan.js';
-import { chooseRental } from '../src/plan/rentalchoice.js';
+import { chooseOption } from '../src/plan/rentalchoice.js';
 import { chooseVictims } from '../src/plan/victimchoice.js';
 import type { JobSpec } from '../src/wire/users.js';
 import { machine, planJob, size } from './support/plan.js';
@@ -13,23 +13,23 @@
 const noCaps = [{ cpus: 0, gpus: 0 }];
 
 test('a task goes to the most loaded machine that meets its deadline', () => {
-  const machines = [machine(), machine({ held: [busy(200)] }), machine({ held: [busy(100)] })];
+  const machines = [machine(), machine({ running: [busy(200)] }), machine({ running: [busy(100)] })];
   const plan = new Plan(0, machines, noCaps);
-  assert.equal(plan.book(planJob()), 60);
-  assert.equal(plan.bookings[0]!.machine, 1);
+  assert.equal(plan.reserve(planJob()), 60);
+  assert.equal(plan.reservations[0]!.machine, 1);
 });
 
 test('a full machine is passed over when its task would end too late, and used when it would not', () => {
-  const machines = [machine(), machine({ held: [busy(200, 8)] })];
+  const machines = [machine(), machine({ running: [busy(200, 8)] })];
   const tight = new Plan(0, machines, noCaps);
-  tight.book(planJob({ deadline: 100 }));
-  assert.equal(tight.bookings[0]!.machine, 0);
+  tight.reserve(planJob({ deadline: 100 }));
+  assert.equal(tight.reservations[0]!.machine, 0);
   const wide = new Plan(0, machines, noCaps);
-  wide.book(planJob({ deadline: 300 }));
-  assert.deepEqual([wide.bookings[0]!.machine, wide.bookings[0]!.start], [1, 200]);
+  wide.reserve(planJob({ deadline: 300 }));
+  assert.deepEqual([wide.reservations[0]!.machine, wide.reservations[0]!.start], [1, 200]);
   wide.startEarly();
   assert.deepEqual(
-    [wide.bookings[0]!.machine, wide.bookings[0]!.start],
+    [wide.reservations[0]!.machine, wide.reservations[0]!.start],
     [0, 0],
     'and starts early elsewhere',
   );
@@ -42,9 +42,9 @@
   );
   const capped = new Plan(0, [machine(), machine()], [{ cpus: 8, gpus: 0 }]);
   assert.equal(capped.earliestFinish(planJob({ total: 4, tasks: [0, 1, 2, 3] })), 120);
-  assert.equal(capped.bookings.length, 0, 'asking books nothing');
+  assert.equal(capped.reservations.length, 0, 'asking books nothing');
   const unseen = new Plan(0, [machine()], [{ cpus: 8, gpus: 0 }]);
-  unseen.reserve({ cpus: 8, gpus: 0, memoryGb: 0 }, 20);
+  unseen.reserveUnreconciled({ cpus: 8, gpus: 0, memoryGb: 0 }, 20);
   assert.equal(unseen.earliestFinish(planJob()), 80);
   assert.equal(
     new Plan(0, [machine()], noCaps).earliestFinish(planJob({ need: { ...size, cpus: 9 } })),
@@ -54,24 +54,24 @@
 
 test('a gang waits until all of it fits at once, in one zone where it must', () => {
   const gang = planJob({ kind: 'gang', total: 3, tasks: [0, 1, 2], oneZone: true });
-  const machines = [machine({ held: [busy(50)] }), machine({ zone: 1 }), machine()];
+  const machines = [machine({ running: [busy(50)] }), machine({ zone: 1 }), machine()];
   const plan = new Plan(0, machines, noCaps);
-  assert.equal(plan.book(gang), 60);
-  assert.deepEqual(new Set(plan.bookings.map((b) => machines[b.machine]!.zone)), new Set([0]));
-  const full = new Plan(0, [machine({ held: [busy(50)] }), machine({ zone: 1 })], noCaps);
-  assert.equal(full.book({ ...gang, tasks: [0, 1], total: 2 }), 60);
-  assert.equal(full.book({ ...gang, id: 2, tasks: [0, 1], total: 2 }), 110);
+  assert.equal(plan.reserve(gang), 60);
+  assert.deepEqual(new Set(plan.reservations.map((b) => machines[b.machine]!.zone)), new Set([0]));
+  const full = new Plan(0, [machine({ running: [busy(50)] }), machine({ zone: 1 })], noCaps);
+  assert.equal(full.reserve({ ...gang, tasks: [0, 1], total: 2 }), 60);
+  assert.equal(full.reserve({ ...gang, id: 2, tasks: [0, 1], total: 2 }), 110);
 });
 
 test('spread keeps half of the tasks out of each zone; spot, type and closed machines are respected', () => {
   const job = planJob({ spread: true, total: 3, tasks: [0, 1, 2] });
   const machines = [machine({ size: { cpus: 64, gpus: 0, memoryGb: 256 } }), machine({ zone: 1 })];
   const plan = new Plan(0, machines, noCaps);
-  plan.book(job);
-  assert.equal(plan.bookings.filter((b) => b.machine === 0).length, 2);
-  const barred = [machine({ spot: true }), machine({ type: 1 }), machine({ closed: true })];
+  plan.reserve(job);
+  assert.equal(plan.reservations.filter((b) => b.machine === 0).length, 2);
+  const barred = [machine({ spot: true }), machine({ type: 1 }), machine({ quarantined: true })];
   const strict = planJob({ spot: false, types: new Set([0]) });
-  assert.equal(new Plan(0, barred, noCaps).book(strict), null);
+  assert.equal(new Plan(0, barred, noCaps).reserve(strict), null);
 });
 
 test('preemption stops the least that suffices, also for a team’s limit, and nothing in vain', () => {
@@ -109,9 +109,9 @@
   const need = { cpus: 4, gpus: 0, memoryGb: 1 };
   const shortage = { types: null, zone: null, spot: false, match: null, need, count: 6 };
   const options = [option(0, 1, 4), option(1, 1.5, 8), option(2, 0.1, 8, true), option(3, 0.1, 2)];
-  assert.deepEqual(chooseRental(shortage, options, 8), { option: options[1], count: 3 });
-  assert.equal(chooseRental({ ...shortage, spot: true }, options, 8)?.option, options[2]);
-  assert.equal(chooseRental({ ...shortage, types: new Set([3]) }, options, 8), null);
+  assert.deepEqual(chooseOption(shortage, options, 8), { option: options[1], count: 3 });
+  assert.equal(chooseOption({ ...shortage, spot: true }, options, 8)?.option, options[2]);
+  assert.equal(chooseOption({ ...shortage, types: new Set([3]) }, options, 8), null);
 });
 
 test('empty machines go to the most urgent need elsewhere, but a shard keeps what it needs itself', () => {
@@ -141,7 +141,7 @@
     spares: spares.map(spare),
     needs: priorities.map(need),
   });
-  const moves = matchSpares([told(0, ['m-1'], []), told(1, ['m-2'], [1]), told(2, [], [2])], sizeOf);
+  const moves = chooseTransfers([told(0, ['m-1'], []), told(1, ['m-2'], [1]), told(2, [], [2])], sizeOf);
   assert.deepEqual(moves, [{ machine: 'm-1', from: 0, to: 2 }]);
   // Full shards: a machine goes, as its tasks end, from where urgent work waits least to where it waits much longer.
   const full = (shard: number, urgentS: number, machines = 10) => ({
@@ -170,9 +170,9 @@
   machines.forEach((zone, n) => {
     const takers = weights.map((weight, i) => ({
       weight,
-      have: have[i]!.a + have[i]!.b,
-      haveInZone: have[i]![zone],
-      near: zones[i] === zone,
+      machines: have[i]!.a + have[i]!.b,
+      machinesInZone: have[i]![zone],
+      isHomeZone: zones[i] === zone,
     }));
     have[shardFor(takers, machines.length - n)]![zone]++;
   });
--- a/tests/promise.test.ts
+++ b/tests/promise.test.ts
@@ -68,34 +68,37 @@
 }[] = [
   {
     what: 'an owner acts as long as its lease',
-    f: { mayAct: () => true },
+    f: { leaseCovers: () => true },
     wrong: /two may act/,
   },
   {
     what: 'the promise counts from when the answer came',
-    f: { acknowledged: (p, r, at) => promise.acknowledged(p, r, at + promise.PROMISE_MS / 2) },
+    f: { onAcknowledged: (p, r, at) => promise.onAcknowledged(p, r, at + promise.STANDBY_LEASE_MS / 2) },
     wrong: /two may act/,
   },
   {
     what: 'neither drift nor margin',
     f: {
-      sending: (p, r, now) => (p.bound === r ? p : { bound: r, until: now + promise.PROMISE_MS }),
-      acknowledged: (p, r, at) =>
-        p.bound === r ? { bound: r, until: Math.max(p.until, at + promise.PROMISE_MS) } : p,
-      mayClaim: (v, now) => !v.claimed && (v.released || now > v.answeredAt + promise.PROMISE_MS),
+      onSend: (p, r, now) =>
+        p.boundRevision === r ? p : { boundRevision: r, until: now + promise.STANDBY_LEASE_MS },
+      onAcknowledged: (p, r, at) =>
+        p.boundRevision === r
+          ? { boundRevision: r, until: Math.max(p.until, at + promise.STANDBY_LEASE_MS) }
+          : p,
+      mayClaim: (v, now) => !v.claimed && (v.released || now > v.answeredAt + promise.STANDBY_LEASE_MS),
     },
     wrong: /two may act/,
   },
   {
     what: 'a standby claims before the promise is over',
-    f: { mayClaim: (v, now) => promise.mayClaim(v, now + promise.PROMISE_MS / 2) },
+    f: { mayClaim: (v, now) => promise.mayClaim(v, now + promise.STANDBY_LEASE_MS / 2) },
     wrong: /two may act/,
   },
   {
     what: 'a standby answers after it has claimed',
     f: {
-      answering: (v, t, r, now) =>
-        v && v.term === t && v.revision === r ? { ...v, answeredAt: now } : promise.answering(v, t, r, now),
+      onMessage: (v, t, r, now) =>
+        v && v.term === t && v.revision === r ? { ...v, answeredAt: now } : promise.onMessage(v, t, r, now),
     },
     wrong: /two may act/,
   },
@@ -126,22 +129,25 @@
   },
   {
     what: 'what was announced on a machine that has not reported is no reason to wait',
-    f: { surelyNowhere: () => true },
+    f: { surelyNotRunning: () => true },
     bounds: { task: true },
     wrong: /run twice/,
   },
   {
     what: 'a copy that is not level is taken for one that is',
     f: {
-      surelyNowhere: (job, warmth, adopted, unseen) =>
-        warmth?.mayBeOn(job.id) === null || checks.surelyNowhere(job, warmth, adopted, unseen),
+      surelyNotRunning: (job, snapshot, adopted, unseen) =>
+        snapshot?.machinesOf(job.id) === null || checks.surelyNotRunning(job, snapshot, adopted, unseen),
     },
     bounds: { task: true },
     wrong: /run twice/,
   },
   {
     what: 'a report under the former token counts as one under the new one',
-    f: { weigh: (known, r) => (machine.weigh(known, r) === 'untokened' ? 'ok' : machine.weigh(known, r)) },
+    f: {
+      classifyHeartbeat: (known, r) =>
+        machine.classifyHeartbeat(known, r) === 'untokened' ? 'ok' : machine.classifyHeartbeat(known, r),
+    },
     far: true,
     wrong: /run twice/,
   },
--- a/tests/reach.test.ts
+++ b/tests/reach.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Reach } from '../src/controller/workerconnectivity.js';
+import { WorkerConnectivity } from '../src/controller/workerconnectivity.js';
 import { FakeClock } from './support/clock.js';
 import { FakeCluster, job } from './support/cluster.js';
 
@@ -8,30 +8,30 @@
 // that were sent to it, but some come all the time.
 test('a node is cut off only when machines are sent to it again and again, and hardly any comes', async () => {
   const clock = new FakeClock();
-  const reach = new Reach(clock);
+  const reach = new WorkerConnectivity(clock);
   const send = (n: number) => {
-    for (let i = 0; i < n; i++) reach.sentHere(`m-${i}`, 'n1');
+    for (let i = 0; i < n; i++) reach.onRedirect(`m-${i}`, 'n1');
   };
   send(10);
-  assert.equal(reach.cutOff(10, 0), false, 'sent once');
+  assert.equal(reach.isCutOff(10, 0), false, 'sent once');
   await clock.advance(4000);
   send(10);
-  assert.equal(reach.cutOff(10, 3), false, 'some still come');
-  assert.equal(reach.cutOff(30, 0), false, 'a third of the machines');
-  assert.equal(reach.cutOff(10, 0), true);
-  for (let i = 0; i < 6; i++) reach.heard(`m-${i}`);
-  assert.equal(reach.cutOff(10, 0), false, 'they have come');
+  assert.equal(reach.isCutOff(10, 3), false, 'some still come');
+  assert.equal(reach.isCutOff(30, 0), false, 'a third of the machines');
+  assert.equal(reach.isCutOff(10, 0), true);
+  for (let i = 0; i < 6; i++) reach.onHeartbeat(`m-${i}`);
+  assert.equal(reach.isCutOff(10, 0), false, 'they have come');
   await clock.advance(20_000);
   send(1);
-  assert.equal(reach.cutOff(1, 0), false, 'one machine has a fault of its own');
-  reach.withdraw();
-  assert.equal(reach.mayReturn, false);
+  assert.equal(reach.isCutOff(1, 0), false, 'one machine has a fault of its own');
+  reach.cordon();
+  assert.equal(reach.mayUncordon, false);
   await clock.advance(10_000);
-  assert.equal(reach.mayReturn, true);
-  reach.comeBack();
-  reach.withdraw();
+  assert.equal(reach.mayUncordon, true);
+  reach.uncordon();
+  reach.cordon();
   await clock.advance(10_000);
-  assert.equal(reach.mayReturn, false, 'longer when it happens again soon');
+  assert.equal(reach.mayUncordon, false, 'longer when it happens again soon');
 });
 
 // Guards against a shard taken up again under the term that it was dropped under: tokens and attempts would be those of
--- a/tests/server.test.ts
+++ b/tests/server.test.ts
@@ -2,7 +2,7 @@
 import { once } from 'node:events';
 import net from 'node:net';
 import { test } from 'node:test';
-import { HttpClient, type HttpFailure } from '../src/http/client.js';
+import { HttpClient, type HttpRequestError } from '../src/http/client.js';
 import { type Handler, HttpServer, type ServerOptions } from '../src/http/server.js';
 import { FakeClock } from './support/clock.js';
 
@@ -203,7 +203,7 @@
   });
   const failures: string[] = [];
   const asked = (addr: string) =>
-    client.request(addr, 'GET', '/', null, 1000).catch((error: HttpFailure) => {
+    client.request(addr, 'GET', '/', null, 1000).catch((error: HttpRequestError) => {
       failures.push(`${error.message} ${error.sent}`);
     });
   const waits = [asked(at(slow)), asked(at(slow))];
--- a/tests/size.test.ts
+++ b/tests/size.test.ts
@@ -3,13 +3,13 @@
 import type { PlanJob, PlanMachine } from '../src/plan/model.js';
 import { Plan } from '../src/plan/plan.js';
 import { chooseRentals, type RentOption } from '../src/plan/rentalchoice.js';
-import { Limiter } from '../src/state/ratelimiter.js';
+import { RateLimiter } from '../src/state/ratelimiter.js';
 import { FakeClock } from './support/clock.js';
 import { FakeCluster, job } from './support/cluster.js';
 
 const MACHINES = 1000;
 
-function fleet(): PlanMachine[] {
+function registry(): PlanMachine[] {
   return Array.from({ length: MACHINES }, (_, i) => ({
     id: null,
     type: 0,
@@ -18,10 +18,10 @@
     size: { cpus: 32, gpus: 4, memoryGb: 128 },
     readyAt: 0,
     until: Number.POSITIVE_INFINITY,
-    closed: false,
+    quarantined: false,
     fetchGbPerS: 1,
     images: new Set([i % 5]),
-    held: [0, 1].map((k) => ({
+    running: [0, 1].map((k) => ({
       team: 0,
       end: 20 + ((i * 7 + k * 31) % 90),
       need: { cpus: 15, gpus: 0, memoryGb: 50 },
@@ -58,14 +58,14 @@
     { cpus: 40_000, gpus: 0 },
     { cpus: 0, gpus: 0 },
   ];
-  const arrays = new Plan(0, fleet(), caps);
-  for (let i = 0; i < 20; i++) assert.notEqual(arrays.book(planJob(i, 'array', 200)), null);
+  const arrays = new Plan(0, registry(), caps);
+  for (let i = 0; i < 20; i++) assert.notEqual(arrays.reserve(planJob(i, 'array', 200)), null);
   arrays.startEarly();
-  assert.equal(arrays.bookings.length, 4000);
-  assert.ok(arrays.looks < 20 * 2 * MACHINES + 4 * 4000, `${arrays.looks} looks`);
-  const gangs = new Plan(0, fleet(), caps);
-  for (let i = 0; i < 60; i++) assert.notEqual(gangs.book(planJob(i, 'gang', 16)), null);
-  assert.ok(gangs.looks < 60 * 4 * MACHINES, `${gangs.looks} looks`);
+  assert.equal(arrays.reservations.length, 4000);
+  assert.ok(arrays.probes < 20 * 2 * MACHINES + 4 * 4000, `${arrays.probes} looks`);
+  const gangs = new Plan(0, registry(), caps);
+  for (let i = 0; i < 60; i++) assert.notEqual(gangs.reserve(planJob(i, 'gang', 16)), null);
+  assert.ok(gangs.probes < 60 * 4 * MACHINES, `${gangs.probes} looks`);
 });
 
 test('one round of rentals serves many jobs, each kind in one request', () => {
@@ -96,11 +96,11 @@
 // Guards against a leader that deals hundreds of machines at the pace of one node's fixed part of the write rate.
 test('a node uses what the others leave of a rate, and keeps to its part once it is refused', async () => {
   const clock = new FakeClock();
-  const limiter = new Limiter(clock, 10, 10, 40);
+  const limiter = new RateLimiter(clock, 10, 10, 40);
   let served = 0;
   const load = async () => {
     for (;;) {
-      await limiter.take(1, false, 1e9);
+      await limiter.acquire(1, false, 1e9);
       served++;
     }
   };
@@ -113,7 +113,7 @@
   await during(10_000);
   const grown = await during(5000);
   assert.ok(grown > 180 && grown <= 205, `${grown} in 5 s`);
-  limiter.refused();
+  limiter.onRejected();
   const humble = await during(4000);
   assert.ok(humble <= 42, `${humble} in 4 s`);
 });
--- a/tests/support/cluster.ts
+++ b/tests/support/cluster.ts
@@ -1,15 +1,15 @@
 import pino from 'pino';
 import { Api } from '../../src/api/routes.js';
-import { FEED_OPS } from '../../src/changefeed/messages.js';
+import { CHANGE_FEED_OPS } from '../../src/changefeed/messages.js';
 import { pause } from '../../src/clock/clock.js';
 import { Cloud } from '../../src/cloud/cloud.js';
 import { ClassAdMatcher } from '../../src/condor/matcher.js';
 import { CondorService } from '../../src/condor/service.js';
 import type { Settings } from '../../src/config/settings.js';
-import { Catalog, Names, type World } from '../../src/context/context.js';
+import { type ControllerContext, MachineTypeCatalog, NameTables } from '../../src/context/context.js';
 import { ControllerNode } from '../../src/controller/controllernode.js';
 import { RATES_OP } from '../../src/controller/rateallocator.js';
-import { Standbys } from '../../src/controller/standbycoordinator.js';
+import { StandbyCoordinator } from '../../src/controller/standbycoordinator.js';
 import { CloudService } from '../../src/emulator/cloud.js';
 import { StateService } from '../../src/emulator/state.js';
 import { type Runtime, Worker } from '../../src/emulator/worker.js';
@@ -59,7 +59,7 @@
 }
 
 /** What the version in production does not understand. */
-const NEW_OPS: ReadonlySet<string> = new Set([...Object.values(FEED_OPS), RATES_OP]);
+const NEW_OPS: ReadonlySet<string> = new Set([...Object.values(CHANGE_FEED_OPS), RATES_OP]);
 
 /** Controllers, state service, cloud and workers on one fake clock, all of them scripted but the controllers. */
 export class FakeCluster {
@@ -182,7 +182,7 @@
 
   startNode(name: string): Running {
     const http = this.net.requester(name);
-    const names = new Names();
+    const names = new NameTables();
     const s = {
       ...settings(name, this.names, (n) => this.zoneOf(n)),
       objectives: this.objectives,
@@ -205,7 +205,7 @@
       wall: () => this.clock.wall(),
       after: (ms: number, run: () => void) => this.clock.after(ms, () => whenRunning(run)),
     };
-    const world: World = {
+    const context: ControllerContext = {
       clock,
       settings: s,
       log: pino({ level: 'silent' }),
@@ -218,27 +218,27 @@
       store: null as unknown as StateStore,
       cloud: null as unknown as Cloud,
       names,
-      catalog: new Catalog(names),
-      goneMachines: new Map(),
-      matcher: null,
-      run: `${name}-${++this.runs}`,
+      catalog: new MachineTypeCatalog(names),
+      removedMachines: new Map(),
+      matchCompiler: null,
+      incarnation: `${name}-${++this.runs}`,
     };
-    if (this.condor) world.matcher = new ClassAdMatcher(names, world.catalog);
-    world.store = new StateStore(clock, world.http, STATE, {
+    if (this.condor) context.matchCompiler = new ClassAdMatcher(names, context.catalog);
+    context.store = new StateStore(clock, context.http, STATE, {
       ...this.stateRates,
       nodes: this.ratesParted,
     });
-    world.cloud = new Cloud(clock, world.http, CLOUD, 30, 1);
-    const node = new ControllerNode(world, this.stands(name) ? Standbys : null);
-    const api = new Api(world, node);
+    context.cloud = new Cloud(clock, context.http, CLOUD, 30, 1);
+    const node = new ControllerNode(context, this.stands(name) ? StandbyCoordinator : null);
+    const api = new Api(context, node);
     const handle = api.handle.bind(api);
     api.handle = (request) => awake(request).then(handle);
-    const condor = this.condor ? new CondorService(world, node, { team: 'red', depot: null }) : null;
+    const condor = this.condor ? new CondorService(context, node, { team: 'red', depot: null }) : null;
     if (condor) {
       api.mounts.set('/condor/', (request) => condor.handle(request));
       condor.start();
     }
-    const running: Running = { node, store: world.store, api, cut: false, stopped, still };
+    const running: Running = { node, store: context.store, api, cut: false, stopped, still };
     this.nodes.set(name, running);
     void node.start(this.mesh(name, running));
     return running;
@@ -320,7 +320,7 @@
 
   private mesh(from: string, running: Running): Mesh {
     return {
-      ask: async (to, op, args, timeoutMs) => {
+      request: async (to, op, args, timeoutMs) => {
         // A process that was killed asks nothing any more.
         if (running.stopped.value) return new Promise(() => undefined);
         const target = this.nodes.get(to);
@@ -342,7 +342,7 @@
             .finally(() => this.lostAnswers.has(op) || timer.cancel());
         });
       },
-      tell: (to, op, args) => {
+      notify: (to, op, args) => {
         const target = this.nodes.get(to);
         if (!target || target.cut || running.cut || running.stopped.value || target.still.value) return;
         if (this.lostMessages.has(op) || this.refused.has(to)) return;
--- a/tests/support/feeds.ts
+++ b/tests/support/feeds.ts
@@ -1,8 +1,8 @@
 import pino from 'pino';
 import { ChangeFeed } from '../../src/changefeed/changefeed.js';
-import type { Present } from '../../src/changefeed/sourceorder.js';
+import type { PresentNode } from '../../src/changefeed/sourceorder.js';
 import { pause } from '../../src/clock/clock.js';
-import { Mirror } from '../../src/controller/clusterstatecache.js';
+import { ClusterStateCache } from '../../src/controller/clusterstatecache.js';
 import { StateService } from '../../src/emulator/state.js';
 import type { Mesh } from '../../src/peer/mesh.js';
 import { StateStore } from '../../src/state/statestore.js';
@@ -13,7 +13,7 @@
 
 interface FeedNode {
   feed: ChangeFeed;
-  mirror: Mirror;
+  stateCache: ClusterStateCache;
   /** Killed, or standing still: it answers nothing and runs nothing. */
   down: boolean;
   /** What its renewals of a lease show. */
@@ -70,16 +70,16 @@
       prefix: 'c/',
       regionOf: this.regionOf,
       // As with seventeen nodes.
-      requestsPart: limits.rps / 17,
-      present: () => this.presentTo(name),
-      served: () => node.served,
+      requestsPerSecond: limits.rps / 17,
+      presentNodes: () => this.presentTo(name),
+      isStateStoreReachable: () => node.served,
     };
     const feed = new ChangeFeed(clock, store, log, options);
-    const mirror = new Mirror(clock, feed, 'c/', log, () => undefined);
-    const node: FeedNode = { feed, mirror, down: false, served: true };
+    const stateCache = new ClusterStateCache(clock, feed, 'c/', log, () => undefined);
+    const node: FeedNode = { feed, stateCache, down: false, served: true };
     this.nodes.set(name, node);
     feed.start(this.mesh(name, node));
-    void mirror.run();
+    void stateCache.run();
     return node;
   }
 
@@ -100,7 +100,7 @@
   async knownWithin(key: string, version: number, ms: number, but: readonly string[] = []): Promise<boolean> {
     const lacking = () =>
       [...this.nodes].filter(
-        ([name, n]) => !n.down && !but.includes(name) && n.mirror.entries.get(key)?.version !== version,
+        ([name, n]) => !n.down && !but.includes(name) && n.stateCache.entries.get(key)?.version !== version,
       );
     return this.clock.until(() => lacking().length === 0, ms);
   }
@@ -112,7 +112,7 @@
     return served.body.ledgerRev;
   }
 
-  private presentTo(name: string): Present[] {
+  private presentTo(name: string): PresentNode[] {
     return (this.seenBy.get(name) ?? this.present).map((node, version) => ({ node, version }));
   }
 
@@ -123,7 +123,7 @@
 
   private mesh(from: string, node: FeedNode): Mesh {
     return {
-      ask: async (to, op, args, timeoutMs) => {
+      request: async (to, op, args, timeoutMs) => {
         this.asked.push({ from, to, op });
         if (!this.passes(from, to)) throw new Error('not connected');
         return new Promise((resolve, reject) => {
@@ -138,7 +138,7 @@
           void answer().catch(reject);
         });
       },
-      tell: () => undefined,
+      notify: () => undefined,
       connected: (to) => this.passes(from, to),
       refused: () => false,
     };
--- a/tests/support/meeting.ts
+++ b/tests/support/meeting.ts
@@ -9,7 +9,7 @@
   type Waits,
 } from '../../src/load/check.js';
 import type { JobSpec } from '../../src/wire/users.js';
-import { readOrders, WORKER_PATHS } from '../../src/wire/workers.js';
+import { readCommands, WORKER_PATHS } from '../../src/wire/workers.js';
 import { NODES } from './busy.js';
 import { FakeCluster, job } from './cluster.js';
 import type { Fate } from './net.js';
@@ -120,7 +120,7 @@
   const ordered = new Map<string, number>();
   const troubles = c.net.fate;
   c.net.fate = (from, addr, method, path, body) => {
-    const orders = path === WORKER_PATHS.commands ? (readOrders(body)?.orders ?? []) : [];
+    const orders = path === WORKER_PATHS.commands ? (readCommands(body)?.orders ?? []) : [];
     const machine = orders.length > 0 ? c.workers.find((w) => w.place.addr === addr)?.id : undefined;
     for (const o of orders)
       if (o.op === 'start' && machine !== undefined)
--- a/tests/support/net.ts
+++ b/tests/support/net.ts
@@ -1,6 +1,6 @@
 import type { Clock } from '../../src/clock/clock.js';
 import type { Served } from '../../src/emulator/state.js';
-import { type HttpAnswer, HttpFailure, type Requester } from '../../src/http/client.js';
+import { type HttpAnswer, HttpRequestError, type Requester } from '../../src/http/client.js';
 
 export type Peer = (method: string, path: string, body: unknown, from: string) => Served | Promise<Served>;
 
@@ -47,7 +47,7 @@
     const copy: unknown = body === null ? null : JSON.parse(JSON.stringify(body));
     const fate = this.apart(from, addr) ? 'silent' : this.fate(from, addr, method, path, copy);
     const peer = this.peers.get(addr);
-    if (fate === 'refuse' || !peer) throw new HttpFailure('refused', false);
+    if (fate === 'refuse' || !peer) throw new HttpRequestError('refused', false);
     if (fate === 'hold') this.held.push({ addr, method, path, body: copy, from });
     if (fate === 'lost-answer') void peer(method, path, copy, from);
     if (typeof fate === 'number')
@@ -56,10 +56,10 @@
       await new Promise<void>((resolve) => {
         this.clock.after(timeoutMs, resolve);
       });
-      throw new HttpFailure('timeout', true);
+      throw new HttpRequestError('timeout', true);
     }
     return new Promise((resolve, reject) => {
-      const timer = this.clock.after(timeoutMs, () => reject(new HttpFailure('timeout', true)));
+      const timer = this.clock.after(timeoutMs, () => reject(new HttpRequestError('timeout', true)));
       const arrive = () =>
         void Promise.resolve(peer(method, path, copy, from)).then((served) => {
           timer.cancel();
--- a/tests/support/plan.ts
+++ b/tests/support/plan.ts
@@ -11,10 +11,10 @@
     size,
     readyAt: 0,
     until: Number.POSITIVE_INFINITY,
-    closed: false,
+    quarantined: false,
     fetchGbPerS: 1,
     images: new Set([0]),
-    held: [],
+    running: [],
     ...change,
   };
 }
--- a/tests/versions.test.ts
+++ b/tests/versions.test.ts
@@ -5,7 +5,7 @@
 import { makeJob } from '../src/jobs/job.js';
 import { JobRecords } from '../src/jobs/records.js';
 import { chunkTasks, TaskSet } from '../src/jobs/taskset.js';
-import { readHolder, readTeamAssignment } from '../src/schema/schema.js';
+import { readLeaseHolder, readTeamAssignment } from '../src/schema/schema.js';
 import { StateStore } from '../src/state/statestore.js';
 import { readJob } from '../src/wire/users.js';
 import { FakeClock } from './support/clock.js';
@@ -69,7 +69,7 @@
     await clock.advance(2000);
     return work;
   };
-  const first = await settle(store.txn([], [{ put: OWNER, value: {} }]));
+  const first = await settle(store.compareAndSwap([], [{ put: OWNER, value: {} }]));
   assert.ok(first.ok);
   const owner = (limits: { valueKb: number; txnOps: number; layoutKb: number }) =>
     new JobRecords(store, 0, first.revision, limits, () => allRead.value);
@@ -105,7 +105,9 @@
   for (let i = 0; i < 100_000; i += 3) former.add(i);
   const per = chunkTasks(8);
   for (const n of [0, 1, 2])
-    await w.settle(w.store.txn([], [{ put: `act/wk-1/${n}`, value: { done: former.chunk(n * per, per) } }]));
+    await w.settle(
+      w.store.compareAndSwap([], [{ put: `act/wk-1/${n}`, value: { done: former.chunk(n * per, per) } }]),
+    );
   const [loaded] = await w.settle(w.owner(LOWER).load());
   const restored = jobFrom(loaded!.record.spec, loaded!.version);
   const owner = w.owner(LOWER);
@@ -126,8 +128,8 @@
   const next = jobFrom(again!.record.spec, again!.version);
   owner.restore(next, again!.chunks);
   assert.equal(next.done.count, former.count + 1);
-  assert.ok(next.stored < next.done.count, 'to be stored anew');
-  for (let i = 0; next.stored < next.done.count && i < 20; i++) await w.settle(owner.storeDone(next));
+  assert.ok(next.storedCount < next.done.count, 'to be stored anew');
+  for (let i = 0; next.storedCount < next.done.count && i < 20; i++) await w.settle(owner.storeDone(next));
   assert.equal(w.state.refused[400], 0);
   assert.equal(formerDone(w.state, 100_000, 8).count, 0);
   // Whatever the limit in the settings is by then.
@@ -201,10 +203,10 @@
   const stored = v.parse(formerJob, c.state.value('act/wk-1'));
   assert.equal(stored.spec.tasks, 2);
   assert.equal(v.parse(formerHolder, c.state.value('c/node/n0')).node, 'n0');
-  assert.equal(readHolder(c.state.value('c/node/n0'))?.speaks, 2);
+  assert.equal(readLeaseHolder(c.state.value('c/node/n0'))?.speaks, 2);
   assert.deepEqual(v.parse(v.record(v.string(), v.number()), c.state.value('c/teams')), { red: 0 });
   const former = { node: 'n0', run: 'x', lease: 1 };
-  assert.deepEqual(readHolder(former), former);
+  assert.deepEqual(readLeaseHolder(former), former);
   // The record as the former version wrote it, without the new field, is a job that waits for nothing.
   c.killNode('n0');
   c.state.items.set('act/wk-2', {
@@ -257,7 +259,7 @@
   c.startNode('n1');
   await c.clock.advance(8000);
   assert.ok(await c.submit('n0', job('wk-0', { pieces: 8, cpus: 2 })));
-  const owner = c.nodes.get('n0')!.node.members.owner(0)!;
+  const owner = c.nodes.get('n0')!.node.membership.owner(0)!;
   c.state.limits = { ...c.state.limits, valueBytes: 2048, txnOps: 4, writesPerSecond: 7 };
   for (let i = 1; i <= 40; i++) assert.ok(await c.submit(`n${i % 2}`, job(`wk-${i}`, { cpus: 1 })));
   const before = c.state.refused[429];
@@ -268,7 +270,7 @@
   for (let i = 0; i <= 40; i++)
     assert.equal((c.state.value(`job/wk-${i}`) as { final?: string } | undefined)?.final, 'done', `wk-${i}`);
   assert.equal(c.state.refused[400], 0);
-  assert.deepEqual(c.nodes.get('n0')!.node.members.owner(0), owner, 'no lease was lost');
+  assert.deepEqual(c.nodes.get('n0')!.node.membership.owner(0), owner, 'no lease was lost');
   assert.ok(c.state.refused[429] - before < 200, `${c.state.refused[429] - before} refusals in a minute`);
 });
 
--- a/tests/waiting.test.ts
+++ b/tests/waiting.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { World } from '../src/context/context.js';
+import type { ControllerContext } from '../src/context/context.js';
 import { makeJob } from '../src/jobs/job.js';
 import type { Plan } from '../src/plan/plan.js';
-import { Starts } from '../src/scheduler/taskdispatcher.js';
+import { TaskDispatcher } from '../src/scheduler/taskdispatcher.js';
 import { readJob } from '../src/wire/users.js';
 import type { Machine } from '../src/workers/machine.js';
-import type { Fleet } from '../src/workers/machineregistry.js';
+import type { MachineRegistry } from '../src/workers/machineregistry.js';
 import { FakeCluster, job } from './support/cluster.js';
 
 const status = (body: unknown) => (body as { status: string }).status;
@@ -38,7 +38,7 @@
 
 function ownerOf(c: FakeCluster, team: string): string {
   const shard = (c.state.value('c/teams') as Record<string, number>)[team]!;
-  return [...c.nodes.values()][0]!.node.members.owner(shard)!.node;
+  return [...c.nodes.values()][0]!.node.membership.owner(shard)!.node;
 }
 
 async function start(c: FakeCluster, piece: string, withinMs = 10_000): Promise<boolean> {
@@ -300,52 +300,54 @@
   const spec = readJob(job('wk-1', { owner: 'red' }));
   assert.ok(typeof spec !== 'string');
   const size = { cpus: 8, gpus: 0, memoryGb: 32 };
-  const world = {
+  const context = {
     settings: { teams: [], limits: { cores: 1 } },
     catalog: { size: () => size },
-  } as unknown as World;
+  } as unknown as ControllerContext;
   const machine = {
     id: 'm-1',
     addr: '10.0.0.1:1',
     type: 0,
     zone: 0,
-    synced: true,
-    noticeUntil: null,
+    reconciled: true,
+    reclaimAt: null,
     unreachableAt: null,
-    unheard: 0,
-    givenAt: 0,
-    held: new Map(),
+    unconfirmedResponses: 0,
+    lastAcknowledgedAt: 0,
+    attempts: new Map(),
   } as unknown as Machine;
   const ordered: string[] = [];
-  const fleet = {
+  const registry = {
     machines: new Map([[machine.id, machine]]),
-    start: (_m: Machine, starts: { job: string }[]) => {
+    startTasks: (_m: Machine, starts: { job: string }[]) => {
       ordered.push(...starts.map((s) => s.job));
       return [];
     },
-  } as unknown as Fleet;
+  } as unknown as MachineRegistry;
   const one = makeJob(
     spec,
     { accepted: 0, deadline: 0, order: 1, fresh: true, version: 1 },
     { team: 0, types: null, zone: null, image: 0, match: null },
   );
   const log = { debug: () => undefined } as never;
-  const starts = new Starts(world, 7, fleet, new Map([['wk-1', one]]), log, {
-    useOf: () => null,
-    unseen: () => ({ cpus: 0, gpus: 0, memoryGb: 0 }),
-    nowhereElse: () => true,
-    withheld: () => false,
+  const starts = new TaskDispatcher(context, 7, registry, new Map([['wk-1', one]]), log, {
+    usageOf: () => null,
+    unreconciledCapacity: () => ({ cpus: 0, gpus: 0, memoryGb: 0 }),
+    surelyNotRunning: () => true,
+    isReservedForTransfer: () => false,
     lostOwnership: () => new Error('lost'),
   });
-  const plan = { bookings: [{ job: { id: 1 }, task: 0, machine: 0, start: 0, end: 60 }] } as unknown as Plan;
+  const plan = {
+    reservations: [{ job: { id: 1 }, task: 0, machine: 0, start: 0, end: 60 }],
+  } as unknown as Plan;
   const dispatch = () => starts.dispatch(plan, [machine], new Map([[1, one]]), 1000);
-  one.waitsFor.add('wk-0');
+  one.pendingDependencies.add('wk-0');
   dispatch();
-  one.waitsFor.clear();
-  one.doomed = true;
+  one.pendingDependencies.clear();
+  one.cancelledByDependency = true;
   dispatch();
   assert.deepEqual(ordered, []);
-  one.doomed = false;
+  one.cancelledByDependency = false;
   dispatch();
   assert.deepEqual(ordered, ['wk-1']);
 });
--- a/tests/wire.test.ts
+++ b/tests/wire.test.ts
@@ -4,7 +4,7 @@
 import { chunkTasks, TaskSet } from '../src/jobs/taskset.js';
 import { encodeFrame, FrameReader } from '../src/peer/frames.js';
 import { readJob } from '../src/wire/users.js';
-import { readReport } from '../src/wire/workers.js';
+import { readHeartbeat } from '../src/wire/workers.js';
 import { job } from './support/cluster.js';
 
 test('a submission with a missing, wrong or out-of-range field is refused by name', () => {
@@ -43,7 +43,7 @@
     baton: 3,
     pieces: [{ piece: 'wk-1/7', try: 4, status: 'dreaming', extra: 1 }],
   };
-  assert.deepEqual(readReport(report)?.tasks[0], {
+  assert.deepEqual(readHeartbeat(report)?.tasks[0], {
     job: 'wk-1',
     index: 7,
     attempt: 4,
@@ -57,7 +57,7 @@
     { pieces: [{ piece: 'wk-1' }] },
     { worker: 7 },
   ]) {
-    assert.equal(readReport({ ...report, ...change }), null);
+    assert.equal(readHeartbeat({ ...report, ...change }), null);
   }
 });
 
--- a/tests/writes.test.ts
+++ b/tests/writes.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import pino from 'pino';
 import { nodeLease } from '../src/config/bounds.js';
-import { Mirror } from '../src/controller/clusterstatecache.js';
+import { ClusterStateCache } from '../src/controller/clusterstatecache.js';
 import type { Change } from '../src/wire/state.js';
 import { busy, NODES } from './support/busy.js';
 import { FakeClock } from './support/clock.js';
@@ -18,8 +18,8 @@
     [x, y],
     [y, x],
   ] as const) {
-    const { members } = c.nodes.get(at)!.node;
-    members.handing(k, members.presenceOf(to), term);
+    const { membership: members } = c.nodes.get(at)!.node;
+    members.setSuccessor(k, members.presenceOf(to), term);
   }
   c.sent.length = 0;
   const before = c.clock.now();
@@ -48,20 +48,20 @@
   assert.ok(lost > 1, 'written once more');
   assert.equal(
     shown()?.lease,
-    c.nodes.get('n0')!.node.members.leaseId,
+    c.nodes.get('n0')!.node.membership.leaseId,
     'present under the lease that it has',
   );
-  const { members } = c.nodes.get('n0')!.node;
+  const { membership: members } = c.nodes.get('n0')!.node;
   lost = 0;
-  void members.tellWithdrawn(true).catch(() => undefined);
+  void members.publishCordoned(true).catch(() => undefined);
   await c.clock.advance(3000);
-  void members.tellWithdrawn(false).catch(() => undefined);
+  void members.publishCordoned(false).catch(() => undefined);
   await c.clock.advance(12_000);
   assert.equal(shown()?.aside ?? false, false);
   // What could not be told at all is told with a later renewal.
   c.net.fate = (from, addr, _method, path) =>
     from === 'n0' && addr === STATE && path === '/txn' ? 'refuse' : 'deliver';
-  void members.tellWithdrawn(true).catch(() => undefined);
+  void members.publishCordoned(true).catch(() => undefined);
   await c.clock.advance(1000);
   c.net.fate = () => 'deliver';
   await c.clock.advance(5000);
@@ -120,9 +120,9 @@
       return changes ? { revision: 20, changes } : new Promise<never>(() => undefined);
     },
   };
-  const mirror = new Mirror(clock, store, 'c/', pino({ level: 'silent' }), () => undefined);
-  void mirror.run();
+  const stateCache = new ClusterStateCache(clock, store, 'c/', pino({ level: 'silent' }), () => undefined);
+  void stateCache.run();
   await clock.advance(1000);
   assert.deepEqual(asked, [7, 7, 20]);
-  assert.equal(mirror.entries.size, 0);
+  assert.equal(stateCache.entries.size, 0);
 });
