--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -2,11 +2,11 @@
 
 import type { ControllerContext } from '../context/context.js';
 import type { ControllerNode } from '../controller/controllernode.js';
+import { UnavailableError } from '../errors/errors.js';
 import type { Shown } from '../http/admission.js';
 import { bad, later, parseBody, wrongMethod } from '../http/replies.js';
 import type { HttpReply, HttpRequest } from '../http/server.js';
 import { fitCount } from '../plan/capacityprofile.js';
-import { UnavailableError } from '../scheduler/responses.js';
 import { StateStoreError } from '../state/statestore.js';
 import {
   isJobId,
@@ -43,7 +43,7 @@
       return await this.route(request);
     } catch (error) {
       if (error instanceof UnavailableError || error instanceof StateStoreError) {
-        this.context.log.debug({ path: request.path, error: error.message }, 'not now');
+        this.context.log.debug({ path: request.path, err: error }, 'not now');
         return later(503, 1, error.message);
       }
       throw error;
--- a/src/autoscaler/autoscaler.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -1,10 +1,11 @@
 // This package: machines: renting and returning them, and which shard they go to.
+
 import { pause } from '../clock/clock.js';
 import { CloudError } from '../cloud/cloud.js';
 import type { Log } from '../config/log.js';
 import { mostMachines } from '../config/settings.js';
 import type { ControllerContext } from '../context/context.js';
-import { NotOwnerError } from '../jobs/records.js';
+import { NotOwnerError } from '../errors/errors.js';
 import { type Amounts, fitCount } from '../plan/capacityprofile.js';
 import { MAX_RESERVED_TASKS } from '../plan/plan.js';
 import { chooseRentals, type RentOption, type Shortage } from '../plan/rentalchoice.js';
@@ -226,7 +227,7 @@
         this.cloudPause = { until: 0, pause: 0 };
         return rented;
       } catch (error) {
-        this.log.info({ ...request, error: String(error) }, 'rental failed');
+        this.log.info({ ...request, err: error }, 'rental failed');
         const wait = Math.min(CLOUD_PAUSE_MOST_MS, Math.max(CLOUD_PAUSE_MS, this.cloudPause.pause * 2));
         this.cloudPause = { until: this.context.clock.now() + wait, pause: wait };
         await pause(this.context.clock, wait);
@@ -286,7 +287,7 @@
       return ids.filter((id) => !result.failed.includes(KEYS.machine(id)));
     } catch (error) {
       if (!(error instanceof StateStoreError)) throw error;
-      this.log.info({ machines: ids.length, error: error.message }, 'rented machines not recorded yet');
+      this.log.info({ machines: ids.length, err: error }, 'rented machines not recorded yet');
       await pause(this.context.clock, ENTER_AGAIN_MS);
       return ids;
     }
@@ -356,7 +357,7 @@
       this.log.info({ machines: marked.map((m) => m.id) }, 'machines returned');
       await this.forget(marked);
     } catch (error) {
-      this.log.info({ machines: machines.length, error: String(error) }, 'returning failed');
+      this.log.info({ machines: machines.length, err: error }, 'returning failed');
       await pause(this.context.clock, 3000);
     } finally {
       for (const m of machines) this.moving.delete(m.id);
@@ -376,7 +377,7 @@
           marked.push(m);
         } catch (error) {
           if (error instanceof NotOwnerError) throw error;
-          this.log.info({ machine: m.id, error: String(error) }, 'marking failed');
+          this.log.info({ machine: m.id, err: error }, 'marking failed');
         }
       }
     }
@@ -414,7 +415,7 @@
         );
         if (result.ok) unsure = [];
       } catch (error) {
-        this.log.debug({ error: String(error) }, 'deleting machine records failed');
+        this.log.debug({ err: error }, 'deleting machine records failed');
       }
       for (const m of unsure) {
         const stored = await this.context.store.get(KEYS.machine(m.id)).catch(() => undefined);
--- a/src/changefeed/changefeed.ts
+++ b/src/changefeed/changefeed.ts
@@ -1,6 +1,8 @@
 // Every change under a prefix of the state service, at every controller: a few watch, the others follow them.
+
 import { type Clock, pause } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
+import { ProtocolViolationError } from '../errors/errors.js';
 import type { Mesh } from '../peer/mesh.js';
 import type { StateStore } from '../state/statestore.js';
 import type { Change } from '../wire/state.js';
@@ -134,7 +136,8 @@
   async serve(op: string, args: unknown): Promise<unknown> {
     if (op === CHANGE_FEED_OPS.head) return this.subscribers.latestRevision();
     const question = readChangesRequest(args);
-    if (!question || question.prefix !== this.options.prefix) throw new Error('not a question for changes');
+    if (!question || question.prefix !== this.options.prefix)
+      throw new ProtocolViolationError('not a question for changes');
     return this.subscribers.changesAfter(question);
   }
 
--- a/src/classad/evaluate.ts
+++ b/src/classad/evaluate.ts
@@ -1,3 +1,4 @@
+import { SpartrayError } from '../errors/errors.js';
 import {
   Ad,
   type BinaryOp,
@@ -20,7 +21,7 @@
 }
 
 /** Ends an evaluation that costs too much. */
-class TooMuch extends Error {}
+class TooMuch extends SpartrayError {}
 
 /** Evaluates an expression; never throws: what has no meaning or costs too much is an error value. */
 export function evaluate(e: Expr, around: Surroundings): Value {
--- a/src/classad/parser.ts
+++ b/src/classad/parser.ts
@@ -1,4 +1,5 @@
 import { createToken, EmbeddedActionsParser, type IToken, Lexer, type TokenType } from 'chevrotain';
+import { InvalidInputError } from '../errors/errors.js';
 import {
   Ad,
   type BinaryOp,
@@ -12,7 +13,7 @@
 } from './ast.js';
 
 /** Text that is no expression; where is counted from 1, in the text that was read. */
-export class ClassAdError extends Error {
+export class ClassAdError extends InvalidInputError {
   constructor(
     message: string,
     readonly line: number,
--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -1,5 +1,7 @@
 // This package: what users do: submit as the protocol says they do, ask, wait, cancel.
+
 import { type Clock, pause } from '../clock/clock.js';
+import { InvalidInputError, UnreachableError } from '../errors/errors.js';
 import { type HttpAnswer, HttpRequestError, type Requester } from '../http/client.js';
 import {
   type JobSpec,
@@ -12,10 +14,10 @@
 } from '../wire/users.js';
 
 /** Nobody could take the request within the time that users try for; nothing is known of what became of it. */
-export class Unreachable extends Error {}
+export class Unreachable extends UnreachableError {}
 
 /** Refused for good: 400 malformed, 404 unknown, 422 can never run. */
-export class Rejected extends Error {
+export class Rejected extends InvalidInputError {
   constructor(
     readonly status: number,
     message: string,
--- a/src/client/jobfile.ts
+++ b/src/client/jobfile.ts
@@ -1,11 +1,12 @@
 import { randomUUID } from 'node:crypto';
 import { parse, TomlError } from 'smol-toml';
 import * as v from 'valibot';
+import { InvalidInputError } from '../errors/errors.js';
 import { type JobSpec, readJob } from '../wire/users.js';
 import type { Upload } from './client.js';
 
 /** A file of jobs that cannot be used; the message says where and why. */
-export class JobFileError extends Error {}
+export class JobFileError extends InvalidInputError {}
 
 export interface JobOrder {
   spec: JobSpec;
--- a/src/cloud/cloud.ts
+++ b/src/cloud/cloud.ts
@@ -1,5 +1,7 @@
 // This package: dealings with the cloud: its requests, within its rate.
+
 import type { Clock } from '../clock/clock.js';
+import { RemoteServiceError } from '../errors/errors.js';
 import { HttpRequestError, type Requester } from '../http/client.js';
 import { RateLimitExceededError, RateLimiter } from '../state/ratelimiter.js';
 import {
@@ -15,15 +17,8 @@
   writeRental,
 } from '../wire/cloud.js';
 
-/** `maybe`: the request may have been executed, or may yet be. */
-export class CloudError extends Error {
-  constructor(
-    message: string,
-    readonly mayHaveApplied = false,
-  ) {
-    super(message);
-  }
-}
+/** The cloud refused a request, or did not answer it. */
+export class CloudError extends RemoteServiceError {}
 
 export interface RentalRequest {
   request: string;
@@ -55,7 +50,7 @@
   async types(): Promise<MachineType[]> {
     const answer = await this.send('GET', CLOUD_PATHS.types, null);
     const types = answer.status === 200 ? readTypes(answer.body) : null;
-    if (!types) throw new CloudError(`types: ${answer.status}`);
+    if (!types) throw new CloudError(`types: ${answer.status}`, false);
     return types;
   }
 
@@ -65,7 +60,7 @@
     for (;;) {
       const answer = await this.send('GET', listPath(after, 500), null);
       const page = answer.status === 200 ? readList(answer.body) : null;
-      if (!page) throw new CloudError(`list: ${answer.status}`);
+      if (!page) throw new CloudError(`list: ${answer.status}`, false);
       all.push(...page.machines);
       const last = page.machines.at(-1);
       if (!page.more || !last) return all;
@@ -83,7 +78,7 @@
     if (answer.status === 503 && (answer.body as { error?: unknown } | null)?.error === 'no capacity')
       return null;
     const rented = answer.status === 200 ? readRented(answer.body) : null;
-    if (!rented) throw new CloudError(`rent: ${answer.status}`);
+    if (!rented) throw new CloudError(`rent: ${answer.status}`, false);
     return rented;
   }
 
@@ -94,7 +89,7 @@
         CLOUD_PATHS.release,
         writeRelease(machines.slice(i, i + RELEASE_LIMIT)),
       );
-      if (answer.status !== 200) throw new CloudError(`release: ${answer.status}`);
+      if (answer.status !== 200) throw new CloudError(`release: ${answer.status}`, false);
     }
   }
 
@@ -106,8 +101,10 @@
       if (answer.status === 429) this.limiter.onRejected();
       return answer;
     } catch (error) {
-      if (error instanceof RateLimitExceededError) throw new CloudError(error.message);
-      if (error instanceof HttpRequestError) throw new CloudError(error.message, error.sent);
+      if (error instanceof RateLimitExceededError)
+        throw new CloudError(error.message, false, { cause: error });
+      if (error instanceof HttpRequestError)
+        throw new CloudError(error.message, error.sent, { cause: error });
       throw error;
     }
   }
--- a/src/condor/expander.ts
+++ b/src/condor/expander.ts
@@ -4,7 +4,7 @@
 import type { Log } from '../config/log.js';
 import type { ControllerContext } from '../context/context.js';
 import type { ControllerNode } from '../controller/controllernode.js';
-import { UnavailableError } from '../scheduler/responses.js';
+import { UnavailableError } from '../errors/errors.js';
 import { StateStoreError } from '../state/statestore.js';
 import type { ProcState } from '../wire/condor.js';
 import type { JobSpec, ListedJob } from '../wire/users.js';
@@ -57,7 +57,7 @@
         await this.tick();
       } catch (error) {
         if (!(error instanceof StateStoreError || error instanceof UnavailableError))
-          this.log.error({ error: error instanceof Error ? error.stack : String(error) }, 'expanding failed');
+          this.log.error({ err: error }, 'expanding failed');
         this.notBefore = this.clock.now() + 1000;
       }
     }
--- a/src/condor/macros.ts
+++ b/src/condor/macros.ts
@@ -1,7 +1,8 @@
 // This package: HTCondor's submit files: their language, what a process asks for, and clusters of them as jobs.
+import { InvalidInputError } from '../errors/errors.js';
 
 /** Something wrong in a submit file; lines and columns count from 1. */
-export class SubmitError extends Error {
+export class SubmitError extends InvalidInputError {
   constructor(
     message: string,
     readonly line: number,
--- a/src/condor/service.ts
+++ b/src/condor/service.ts
@@ -5,10 +5,10 @@
 import { pause } from '../clock/clock.js';
 import type { ControllerContext } from '../context/context.js';
 import type { ControllerNode } from '../controller/controllernode.js';
+import { InvalidInputError, UnavailableError } from '../errors/errors.js';
 import { bad, later, parseBody, wrongMethod } from '../http/replies.js';
 import type { HttpReply, HttpRequest } from '../http/server.js';
 import { PeerRejectedError } from '../peer/mesh.js';
-import { UnavailableError } from '../scheduler/responses.js';
 import { StateStoreError } from '../state/statestore.js';
 import { type AnalysisView, type ClusterView, CONDOR_PATH, type ProcView } from '../wire/condor.js';
 import { type JobSpec, writeJob } from '../wire/users.js';
@@ -81,7 +81,7 @@
       return await this.route(r);
     } catch (error) {
       if (error instanceof SubmitError || error instanceof ClassAdError)
-        return { status: 400, body: { error: error.message, line: error.line, column: error.column } };
+        return { status: 400, body: { err: error, line: error.line, column: error.column } };
       if (error instanceof NoCluster) return { status: 404, body: { error: 'no such cluster' } };
       if (error instanceof UnavailableError || error instanceof StateStoreError)
         return later(503, 1, error.message);
@@ -296,7 +296,7 @@
         );
         if (r.status === 200) return;
       } catch (error) {
-        this.context.log.debug({ job: spec.id, error: String(error) }, 'description not uploaded');
+        this.context.log.debug({ job: spec.id, err: error }, 'description not uploaded');
       }
       await pause(this.context.clock, 300);
     }
@@ -305,7 +305,7 @@
 }
 
 const NO_CLUSTER = 'no such cluster';
-class NoCluster extends Error {
+class NoCluster extends InvalidInputError {
   constructor() {
     super(NO_CLUSTER);
   }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,7 +1,9 @@
 // This package: what operators and the platform set, validated, and logging.
+
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
+import { InvalidInputError } from '../errors/errors.js';
 
 export interface Team {
   name: string;
@@ -54,7 +56,7 @@
 }
 
 /** A settings file that cannot be used; the message names the field. */
-export class SettingsError extends Error {}
+export class SettingsError extends InvalidInputError {}
 
 const text = v.pipe(v.string(), v.minLength(1));
 const address = v.pipe(v.string(), v.regex(/^[^\s:]+:\d{1,5}$/, 'must be host:port'));
--- a/src/controller/cloudpoller.ts
+++ b/src/controller/cloudpoller.ts
@@ -29,7 +29,7 @@
         void this.storeTypes();
         await pause(this.context.clock, TYPES_MS);
       } catch (error) {
-        this.context.log.debug({ error: String(error) }, 'machine types not read');
+        this.context.log.debug({ err: error }, 'machine types not read');
         this.recallTypes();
         await pause(this.context.clock, TYPES_AGAIN_MS);
       }
@@ -54,7 +54,7 @@
         [{ put: KEYS.machineTypes, value: types }],
       );
     } catch (error) {
-      this.context.log.debug({ error: String(error) }, 'machine types not stored');
+      this.context.log.debug({ err: error }, 'machine types not stored');
     }
   }
 
@@ -66,7 +66,7 @@
         for (const s of this.ownership.shards.values()) s.onMachineList();
         this.ownership.leader?.onMachineList(this.context.catalog.listedMachines);
       } catch (error) {
-        this.context.log.debug({ error: String(error) }, 'machine list not read');
+        this.context.log.debug({ err: error }, 'machine list not read');
       }
       // The leader looks for machines that nobody has; for the others the list only confirms what reports tell.
       await pause(this.context.clock, this.ownership.leader ? LIST_MS : LIST_MS * 3);
--- a/src/controller/clusterstatecache.ts
+++ b/src/controller/clusterstatecache.ts
@@ -43,7 +43,7 @@
         if (result.changes.length === 0) continue;
         this.revision = Math.max(this.revision, result.revision);
       } catch (error) {
-        this.log.debug({ error: String(error) }, 'watch failed');
+        this.log.debug({ err: error }, 'watch failed');
         await pause(this.clock, RETRY_MS);
       }
     }
--- a/src/controller/controllernode.ts
+++ b/src/controller/controllernode.ts
@@ -5,17 +5,19 @@
 import { nodeLease } from '../config/bounds.js';
 import { regionOfNode } from '../config/settings.js';
 import type { ControllerContext } from '../context/context.js';
+import { InvalidInputError, ProtocolViolationError, UnavailableError } from '../errors/errors.js';
 import type { Job, JobEntry } from '../jobs/job.js';
 import { readSpec } from '../jobs/records.js';
 import type { Mesh } from '../peer/mesh.js';
 import { readDependentClaims } from '../scheduler/dependencytracker.js';
-import { type StatusAnswer, type SubmitAnswer, UnavailableError } from '../scheduler/responses.js';
+import type { StatusAnswer, SubmitAnswer } from '../scheduler/responses.js';
 import {
   KEYS,
   MATCH_PROTOCOL_VERSION,
   PROTOCOL_VERSION,
   readLeaseHolder,
   readMachineRecord,
+  writeLeaseHolder,
 } from '../schema/schema.js';
 import { STANDBY_OPS } from '../standby/messages.js';
 import type { Entry } from '../wire/state.js';
@@ -108,7 +110,7 @@
           this.mesh?.notify(peer.node, PEER_OPS.ownerAnnouncement, {
             shard,
             term,
-            holder: this.membership.holder,
+            holder: writeLeaseHolder(this.membership.holder),
           });
       },
     });
@@ -247,7 +249,7 @@
       case PEER_OPS.submitWithDependencies:
       case PEER_OPS.submit: {
         const spec = readSpec(a.spec);
-        if (!spec) throw new Error('bad job');
+        if (!spec) throw new InvalidInputError('bad job');
         return this.ownerClient.localShard(a.shard).submit(spec);
       }
       case PEER_OPS.status:
@@ -258,7 +260,7 @@
         return this.ownerClient.localShard(a.shard).list(String(a.under), String(a.after), Number(a.most));
       default: {
         const extension = this.extensions.get(op);
-        if (!extension) throw new Error(`unknown request ${op}`);
+        if (!extension) throw new ProtocolViolationError(`unknown request ${op}`);
         return extension(a);
       }
     }
--- a/src/controller/leader.ts
+++ b/src/controller/leader.ts
@@ -164,7 +164,7 @@
         this.stateCache.apply({ key, value, version: result.revision });
       }
     } catch (error) {
-      this.context.log.info({ error: String(error) }, 'assigning teams failed');
+      this.context.log.info({ err: error }, 'assigning teams failed');
     } finally {
       this.assigningTeams = false;
     }
@@ -228,7 +228,7 @@
       }
     } catch (error) {
       if (!(error instanceof StateStoreError)) throw error;
-      this.context.log.info({ error: String(error) }, 'dealing machines failed');
+      this.context.log.info({ err: error }, 'dealing machines failed');
     } finally {
       this.assigningMachines = false;
     }
--- a/src/controller/membership.ts
+++ b/src/controller/membership.ts
@@ -2,7 +2,7 @@
 import type { PresentNode } from '../changefeed/sourceorder.js';
 import { type Clock, DRIFT, pause } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
-import { KEYS, type LeaseHolder, readLeaseHolder } from '../schema/schema.js';
+import { KEYS, type LeaseHolder, readLeaseHolder, writeLeaseHolder } from '../schema/schema.js';
 import { type StateStore, StateStoreError } from '../state/statestore.js';
 import type { Condition, Write } from '../wire/state.js';
 import { ClusterStateCache } from './clusterstatecache.js';
@@ -73,7 +73,7 @@
     for (const [key, e] of this.stateCache.entries) {
       if (!key.startsWith(KEYS.nodes)) continue;
       const holder = readLeaseHolder(e.value);
-      if (holder?.feeds) present.push({ node: holder.node, version: e.version });
+      if (holder?.servesChanges) present.push({ node: holder.node, version: e.version });
     }
     return present;
   }
@@ -91,9 +91,9 @@
     const h = readLeaseHolder(value);
     return (
       h !== null &&
-      h.run === this.incarnation &&
+      h.incarnation === this.incarnation &&
       this.leaseIdOrNull !== null &&
-      h.lease === this.leaseIdOrNull
+      h.leaseId === this.leaseIdOrNull
     );
   }
 
@@ -107,16 +107,16 @@
   }
 
   get holder(): LeaseHolder {
-    return { node: this.node, run: this.incarnation, lease: this.leaseIdOrNull ?? 0 };
+    return { node: this.node, incarnation: this.incarnation, leaseId: this.leaseIdOrNull ?? 0 };
   }
 
   private get presence(): LeaseHolder {
     return {
       ...this.holder,
-      speaks: this.protocolVersion,
-      feeds: true,
-      ...(this.standbyCapable && { stands: true }),
-      ...(this.isCordoned && { aside: true }),
+      protocolVersion: this.protocolVersion,
+      servesChanges: true,
+      ...(this.standbyCapable && { standbyCapable: true }),
+      ...(this.isCordoned && { cordoned: true }),
     };
   }
 
@@ -126,7 +126,7 @@
    */
   allSupport(nodes: readonly string[], level: number): boolean {
     return nodes.every((n) => {
-      if (this.isPresent(n)) return (this.presenceOf(n)?.speaks ?? 1) >= level;
+      if (this.isPresent(n)) return (this.presenceOf(n)?.protocolVersion ?? 1) >= level;
       const said = this.stateCache.entries.get(KEYS.protocolVersion(n))?.value;
       return typeof said === 'number' && said >= level;
     });
@@ -143,7 +143,7 @@
       const told = await this.store.compareAndSwap(when, [{ put: key, value: this.protocolVersion }]);
       if (!told.ok) throw new StateStoreError('something else was said meanwhile', false);
     } catch (error) {
-      this.log.info({ error: String(error) }, 'protocol version not told');
+      this.log.info({ err: error }, 'protocol version not told');
       this.clock.after(RETRY_MS * 5, () => void this.publishProtocolVersion());
     }
   }
@@ -216,7 +216,7 @@
 
   /** Whether a node leaves its shards to others. */
   isNodeCordoned(node: string): boolean {
-    return this.presenceOf(node)?.aside === true;
+    return this.presenceOf(node)?.cordoned === true;
   }
 
   /** Tells the others whether this node takes shards; what cannot be told now is told with a later renewal of the lease. */
@@ -232,7 +232,7 @@
    */
   private async publishPresence(lease: number): Promise<void> {
     const key = KEYS.node(this.node);
-    const value = { ...this.presence, lease };
+    const value = writeLeaseHolder({ ...this.presence, leaseId: lease });
     const version = (await this.store.get(key))?.version ?? 0;
     try {
       const written = await this.store.compareAndSwap([{ key, version }], [{ put: key, value, lease }], true);
@@ -244,7 +244,7 @@
         JSON.stringify(stored && readLeaseHolder(stored.value)) === JSON.stringify(readLeaseHolder(value));
     }
     if (!this.presencePublished) throw new StateStoreError('presence is not decided', true);
-    if (value.aside !== this.presence.aside) this.presencePublished = false;
+    if (value.aside !== this.presence.cordoned) this.presencePublished = false;
   }
 
   async start(): Promise<void> {
@@ -255,7 +255,7 @@
         await this.join();
         break;
       } catch (error) {
-        this.log.info({ error: String(error) }, 'joining failed');
+        this.log.info({ err: error }, 'joining failed');
         await pause(this.clock, RETRY_MS);
       }
     }
@@ -267,7 +267,7 @@
   private async revokeFormerIncarnation(): Promise<void> {
     const former = await this.store.get(KEYS.node(this.node));
     const holder = former && readLeaseHolder(former.value);
-    if (holder && holder.run !== this.incarnation) await this.store.revoke(holder.lease);
+    if (holder && holder.incarnation !== this.incarnation) await this.store.revoke(holder.leaseId);
   }
 
   private async join(): Promise<void> {
@@ -317,7 +317,7 @@
           // Beside it: a write that waits for its answer must not keep the lease from its next renewal.
           if (!this.presencePublished)
             void this.publishPresence(this.leaseIdOrNull).catch((error) =>
-              this.log.debug({ error: String(error) }, 'presence not told'),
+              this.log.debug({ err: error }, 'presence not told'),
             );
         } else {
           this.log.info('lease lost');
@@ -328,7 +328,7 @@
         }
       } catch (error) {
         this.renewalFailingSince ??= begun;
-        this.log.debug({ error: String(error) }, 'renewal failed');
+        this.log.debug({ err: error }, 'renewal failed');
       }
     }
   }
@@ -338,7 +338,7 @@
     try {
       return await this.compareAndSwapHolder(key, 0, [], []);
     } catch (error) {
-      this.log.debug({ key, error: String(error) }, 'claim failed');
+      this.log.debug({ key, err: error }, 'claim failed');
       return null;
     }
   }
@@ -358,14 +358,18 @@
     if (!this.holdsLease || this.leaseIdOrNull === null) throw new StateStoreError('no lease', false);
     const lease = this.leaseIdOrNull;
     try {
-      const own = { put: key, value: this.holder, lease };
+      const own = { put: key, value: writeLeaseHolder(this.holder), lease };
       const result = await this.store.compareAndSwap(
         [{ key, version }, ...when],
         [own, ...writes],
         version > 0,
       );
       if (result.ok) {
-        this.stateCache.apply({ key, value: { ...this.holder, lease }, version: result.revision });
+        this.stateCache.apply({
+          key,
+          value: writeLeaseHolder({ ...this.holder, leaseId: lease }),
+          version: result.revision,
+        });
         return this.leaseIdOrNull === lease ? result.revision : null;
       }
       if (!result.failed.includes(key)) return null;
--- a/src/controller/ownerclient.ts
+++ b/src/controller/ownerclient.ts
@@ -1,5 +1,6 @@
 import type { ResourceDemand } from '../autoscaler/shardstatus.js';
 import type { ControllerContext } from '../context/context.js';
+import { UnavailableError } from '../errors/errors.js';
 import type { JobEntry } from '../jobs/job.js';
 import { jobStatusFromStore } from '../jobs/jobstatus.js';
 import { type Mesh, PeerRejectedError } from '../peer/mesh.js';
@@ -8,12 +9,7 @@
   type DependentClaim,
   readDependencyStatuses,
 } from '../scheduler/dependencytracker.js';
-import {
-  NOT_READY,
-  OwnerUnavailableError,
-  type PeerShards,
-  UnavailableError,
-} from '../scheduler/responses.js';
+import { NOT_READY, OwnerUnavailableError, type PeerShards } from '../scheduler/responses.js';
 import type { Shard } from '../scheduler/shard.js';
 import { MATCH_PROTOCOL_VERSION, PROTOCOL_VERSION } from '../schema/schema.js';
 import type { Membership } from './membership.js';
@@ -129,7 +125,7 @@
       const message = error instanceof Error ? error.message : 'owner does not answer';
       if (error instanceof PeerRejectedError)
         throw message === NOT_READY ? new OwnerUnavailableError(message) : new UnavailableError(message);
-      if (stored && mayStore) return await this.requestThroughStore<T>(shard, owner.run, op, args);
+      if (stored && mayStore) return await this.requestThroughStore<T>(shard, owner.incarnation, op, args);
       throw new OwnerUnavailableError(message);
     }
   }
--- a/src/controller/ownerlessadmission.ts
+++ b/src/controller/ownerlessadmission.ts
@@ -1,7 +1,8 @@
 import type { ControllerContext } from '../context/context.js';
-import { JobRecords, NotOwnerError } from '../jobs/records.js';
+import { NotOwnerError, UnavailableError } from '../errors/errors.js';
+import { JobRecords } from '../jobs/records.js';
 import { defaultDueS } from '../scheduler/planner.js';
-import { type SubmitAnswer, UnavailableError } from '../scheduler/responses.js';
+import type { SubmitAnswer } from '../scheduler/responses.js';
 import { KEYS } from '../schema/schema.js';
 import { StateStoreError } from '../state/statestore.js';
 import type { JobSpec } from '../wire/users.js';
--- a/src/controller/ownership.ts
+++ b/src/controller/ownership.ts
@@ -144,7 +144,7 @@
       if (!left.includes(s)) void this.handOverToStandby(s, 'workers cannot reach this node');
     void this.members
       .publishCordoned(true)
-      .catch((error) => this.context.log.info({ error: String(error) }, 'withdrawal not told'))
+      .catch((error) => this.context.log.info({ err: error }, 'withdrawal not told'))
       .then(() => Promise.all(left.map((s) => this.release(s.index, s.term))));
   }
 
@@ -238,7 +238,7 @@
       this.context.log.info('workers can be reached again');
       await this.members.publishCordoned(false);
     } catch (error) {
-      this.context.log.info({ error: String(error) }, 'coming back not told');
+      this.context.log.info({ err: error }, 'coming back not told');
     } finally {
       await pause(this.context.clock, PROBE_TIMEOUT_MS);
       this.probingWorkers = false;
@@ -252,7 +252,7 @@
       const r = await this.context.store.compareAndSwap([{ key, version: term }], [{ delete: key }]);
       if (r.ok) this.members.stateCache.remove(key, r.revision);
     } catch (error) {
-      this.context.log.info({ shard: k, error: String(error) }, 'shard not released');
+      this.context.log.info({ shard: k, err: error }, 'shard not released');
     }
   }
 
--- a/src/controller/rateallocator.ts
+++ b/src/controller/rateallocator.ts
@@ -1,5 +1,6 @@
 import * as v from 'valibot';
 import type { ControllerContext } from '../context/context.js';
+import { NotOwnerError, ProtocolViolationError } from '../errors/errors.js';
 import type { Mesh } from '../peer/mesh.js';
 import { allocateRate } from '../state/rateallocation.js';
 import type { StateRates, StateStore } from '../state/statestore.js';
@@ -47,8 +48,8 @@
   /** A node's demand; answers its share. Fails where this node does not lead. */
   onDemand(from: string, args: unknown): StateRates {
     const demand = v.safeParse(rates, args);
-    if (!demand.success) throw new Error('not a demand');
-    if (!this.isLeader()) throw new Error('not the leader');
+    if (!demand.success) throw new ProtocolViolationError('not a demand');
+    if (!this.isLeader()) throw new NotOwnerError('not the leader');
     this.demands.set(from, { at: this.context.clock.now(), demand: demand.output });
     return this.allocationFor(from);
   }
@@ -68,7 +69,7 @@
   private async requestAllocation(leader: string | null, store: StateStore): Promise<StateRates | null> {
     if (leader === null || leader === this.context.settings.node || !this.mesh?.connected(leader))
       return null;
-    if (!this.members.presenceOf(leader)?.feeds) return null;
+    if (!this.members.presenceOf(leader)?.servesChanges) return null;
     const answer = await this.mesh
       .request(leader, RATES_OP, store.demand, REQUEST_TIMEOUT_MS)
       .catch(() => null);
--- a/src/controller/routing.ts
+++ b/src/controller/routing.ts
@@ -1,13 +1,9 @@
 import type { ControllerContext } from '../context/context.js';
+import { UnavailableError } from '../errors/errors.js';
 import { hasNoQuota, type JobEntry } from '../jobs/job.js';
 import { hasDependencies, jobStatusFromStore } from '../jobs/jobstatus.js';
 import { findJob } from '../jobs/records.js';
-import {
-  OwnerUnavailableError,
-  type StatusAnswer,
-  type SubmitAnswer,
-  UnavailableError,
-} from '../scheduler/responses.js';
+import { OwnerUnavailableError, type StatusAnswer, type SubmitAnswer } from '../scheduler/responses.js';
 import type { Shard } from '../scheduler/shard.js';
 import { readTeamAssignment } from '../schema/schema.js';
 import { StateStoreError } from '../state/statestore.js';
@@ -150,7 +146,9 @@
       throw new UnavailableError('known, but not how it stands');
     const owner = this.members.owner(shard);
     if (answer.kind === 'accepted' && owner && owner.node !== this.context.settings.node)
-      void this.ownerClient.requestThroughStore(shard, owner.run, op, { spec }).catch(() => undefined);
+      void this.ownerClient
+        .requestThroughStore(shard, owner.incarnation, op, { spec })
+        .catch(() => undefined);
     return answer;
   }
 
--- a/src/controller/standbycoordinator.ts
+++ b/src/controller/standbycoordinator.ts
@@ -95,7 +95,7 @@
 
   /** Whether a node stands by for shards. */
   isStandbyCapable(node: string): boolean {
-    return this.members.presenceOf(node)?.stands === true;
+    return this.members.presenceOf(node)?.standbyCapable === true;
   }
 
   /** The node that can take a shard over at once and reaches the state service; null when there is none. */
--- a/src/controller/storedrequests.ts
+++ b/src/controller/storedrequests.ts
@@ -1,6 +1,7 @@
 import * as v from 'valibot';
 import { pause, type Timer } from '../clock/clock.js';
 import type { ControllerContext } from '../context/context.js';
+import { InvalidInputError, UnreachableError } from '../errors/errors.js';
 import { KEYS } from '../schema/schema.js';
 import { StateStoreError } from '../state/statestore.js';
 import type { Entry } from '../wire/state.js';
@@ -42,12 +43,14 @@
   async send(shard: number, op: string, args: Record<string, unknown>, timeoutMs: number): Promise<unknown> {
     const value = { shard, op, args, at: Math.round(this.context.clock.wall()) };
     if (JSON.stringify(value).length > this.context.settings.stateLimits.valueKb * 1000)
-      throw new Error('too large for a stored request');
+      throw new InvalidInputError('too large for a stored request');
     const key = `${KEYS.requests}${this.context.incarnation}-${this.next++}`;
     let timer: Timer | null = null;
     const answered = new Promise((resolve, reject) => {
       this.pendingReplies.set(key, resolve);
-      timer = this.context.clock.after(timeoutMs, () => reject(new Error('no answer to a stored request')));
+      timer = this.context.clock.after(timeoutMs, () =>
+        reject(new UnreachableError('no answer to a stored request')),
+      );
     });
     answered.catch(() => undefined);
     try {
@@ -86,7 +89,7 @@
       await this.context.store.compareAndSwap([{ key, version }], [{ put: key, value }]);
     } catch (error) {
       // Whoever asked tells its user to come back.
-      this.context.log.debug({ error: String(error) }, 'stored request not answered');
+      this.context.log.debug({ err: error }, 'stored request not answered');
     }
   }
 
@@ -111,7 +114,7 @@
         keys.map((key) => ({ delete: key })),
       );
     } catch (error) {
-      this.context.log.debug({ error: String(error) }, 'stored request not taken away');
+      this.context.log.debug({ err: error }, 'stored request not taken away');
     }
   }
 }
--- a/src/emulator/local.ts
+++ b/src/emulator/local.ts
@@ -4,6 +4,7 @@
 import { Packr } from 'msgpackr';
 import * as v from 'valibot';
 import { type Clock, pause, quickClock } from '../clock/clock.js';
+import { UnavailableError } from '../errors/errors.js';
 import { HttpClient } from '../http/client.js';
 import { HttpServer } from '../http/server.js';
 import { readJob, writeJob } from '../wire/users.js';
@@ -181,7 +182,7 @@
     while (this.balancer.healthy === 0) {
       if (this.stopping) return;
       if (this.clock.now() > until)
-        throw new Error(`no controller became healthy; see ${this.options.data}/*.log`);
+        throw new UnavailableError(`no controller became healthy; see ${this.options.data}/*.log`);
       await pause(this.clock, 100);
     }
   }
--- a/src/emulator/reporter.ts
+++ b/src/emulator/reporter.ts
@@ -1,4 +1,5 @@
 import { type Clock, pause, type Timer } from '../clock/clock.js';
+import { UnreachableError } from '../errors/errors.js';
 import type { HttpAnswer, Requester } from '../http/client.js';
 import { readRedirect, WORKER_PATHS } from '../wire/workers.js';
 import type { Random } from './random.js';
@@ -98,10 +99,10 @@
     const delayMs = this.links.delayMs(node);
     const report = this.worker.report();
     if (delayMs > 0) await pause(this.clock, delayMs);
-    if (unreached()) throw new Error('cut off');
+    if (unreached()) throw new UnreachableError('cut off');
     const reply = await this.http.request(addr, 'POST', WORKER_PATHS.heartbeat, report, ANSWER_MS);
     if (delayMs > 0) await pause(this.clock, delayMs);
-    if (unreached()) throw new Error('cut off');
+    if (unreached()) throw new UnreachableError('cut off');
     this.links.answered(report, reply.body);
     return reply;
   }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,5 +1,6 @@
 import net from 'node:net';
 import type { Clock, Timer } from '../clock/clock.js';
+import { UnreachableError } from '../errors/errors.js';
 import { type Message, MessageParser } from './parser.js';
 
 export interface HttpAnswer {
@@ -9,7 +10,7 @@
 }
 
 /** `sent` is false only when the other side surely never gets the request. */
-export class HttpRequestError extends Error {
+export class HttpRequestError extends UnreachableError {
   constructor(
     message: string,
     readonly sent: boolean,
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -1,3 +1,4 @@
+import { ProtocolViolationError } from '../errors/errors.js';
 /** An HTTP/1.1 message parser that takes bytes as they come, for requests and for responses. */
 export interface Message {
   /** First line, split at its first two spaces. */
@@ -13,7 +14,7 @@
 }
 
 /** A message that cannot be accepted, with the status that a server answers it with. */
-export class ParseError extends Error {
+export class ParseError extends ProtocolViolationError {
   constructor(
     readonly status: number,
     message: string,
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -1,4 +1,5 @@
 import * as v from 'valibot';
+import { NotOwnerError } from '../errors/errors.js';
 import { KEYS } from '../schema/schema.js';
 import { type CompareAndSwapResult, type StateStore, StateStoreError } from '../state/statestore.js';
 import type { Condition, Entry, Write } from '../wire/state.js';
@@ -67,9 +68,6 @@
   return p.success ? p.output : null;
 }
 
-/** The shard is no longer this node's. */
-export class NotOwnerError extends Error {}
-
 export type AcceptResult =
   | { kind: 'accepted'; version: number; partsUnder: string | null }
   | { kind: 'known'; entry: JobEntry };
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -1,4 +1,5 @@
 import { Packr } from 'msgpackr';
+import { ProtocolViolationError } from '../errors/errors.js';
 
 /** What passes between controllers: a length of four bytes, then a msgpack value. */
 export type PeerMessage =
@@ -39,12 +40,12 @@
     this.buffer = this.buffer.length === 0 ? data : Buffer.concat([this.buffer, data]);
     while (this.buffer.length >= 4) {
       const length = this.buffer.readUInt32BE(0);
-      if (length > this.most) throw new Error('frame too long');
+      if (length > this.most) throw new ProtocolViolationError('frame too long');
       if (this.buffer.length < 4 + length) break;
       const value: unknown = packr.unpack(this.buffer.subarray(4, 4 + length));
       this.buffer = this.buffer.subarray(4 + length);
       this.lastBytes = 4 + length;
-      if (typeof value !== 'object' || value === null) throw new Error('not a message');
+      if (typeof value !== 'object' || value === null) throw new ProtocolViolationError('not a message');
       yield value as PeerMessage;
     }
   }
--- a/src/peer/mesh.ts
+++ b/src/peer/mesh.ts
@@ -1,11 +1,18 @@
 // This package: messages between controllers; nothing of what they say.
+
 import net from 'node:net';
 import type { Clock, Timer } from '../clock/clock.js';
 import type { Endpoint, Peer } from '../config/settings.js';
+import {
+  ProtocolViolationError,
+  SpartrayError,
+  UnavailableError,
+  UnreachableError,
+} from '../errors/errors.js';
 import { encodeFrame, FrameReader, type PeerMessage } from './frames.js';
 
 /** The other node answered that it cannot do it, or is there and does not answer in time: it is not to be asked again. */
-export class PeerRejectedError extends Error {}
+export class PeerRejectedError extends SpartrayError {}
 
 export type PeerHandler = (op: string, args: unknown, from: string) => Promise<unknown> | unknown;
 
@@ -59,7 +66,7 @@
   request(op: string, args: unknown, timeoutMs: number): Promise<unknown> {
     return new Promise((resolve, reject) => {
       if (!this.ready) {
-        reject(new Error(`${this.peer.node} is not connected`));
+        reject(new UnreachableError(`${this.peer.node} is not connected`));
         return;
       }
       const id = this.next++;
@@ -71,7 +78,7 @@
           reject(new PeerRejectedError(`${this.peer.node} is busy`));
           return;
         }
-        reject(new Error(`${this.peer.node} does not answer`));
+        reject(new UnreachableError(`${this.peer.node} does not answer`));
         // A cut may hold packets for minutes; a new connection finds out sooner that it is over.
         this.socket?.destroy();
       });
@@ -137,7 +144,7 @@
       this.socket = null;
       for (const p of this.pending.values()) {
         p.timer.cancel();
-        p.reject(new Error(`connection to ${this.peer.node} closed`));
+        p.reject(new UnreachableError(`connection to ${this.peer.node} closed`));
       }
       this.pending.clear();
       if (!this.closed) this.clock.after(RETRY_MS, () => !this.closed && this.connect());
@@ -187,7 +194,9 @@
 
   request(node: string, op: string, args: unknown, timeoutMs: number): Promise<unknown> {
     const link = this.links.get(node);
-    return link ? link.request(op, args, timeoutMs) : Promise.reject(new Error(`unknown node ${node}`));
+    return link
+      ? link.request(op, args, timeoutMs)
+      : Promise.reject(new UnreachableError(`unknown node ${node}`));
   }
 
   notify(node: string, op: string, args: unknown): void {
@@ -220,7 +229,7 @@
       let reply: PeerMessage | null = null;
       asked++;
       try {
-        if (asked > MOST_ASKED) throw new Error('too many questions at once');
+        if (asked > MOST_ASKED) throw new UnavailableError('too many questions at once');
         const value = await handler(m.op, m.a, from);
         if (m.q !== undefined) reply = { r: m.q, a: value };
       } catch (error) {
@@ -233,7 +242,8 @@
         socket.write(encodeFrame(reply));
     };
     const hello = (name: string) => {
-      if (from !== '' || !this.links.has(name)) throw new Error(`a stranger says it is ${name.slice(0, 80)}`);
+      if (from !== '' || !this.links.has(name))
+        throw new ProtocolViolationError(`a stranger says it is ${name.slice(0, 80)}`);
       from = name;
       timer.cancel();
       reader.allowAll();
@@ -247,7 +257,7 @@
         for (const m of reader.feed(data)) {
           if (!('op' in m)) continue;
           if (m.op === 'hello') hello(String(m.a));
-          else if (from === '') throw new Error('a question before a name');
+          else if (from === '') throw new ProtocolViolationError('a question before a name');
           else void answer(m);
         }
       } catch (error) {
--- a/src/program/controllerprogram.ts
+++ b/src/program/controllerprogram.ts
@@ -40,8 +40,8 @@
 
 async function run(settings: Settings, options: Options): Promise<void> {
   const log = makeLog(options.logLevel, settings.node);
-  process.on('uncaughtException', (error) => log.error({ error: error.stack }, 'uncaught'));
-  process.on('unhandledRejection', (error) => log.error({ error: String(error) }, 'unhandled'));
+  process.on('uncaughtException', (error) => log.error({ err: error }, 'uncaught'));
+  process.on('unhandledRejection', (error) => log.error({ err: error }, 'unhandled'));
   const { leaseMs, missingMs } = nodeLease(settings.workers);
   if (missingMs > 0) log.warn({ leaseMs, missingMs }, tooTight(missingMs));
   const clock = quickClock(options.clockSpeed);
@@ -94,8 +94,7 @@
     api.mounts.set('/condor/', (request) => service.handle(request));
     service.start();
   }
-  const onError = (error: unknown) =>
-    log.error({ error: error instanceof Error ? error.stack : String(error) }, 'error');
+  const onError = (error: unknown) => log.error({ err: error }, 'error');
   const mesh = new PeerMesh(clock, settings.node, settings.peers, onError, (why) =>
     log.debug({ why }, 'connection to the peer address refused'),
   );
@@ -123,7 +122,7 @@
     clock.after(LEAVE_MS, () => process.exit(0));
     void node
       .leave()
-      .catch((error) => log.info({ error: String(error) }, 'left without handing over'))
+      .catch((error) => log.info({ err: error }, 'left without handing over'))
       .finally(() => process.exit(0));
   };
   for (const signal of ['SIGTERM', 'SIGINT'] as const) process.once(signal, () => leave(signal));
--- a/src/scheduler/dependencytracker.ts
+++ b/src/scheduler/dependencytracker.ts
@@ -367,7 +367,7 @@
     try {
       told = await this.hooks.requestStatus(shard, claims);
     } catch (error) {
-      this.log.debug({ shard, error: String(error) }, 'owner does not tell of what is needed');
+      this.log.debug({ shard, err: error }, 'owner does not tell of what is needed');
       return;
     }
     for (const t of told) {
@@ -427,7 +427,7 @@
         if (this.readsDeferred) this.pollSoon();
         this.readsDeferred = false;
       })
-      .catch((error) => this.log.debug({ error: String(error) }, 'what is needed was not read'))
+      .catch((error) => this.log.debug({ err: error }, 'what is needed was not read'))
       .finally(() => {
         n.runBoundedRead = false;
         this.readsInFlight--;
--- a/src/scheduler/jobrequests.ts
+++ b/src/scheduler/jobrequests.ts
@@ -1,19 +1,14 @@
 import type { Log } from '../config/log.js';
 import type { ControllerContext } from '../context/context.js';
+import { NotOwnerError, UnavailableError } from '../errors/errors.js';
 import { type Job, type JobEntry, jobStatus } from '../jobs/job.js';
 import { hasDependencies } from '../jobs/jobstatus.js';
-import { type JobRecords, NotOwnerError } from '../jobs/records.js';
+import type { JobRecords } from '../jobs/records.js';
 import type { JobSpec, ListedJob } from '../wire/users.js';
 import type { DependencyTracker } from './dependencytracker.js';
 import type { JobTable } from './jobtable.js';
 import type { Planner } from './planner.js';
-import {
-  NOT_READY,
-  OwnerUnavailableError,
-  type StatusAnswer,
-  type SubmitAnswer,
-  UnavailableError,
-} from './responses.js';
+import { NOT_READY, OwnerUnavailableError, type StatusAnswer, type SubmitAnswer } from './responses.js';
 import { RetryAfterPacer } from './retryafterpacer.js';
 import type { TaskProgress } from './taskprogress.js';
 
@@ -233,7 +228,7 @@
             await this.stopOnOwnershipLoss(this.records.finish(job, 'cancelled')),
           );
         })
-        .catch((error) => this.log.debug({ job: job.spec.id, error: String(error) }, 'not cancelled yet'))
+        .catch((error) => this.log.debug({ job: job.spec.id, err: error }, 'not cancelled yet'))
         .finally(() => {
           this.cancellationsInFlight.delete(job);
           if (job.state !== 'active') this.storePendingCancellations();
--- a/src/scheduler/responses.ts
+++ b/src/scheduler/responses.ts
@@ -1,12 +1,10 @@
+import { UnavailableError } from '../errors/errors.js';
 import type { JobEntry } from '../jobs/job.js';
 import type { JobStatus } from '../wire/users.js';
 import type { DependencyStatus, DependentClaim } from './dependencytracker.js';
 
 /** What an owner answers about its jobs, and what it needs of the other owners. */
 
-/** This node cannot answer now; the same request may be sent again. */
-export class UnavailableError extends Error {}
-
 /** What an owner says that has not taken its shard over yet, or may have lost it. */
 export const NOT_READY = 'the shard is being taken over';
 
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -6,8 +6,9 @@
 import type { Log } from '../config/log.js';
 import { partSockets } from '../config/settings.js';
 import type { ControllerContext } from '../context/context.js';
+import { NotOwnerError } from '../errors/errors.js';
 import { type Job, unplacedCount } from '../jobs/job.js';
-import { JobRecords, type LoadedJob, NotOwnerError } from '../jobs/records.js';
+import { JobRecords, type LoadedJob } from '../jobs/records.js';
 import { KEYS, type MachineRecord, readMachineRecord } from '../schema/schema.js';
 import type { TakeoverState } from '../standby/standbyreplicas.js';
 import type { StandbyReplicator } from '../standby/standbyreplicator.js';
@@ -297,7 +298,7 @@
         this.loop();
         return;
       } catch (error) {
-        this.log.debug({ error: String(error) }, 'loading the shard failed');
+        this.log.debug({ err: error }, 'loading the shard failed');
         await pause(this.context.clock, LOAD_RETRY_MS);
       }
     }
@@ -410,7 +411,7 @@
       this.log.info({ machine: id, to }, 'machine given');
       return true;
     } catch (error) {
-      this.log.info({ machine: id, error: String(error) }, 'giving failed');
+      this.log.info({ machine: id, err: error }, 'giving failed');
       if (!(error instanceof StateStoreError) || error.mayHaveApplied) await this.autoscaler.settleRecord(m);
       return false;
     } finally {
@@ -546,7 +547,7 @@
       this.registry.tick();
       work();
     } catch (error) {
-      this.log.error({ error: error instanceof Error ? error.stack : String(error) }, 'tick failed');
+      this.log.error({ err: error }, 'tick failed');
     } finally {
       this.ticking = false;
     }
--- a/src/scheduler/taskprogress.ts
+++ b/src/scheduler/taskprogress.ts
@@ -1,8 +1,9 @@
 import { pause } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
 import type { ControllerContext } from '../context/context.js';
+import { NotOwnerError } from '../errors/errors.js';
 import type { Job } from '../jobs/job.js';
-import { type JobRecords, type LoadedJob, NotOwnerError } from '../jobs/records.js';
+import type { JobRecords, LoadedJob } from '../jobs/records.js';
 import { type Machine, noteImage, type TaskAttempt } from '../workers/machine.js';
 import type { GoneReason, MachineRegistry } from '../workers/machineregistry.js';
 import type { FailureTracker } from './failuretracker.js';
@@ -199,13 +200,12 @@
           else await this.records.storeDone(job);
         } catch (error) {
           if (error instanceof NotOwnerError) throw this.hooks.lostOwnership();
-          this.log.debug({ job: job.spec.id, error: String(error) }, 'storing progress failed');
+          this.log.debug({ job: job.spec.id, err: error }, 'storing progress failed');
           await pause(this.context.clock, STORE_RETRY_MS);
         }
       });
     } catch (error) {
-      if (!(error instanceof NotOwnerError))
-        this.log.error({ error: String(error) }, 'storing progress ended');
+      if (!(error instanceof NotOwnerError)) this.log.error({ err: error }, 'storing progress ended');
     } finally {
       job.storeAfter = this.context.clock.now() + STORE_INTERVAL_MS;
       job.storing = false;
--- a/src/schema/schema.ts
+++ b/src/schema/schema.ts
@@ -42,24 +42,63 @@
 /** Jobs with match expressions as well; said only by nodes that serve them, which is up to their operators. */
 export const MATCH_PROTOCOL_VERSION = 3;
 
-const holder = v.object({
+/** A holder as it is stored; these names pass between versions. */
+const storedLeaseHolder = v.object({
   node: v.string(),
   run: v.string(),
   lease: v.number(),
-  /** In the key of a node: the workers cannot reach it, and it takes no shard. */
   aside: v.optional(v.boolean()),
-  /** In the key of a node: which version of records and messages it understands. The first version says nothing. */
   speaks: v.optional(v.number()),
-  /** In the key of a node: it stands by for shards (docs/standby.md). */
   stands: v.optional(v.boolean()),
-  /** In the key of a node: it passes changes of the cluster's keys on to others (docs/changes.md). */
   feeds: v.optional(v.boolean()),
 });
-export type LeaseHolder = v.InferOutput<typeof holder>;
+type StoredLeaseHolder = v.InferOutput<typeof storedLeaseHolder>;
 
+/** Which node holds a key, and in the key of a node how it presents itself. */
+export interface LeaseHolder {
+  readonly node: string;
+  /** Which run of the node's process: names that it uses are never used by another. */
+  readonly incarnation: string;
+  /** The lease in the key-value store that the key hangs on. */
+  readonly leaseId: number;
+  /** In the key of a node: the workers cannot reach it, and it takes no shard. */
+  readonly cordoned?: boolean | undefined;
+  /** In the key of a node: which version of records and messages it understands. The first version says nothing. */
+  readonly protocolVersion?: number | undefined;
+  /** In the key of a node: it can be the standby of shards (docs/standby.md). */
+  readonly standbyCapable?: boolean | undefined;
+  /** In the key of a node: it passes changes of the cluster's keys on to others (docs/changes.md). */
+  readonly servesChanges?: boolean | undefined;
+}
+
+/** Reads a holder as it is stored; null when it is none. */
 export function readLeaseHolder(value: unknown): LeaseHolder | null {
-  const p = v.safeParse(holder, value);
-  return p.success ? p.output : null;
+  const parsed = v.safeParse(storedLeaseHolder, value);
+  if (!parsed.success) return null;
+  const { node, run, lease, aside, speaks, stands, feeds } = parsed.output;
+  return {
+    node,
+    incarnation: run,
+    leaseId: lease,
+    ...(speaks !== undefined && { protocolVersion: speaks }),
+    ...(feeds !== undefined && { servesChanges: feeds }),
+    ...(stands !== undefined && { standbyCapable: stands }),
+    ...(aside !== undefined && { cordoned: aside }),
+  };
+}
+
+/** A holder as it is stored. */
+export function writeLeaseHolder(holder: LeaseHolder): StoredLeaseHolder {
+  const { node, incarnation, leaseId, cordoned, protocolVersion, standbyCapable, servesChanges } = holder;
+  return {
+    node,
+    run: incarnation,
+    lease: leaseId,
+    ...(protocolVersion !== undefined && { speaks: protocolVersion }),
+    ...(servesChanges !== undefined && { feeds: servesChanges }),
+    ...(standbyCapable !== undefined && { stands: standbyCapable }),
+    ...(cordoned !== undefined && { aside: cordoned }),
+  };
 }
 
 const machineRecord = v.object({
--- a/src/standby/jobrecordreplica.ts
+++ b/src/standby/jobrecordreplica.ts
@@ -43,7 +43,7 @@
         this.revision = 0;
         await this.read();
       })
-      .catch((error) => this.log.debug({ error: String(error) }, 'records not read yet'));
+      .catch((error) => this.log.debug({ err: error }, 'records not read yet'));
   }
 
   leave(shard: number): void {
@@ -56,7 +56,7 @@
     if (this.mutex.isLocked() || this.context.clock.now() - this.readAt < READ_EVERY_MS) return;
     void this.mutex
       .runExclusive(() => this.read())
-      .catch((error) => this.log.debug({ error: String(error) }, 'changes not read yet'));
+      .catch((error) => this.log.debug({ err: error }, 'changes not read yet'));
   }
 
   /**
--- a/src/standby/standbyreplicas.ts
+++ b/src/standby/standbyreplicas.ts
@@ -190,7 +190,7 @@
       });
       return true;
     } catch (error) {
-      this.log.info({ shard, error: String(error) }, 'taking over is tried again');
+      this.log.info({ shard, err: error }, 'taking over is tried again');
       return false;
     } finally {
       f.claiming = false;
--- a/src/standby/standbyreplicator.ts
+++ b/src/standby/standbyreplicator.ts
@@ -149,7 +149,7 @@
     const here = this.hooks.presenceOf(s.node);
     const silent = s.unacknowledgedSince !== null && now - s.unacknowledgedSince > ACKNOWLEDGE_TIMEOUT_MS;
     const slow = !s.inSync && now - s.namedAt > SYNC_TIMEOUT_MS;
-    const gone = here !== null && here.run !== s.incarnation;
+    const gone = here !== null && here.incarnation !== s.incarnation;
     if (silent || slow || gone) {
       if (!this.changing)
         void this.runExclusive(() => this.evict(s, silent ? 'silent' : slow ? 'slow' : 'restarted'));
@@ -195,7 +195,7 @@
     try {
       await work();
     } catch (error) {
-      this.log.debug({ error: String(error) }, 'standby not changed');
+      this.log.debug({ err: error }, 'standby not changed');
       await pause(this.context.clock, CHECK_INTERVAL_MS);
     } finally {
       this.changing = false;
@@ -208,7 +208,7 @@
     if (!here || lease === null) return;
     const value: StandbyRecord = {
       node,
-      run: here.run,
+      run: here.incarnation,
       term: this.term,
       tag: `${this.context.incarnation}-${this.term}-${this.namedCount++}`,
     };
@@ -233,7 +233,7 @@
     if (revision === null || this.stopped) return;
     this.standby = {
       node,
-      incarnation: here.run,
+      incarnation: here.incarnation,
       revision,
       stream: new ReplicationStream(this.source),
       namedAt: this.context.clock.now(),
@@ -282,7 +282,7 @@
       }
       if (waited) this.hooks.requestPlan();
     } catch (error) {
-      this.log.debug({ standby: s.node, error: String(error) }, 'standby did not answer');
+      this.log.debug({ standby: s.node, err: error }, 'standby did not answer');
     } finally {
       s.sending = false;
       if (!this.stopped && this.standby === s && s.unacknowledgedSince === null && s.stream.urgent)
@@ -331,7 +331,7 @@
     try {
       return (await this.mesh.request(s.node, STANDBY_OPS.handOver, message, HANDOVER_TIMEOUT_MS)) === true;
     } catch (error) {
-      this.log.info({ standby: s.node, error: String(error) }, 'handing over got no answer');
+      this.log.info({ standby: s.node, err: error }, 'handing over got no answer');
       return false;
     }
   }
--- a/src/state/ratelimiter.ts
+++ b/src/state/ratelimiter.ts
@@ -1,4 +1,5 @@
 import type { Clock } from '../clock/clock.js';
+import { SpartrayError } from '../errors/errors.js';
 
 interface Waiter {
   amount: number;
@@ -8,7 +9,7 @@
 }
 
 /** A request that waited too long for its turn; it was not sent. */
-export class RateLimitExceededError extends Error {}
+export class RateLimitExceededError extends SpartrayError {}
 
 /** While requests wait and none is refused, a node uses more of what the others leave, in steps of this. */
 const GROWTH = 1.25;
--- a/src/state/statestore.ts
+++ b/src/state/statestore.ts
@@ -1,5 +1,7 @@
 // This package: dealings with the state service: its requests, within its rates.
+
 import { type Clock, pause } from '../clock/clock.js';
+import { RemoteServiceError } from '../errors/errors.js';
 import { type HttpAnswer, HttpRequestError, type Requester } from '../http/client.js';
 import {
   type Change,
@@ -17,15 +19,8 @@
 } from '../wire/state.js';
 import { RateLimitExceededError, RateLimiter } from './ratelimiter.js';
 
-/** `done` false: the request surely had no effect. True: it may have had, or may yet have. */
-export class StateStoreError extends Error {
-  constructor(
-    message: string,
-    readonly mayHaveApplied: boolean,
-  ) {
-    super(message);
-  }
-}
+/** The key-value store refused a request, or did not answer it. */
+export class StateStoreError extends RemoteServiceError {}
 
 export type CompareAndSwapResult = { ok: true; revision: number } | { ok: false; failed: string[] };
 
@@ -237,8 +232,10 @@
       if (changes > 0) await this.writes.acquire(changes, urgent, 2000);
       return await this.http.request(this.addr, method, path, body, timeoutMs);
     } catch (error) {
-      if (error instanceof RateLimitExceededError) throw new StateStoreError('over this node’s rate', false);
-      if (error instanceof HttpRequestError) throw new StateStoreError(error.message, error.sent);
+      if (error instanceof RateLimitExceededError)
+        throw new StateStoreError('over this node’s rate', false, { cause: error });
+      if (error instanceof HttpRequestError)
+        throw new StateStoreError(error.message, error.sent, { cause: error });
       throw error;
     }
   }
--- a/src/tls/credentials.ts
+++ b/src/tls/credentials.ts
@@ -1,10 +1,12 @@
 // This package: links to partner clusters over TLS: certificates, who is let in, and bounded frames.
+
 import { createPrivateKey, X509Certificate } from 'node:crypto';
 import { readFileSync, statSync } from 'node:fs';
 import type { Clock, Timer } from '../clock/clock.js';
+import { InvalidInputError } from '../errors/errors.js';
 
 /** Keys or certificates that cannot be used; the message names the file. */
-export class TlsError extends Error {}
+export class TlsError extends InvalidInputError {}
 
 export interface TlsFiles {
   key: string;
--- a/src/tls/links.ts
+++ b/src/tls/links.ts
@@ -2,6 +2,7 @@
 import type { AddressInfo, Socket } from 'node:net';
 import tls from 'node:tls';
 import type { Clock, Timer } from '../clock/clock.js';
+import { UnreachableError } from '../errors/errors.js';
 import { encodeFrame, FrameReader, type PeerMessage } from '../peer/frames.js';
 import { type Credentials, clusterOf, refusal } from './credentials.js';
 
@@ -218,7 +219,7 @@
 }
 
 /** A partner that does not answer, cannot be reached, or is not who it should be. */
-export class PartnerAway extends Error {}
+export class PartnerAway extends UnreachableError {}
 
 interface Waiting {
   resolve: (answer: unknown) => void;
--- a/tests/packages.test.ts
+++ b/tests/packages.test.ts
@@ -5,6 +5,7 @@
 
 /** The packages of `src`, the lowest first: each may use those before it. */
 const PACKAGES = [
+  'errors',
   'clock',
   'config',
   'interning',
--- a/tests/versions.test.ts
+++ b/tests/versions.test.ts
@@ -5,7 +5,7 @@
 import { makeJob } from '../src/jobs/job.js';
 import { JobRecords } from '../src/jobs/records.js';
 import { chunkTasks, TaskSet } from '../src/jobs/taskset.js';
-import { readLeaseHolder, readTeamAssignment } from '../src/schema/schema.js';
+import { readLeaseHolder, readTeamAssignment, writeLeaseHolder } from '../src/schema/schema.js';
 import { StateStore } from '../src/state/statestore.js';
 import { readJob } from '../src/wire/users.js';
 import { FakeClock } from './support/clock.js';
@@ -203,10 +203,12 @@
   const stored = v.parse(formerJob, c.state.value('act/wk-1'));
   assert.equal(stored.spec.tasks, 2);
   assert.equal(v.parse(formerHolder, c.state.value('c/node/n0')).node, 'n0');
-  assert.equal(readLeaseHolder(c.state.value('c/node/n0'))?.speaks, 2);
+  assert.equal(readLeaseHolder(c.state.value('c/node/n0'))?.protocolVersion, 2);
   assert.deepEqual(v.parse(v.record(v.string(), v.number()), c.state.value('c/teams')), { red: 0 });
   const former = { node: 'n0', run: 'x', lease: 1 };
-  assert.deepEqual(readLeaseHolder(former), former);
+  const read = readLeaseHolder(former);
+  assert.deepEqual(read, { node: 'n0', incarnation: 'x', leaseId: 1 });
+  assert.deepEqual(read && writeLeaseHolder(read), former);
   // The record as the former version wrote it, without the new field, is a job that waits for nothing.
   c.killNode('n0');
   c.state.items.set('act/wk-2', {
