--- /dev/null
+++ b/tests/compatibility-cluster.test.ts
@@ -0,0 +1,103 @@
+import assert from 'node:assert/strict';
+import { readFileSync } from 'node:fs';
+import { test } from 'node:test';
+import { FEED_OPS } from '../src/feed/messages.js';
+import { KEYS } from '../src/keys/keys.js';
+import { PEER_OPS } from '../src/shards/operations.js';
+import { RATES_OP } from '../src/shards/rates.js';
+import { STANDBY_OPS } from '../src/standby/messages.js';
+import { CLOUD_PATHS } from '../src/wire/cloud.js';
+import { CONDOR_PATH } from '../src/wire/condor.js';
+import { STATE_PATHS } from '../src/wire/state.js';
+import { USER_PATHS } from '../src/wire/users.js';
+import { WORKER_PATHS } from '../src/wire/workers.js';
+import { Capture, pathKind, storedKind } from './support/capture.js';
+import { playClusters } from './support/captured.js';
+
+type Kinds = Record<string, string[]>;
+
+const fixture = (name: string): Kinds =>
+  JSON.parse(readFileSync(`tests/fixtures/compatibility/${name}.json`, 'utf8'));
+
+let playing: Promise<Capture> | null = null;
+
+/** What passes in the scripted clusters; played once for all tests. */
+function captured(): Promise<Capture> {
+  const capture = new Capture();
+  playing ??= playClusters(capture).then(() => capture);
+  return playing;
+}
+
+function assertSame(seen: Kinds, expected: Kinds): void {
+  assert.deepEqual(Object.keys(seen), Object.keys(expected), 'kinds that pass');
+  for (const kind of Object.keys(expected)) assert.deepEqual(seen[kind], expected[kind], kind);
+}
+
+/** Messages that only tell something get no answer. */
+const TOLD: ReadonlySet<string> = new Set([
+  PEER_OPS.gossip,
+  PEER_OPS.unassigned,
+  PEER_OPS.owns,
+  PEER_OPS.redirected,
+  PEER_OPS.over,
+]);
+
+// Guards against a member of a type that is renamed in the code and with it on the wire or in storage, unseen by the compiler.
+test('every stored record has the members that versions before this one read', async () => {
+  const expected = fixture('stored-shapes');
+  assertSame((await captured()).stored.sorted, expected);
+});
+
+test('every key of the layout has a fixture', () => {
+  const kinds = Object.keys(fixture('stored-shapes'));
+  for (const key of Object.values(KEYS)) {
+    const made = typeof key === 'string' ? key : (key as (...parts: unknown[]) => string)('ID', 'TAG', 7);
+    if (made.endsWith('/'))
+      assert.ok(
+        kinds.some((kind) => kind.startsWith(made)),
+        made,
+      );
+    else assert.ok(kinds.includes(storedKind(made)), `no fixture for ${made}`);
+  }
+  assert.ok(kinds.includes(storedKind(KEYS.chunk('ID', 'at8'))));
+});
+
+test('every message between controllers has the members that versions before this one read', async () => {
+  assertSame((await captured()).peers.sorted, fixture('peers-shapes'));
+});
+
+test('every operation between controllers has a fixture of its question and its answer', () => {
+  const kinds = new Set(Object.keys(fixture('peers-shapes')));
+  const operations = [
+    ...Object.values(PEER_OPS),
+    ...Object.values(FEED_OPS),
+    ...Object.values(STANDBY_OPS),
+    RATES_OP,
+  ];
+  for (const op of operations) {
+    if (TOLD.has(op)) assert.ok(kinds.has(`${op} told`), `no fixture for ${op}`);
+    else for (const part of ['asked', 'answered']) assert.ok(kinds.has(`${op} ${part}`), `${op} ${part}`);
+  }
+});
+
+test('every request and answer over HTTP has the members that the other side reads', async () => {
+  assertSame((await captured()).http.sorted, fixture('http-shapes'));
+});
+
+test('every path has a fixture', () => {
+  const kinds = Object.keys(fixture('http-shapes')).map((kind) => kind.split(' ')[1]!);
+  const state = Object.values(STATE_PATHS).map((path) =>
+    typeof path === 'string' ? path : (path as (...parts: unknown[]) => string)(7, 'KEY', 8),
+  );
+  const cancel = `${USER_PATHS.jobs}/ID/${USER_PATHS.cancel}`;
+  const users = [USER_PATHS.jobs, USER_PATHS.health, cancel, CONDOR_PATH];
+  const others = [...Object.values(WORKER_PATHS), ...Object.values(CLOUD_PATHS), ...state];
+  assert.equal(users.length, Object.keys(USER_PATHS).length + 1, 'a path of users is left out here');
+  for (const path of [...users, ...others]) {
+    const route = pathKind(path).split('?')[0]!;
+    assert.ok(
+      kinds.some((kind) => kind.split('?')[0] === route),
+      `no fixture for ${path}`,
+    );
+  }
+});
--- /dev/null
+++ b/tests/support/capture.ts
@@ -0,0 +1,142 @@
+import { encodeFrame, FrameReader, type PeerMessage } from '../../src/peer/frames.js';
+import type { Mesh } from '../../src/peer/mesh.js';
+import { ControllerNode } from '../../src/shards/node.js';
+import { type FakeCluster, STATE } from './cluster.js';
+import type { Peer } from './net.js';
+import { Shapes } from './shapes.js';
+
+/** Kinds of stored keys as they are in the state service, the first that fits. */
+const STORED_KINDS: readonly [kind: string, key: RegExp][] = [
+  ['c/lead', /^c\/lead$/],
+  ['c/node/NAME', /^c\/node\/[^/]+$/],
+  ['c/own/SHARD', /^c\/own\/[^/]+$/],
+  ['c/stand/SHARD', /^c\/stand\/[^/]+$/],
+  ['c/m/ID', /^c\/m\/[^/]+$/],
+  ['c/mail/NAME', /^c\/mail\/[^/]+$/],
+  ['c/teams', /^c\/teams$/],
+  ['c/teams/N', /^c\/teams\/[^/]+$/],
+  ['c/speaks/NAME', /^c\/speaks\/[^/]+$/],
+  ['c/types', /^c\/types$/],
+  ['c/condor', /^c\/condor$/],
+  ['job/ID', /^job\/[^/]+$/],
+  ['act/ID', /^act\/[^/]+$/],
+  ['act/ID/atN', /^act\/[^/]+\/at\d+$/],
+  ['act/ID/N', /^act\/[^/]+\/[^/]+$/],
+  ['part/ID/TAG/N', /^part\/[^/]+\/[^/]+\/[^/]+$/],
+  ['condor/next', /^condor\/next$/],
+  ['condor/c/N', /^condor\/c\/\d{8}$/],
+  ['condor/over/N', /^condor\/over\/\d{8}$/],
+  ['condor/s/ID', /^condor\/s\/[^/]+$/],
+  ['condor/p/ID/N', /^condor\/p\/[^/]+\/\d{8}$/],
+  ['condor/x/N/N', /^condor\/x\/\d{8}\/\d{8}$/],
+];
+
+/** The kind of a stored key; a key of no known kind is one of its own. */
+export function storedKind(key: string): string {
+  return STORED_KINDS.find(([, pattern]) => pattern.test(key))?.[0] ?? `unknown kind: ${key}`;
+}
+
+/** A path with the names of what it asks for left out, and of its query the names of the parameters only. */
+export function pathKind(path: string): string {
+  const [route, query] = path.split('?');
+  const kind = route!
+    .replace(/^\/keys\/.+$/, '/keys/KEY')
+    .replace(/^\/jobs\/[^/]+$/, '/jobs/ID')
+    .replace(/^\/api\/jobs\/[^/]+/, '/api/jobs/ID')
+    .replace(/\/\d+/g, '/N');
+  return query === undefined ? kind : `${kind}?${[...new URLSearchParams(query).keys()].join('&')}`;
+}
+
+/** A message between controllers as the other side reads it, by way of its bytes. */
+function passed(message: PeerMessage): { a?: unknown } {
+  const [read] = [...new FrameReader().feed(encodeFrame(message))];
+  return read as { a?: unknown };
+}
+
+interface StoredWrite {
+  set?: string;
+  value?: unknown;
+}
+
+/** Records what passes between the parts of scripted clusters, as it passes. */
+export class Capture {
+  readonly http = new Shapes();
+  readonly stored = new Shapes();
+  readonly peers = new Shapes();
+
+  /** From here on; before any node of the cluster is started. */
+  watch(cluster: FakeCluster): void {
+    const { peers } = cluster.net;
+    const set = peers.set.bind(peers);
+    peers.set = (address, peer) => set(address, this.watchPeer(address, peer));
+    for (const [address, peer] of [...peers]) peers.set(address, peer);
+    const startNode = cluster.startNode.bind(cluster);
+    cluster.startNode = (name) => {
+      const running = this.watchMesh(() => startNode(name));
+      const handle = running.api.handle.bind(running.api);
+      running.api.handle = async (request) => {
+        const reply = await handle(request);
+        const kind = `${request.method} ${pathKind(request.path)}`;
+        const body = request.body.toString('utf8');
+        this.http.add(`${kind} query`, [...request.query.keys()]);
+        if (body !== '' && reply.status < 400) this.http.add(`${kind} request`, JSON.parse(body));
+        this.http.add(`${kind} ${reply.status}`, asJson(reply.body));
+        if (reply.headers) this.http.add(`${kind} ${reply.status} headers`, reply.headers);
+        return reply;
+      };
+      return running;
+    };
+  }
+
+  private watchPeer(address: string, peer: Peer): Peer {
+    return async (method, path, body, from) => {
+      const kind = `${method} ${pathKind(path)}`;
+      if (body !== null) this.http.add(`${kind} request`, body);
+      if (address === STATE) this.addWrites(body);
+      const served = await peer(method, path, body, from);
+      this.http.add(`${kind} ${served.status}`, asJson(served.body));
+      return served;
+    };
+  }
+
+  private addWrites(body: unknown): void {
+    const { writes } = (body ?? {}) as { writes?: StoredWrite[] };
+    for (const write of writes ?? [])
+      if (write.set !== undefined) this.stored.add(storedKind(write.set), write.value);
+  }
+
+  /** Lets nodes that are started meanwhile have a mesh that shows what passes. */
+  private watchMesh<T>(start: () => T): T {
+    const { start: before } = ControllerNode.prototype;
+    const wrapped = (mesh: Mesh) => this.wrapMesh(mesh);
+    ControllerNode.prototype.start = function (mesh) {
+      return before.call(this, wrapped(mesh));
+    };
+    try {
+      return start();
+    } finally {
+      ControllerNode.prototype.start = before;
+    }
+  }
+
+  wrapMesh(mesh: Mesh): Mesh {
+    return {
+      connected: (node) => mesh.connected(node),
+      refused: (node) => mesh.refused(node),
+      tell: (node, op, args) => {
+        this.peers.add(`${op} told`, passed({ op, a: args }).a);
+        mesh.tell(node, op, args);
+      },
+      ask: async (node, op, args, timeoutMs) => {
+        this.peers.add(`${op} asked`, passed({ q: 1, op, a: args }).a);
+        const answer = await mesh.ask(node, op, args, timeoutMs);
+        this.peers.add(`${op} answered`, passed({ r: 1, a: answer }).a);
+        return answer;
+      },
+    };
+  }
+}
+
+function asJson(body: unknown): unknown {
+  return body === undefined ? undefined : JSON.parse(JSON.stringify(body));
+}
