--- /dev/null
+++ b/tests/support/produced.ts
@@ -0,0 +1,423 @@
+import { deflateRawSync } from 'node:zlib';
+import { Cloud } from '../../src/cloud/cloud.js';
+import { ClusterRecords } from '../../src/condor/records.js';
+import { StateService } from '../../src/emulator/state.js';
+import { ChangeLog } from '../../src/feed/log.js';
+import type { HttpAnswer, Requester } from '../../src/http/client.js';
+import { type Job, makeJob } from '../../src/jobs/job.js';
+import { JobRecords } from '../../src/jobs/records.js';
+import { KEYS } from '../../src/keys/keys.js';
+import { encodeFrame } from '../../src/peer/frames.js';
+import type { Mesh } from '../../src/peer/mesh.js';
+import { NOT_READY } from '../../src/shard/answers.js';
+import type { Members } from '../../src/shards/members.js';
+import { PEER_OPS } from '../../src/shards/operations.js';
+import { Owners } from '../../src/shards/owners.js';
+import type { StoredRequests } from '../../src/shards/storedrequests.js';
+import { Feed } from '../../src/standby/feed.js';
+import type { FeedRecord, StandMessage } from '../../src/standby/messages.js';
+import { StateStore } from '../../src/state/store.js';
+import type { Need } from '../../src/supply/gossip.js';
+import { type ListedMachine, writeList, writeTypes } from '../../src/wire/cloud.js';
+import {
+  type JobKind,
+  type JobSpec,
+  type JobStatus,
+  readJob,
+  writeJob,
+  writeStatus,
+} from '../../src/wire/users.js';
+import {
+  type ExitCause,
+  type Order,
+  type TaskReport,
+  type TaskState,
+  writeCommands,
+  writeOrders,
+  writeReport,
+} from '../../src/wire/workers.js';
+import type { World } from '../../src/world/world.js';
+import { FakeClock } from './clock.js';
+import { FakeCluster, job } from './cluster.js';
+import { httpBytes } from './heads.js';
+
+/** Texts by what they are of, as fixtures hold them. */
+export type Produced = Record<string, string>;
+
+const LIMITS = { valueKb: 2, txnOps: 16, layoutKb: 8 };
+const OWNER = { node: 'n1', run: 'n1-7', lease: 12 };
+
+/** A job with every member that a submission has. */
+export function fullSpec(change: object = {}): JobSpec {
+  const read = readJob(
+    job('wk-full_1', {
+      shape: 'ensemble',
+      urgency: 'urgent',
+      pieces: 3,
+      cpus: 1.5,
+      cards: 2,
+      flavors: ['c8', 'g8'],
+      yard: 'a',
+      oneZone: true,
+      spread: true,
+      dueS: 900.5,
+      waitsOn: ['wk-0', 'wk-00'],
+      ...change,
+    }),
+  );
+  if (typeof read === 'string') throw new Error(read);
+  return { ...read, match: { requirements: 'TARGET.Memory >= 2048', rank: null } };
+}
+
+/** Every kind of record of the stream to a standby; one that is missing here does not compile. */
+export const STREAM: { [K in FeedRecord['t']]: Extract<FeedRecord, { t: K }> } = {
+  begin: { t: 'begin' },
+  level: { t: 'level' },
+  at: { t: 'at', job: 'wk-1', machine: 'm-1' },
+  only: { t: 'only', job: 'wk-1', machines: ['m-1', 'm-2'] },
+  off: { t: 'off', job: 'wk-1', machine: 'm-1' },
+  over: { t: 'over', job: 'wk-1' },
+  runs: { t: 'runs', task: 'wk-1/3', attempt: 7, since: 1_700_000_000_000 },
+  machine: { t: 'machine', id: 'm-1', session: 2, images: [['img', 1.5]] },
+  class: { t: 'class', name: 'train', log: 0.25, count: 3 },
+  suspect: { t: 'suspect', job: 'wk-1', failures: 2, until: 1_700_000_001_000 },
+  trusted: { t: 'trusted', job: 'wk-1' },
+};
+
+interface Recorded {
+  store: StateStore;
+  cloud: Cloud;
+  /** What was sent, in its order. */
+  sent: string[];
+}
+
+/** A store and a cloud whose requests are answered by a scripted service and written down. */
+function recorded(answer: (method: string, path: string, body: unknown) => unknown): Recorded {
+  const clock = new FakeClock();
+  const sent: string[] = [];
+  const http: Requester = {
+    request: async (_address, method, path, body): Promise<HttpAnswer> => {
+      sent.push(`${method} ${path}${body === null ? '' : ` ${JSON.stringify(body)}`}`);
+      const served = (await answer(method, path, body)) as { status: number; body: unknown };
+      return { ...served, headers: new Map() };
+    },
+  };
+  const store = new StateStore(clock, http, 'state:1', { rps: 6000, writeRps: 6000, nodes: 1 });
+  return { store, cloud: new Cloud(clock, http, 'cloud:1', 6000, 1), sent };
+}
+
+function numbered(name: string, sent: readonly string[]): Produced {
+  return Object.fromEntries(sent.map((text, i) => [`${name} ${i + 1}`, text]));
+}
+
+/** Every request to the state service. */
+export async function stateRequests(): Promise<Produced> {
+  const service = new StateService(new FakeClock());
+  const { store, sent } = recorded((method, path, body) => {
+    if (path.startsWith('/watch')) return { status: 410, body: {} };
+    if (!path.startsWith('/keys?')) return service.serve(method, path, body);
+    const entries = [{ path: 'act/wk 1', value: {}, stamp: 3 }];
+    return { status: 200, body: { entries, more: !path.includes('since'), ledgerRev: 3 } };
+  });
+  const lease = await store.grant(8000);
+  await store.renew(lease, 1000);
+  await store.txn([{ key: 'c/a', version: 0 }], [{ put: 'c/a', value: { x: 1 }, lease }, { delete: 'c/b' }]);
+  await store.txn([], [{ put: 'c/c', value: null }]);
+  await store.get('c/a');
+  await store.list('act/');
+  await store.watch('c/', 7, 5000);
+  await store.revoke(lease);
+  return numbered('state', sent);
+}
+
+/** Every request to the cloud. */
+export async function cloudRequests(): Promise<Produced> {
+  const listed = (id: string) =>
+    ({ id, addr: '10.1.0.1:9000', type: 'c8', zone: 'a', spot: true, state: 'booting', ageS: 5 }) as const;
+  const { cloud, sent } = recorded((method, path) => {
+    if (path === '/flavors') return { status: 200, body: writeTypes(new FakeCluster([]).types) };
+    if (method === 'GET') return { status: 200, body: writeList([listed('m 1')], !path.includes('since')) };
+    return { status: 200, body: { workers: ['m-1'] } };
+  });
+  await cloud.types();
+  await cloud.list();
+  await cloud.rent({ request: 'n0-1-7-2', type: 'c8', zone: 'a', spot: true, count: 3 });
+  await cloud.release(['m-1', 'm-2']);
+  return numbered('cloud', sent);
+}
+
+function accepted(spec: JobSpec, version: number): Job {
+  return makeJob(
+    spec,
+    { accepted: 1_700_000_000_000, deadline: 1_700_000_900_000, order: 0, fresh: true, version },
+    { team: 0, types: null, zone: null, image: 0, match: null },
+  );
+}
+
+/** What an owner stores of its jobs, from acceptance to the end, in both layouts. */
+export async function jobWrites(): Promise<Produced> {
+  const service = new StateService(new FakeClock());
+  const { store, sent } = recorded((...request) => service.serve(...request));
+  const owned = await store.txn([], [{ put: KEYS.owner(2), value: OWNER }]);
+  const term = owned.ok ? owned.revision : 0;
+  const times = { accepted: 1_700_000_000_000, deadline: 1_700_000_900_000 };
+  const records = (all: boolean) => new JobRecords(store, 2, term, LIMITS, () => all);
+  const waitsOn = Array.from({ length: 200 }, (_, i) => `wk-needed-${i}`);
+  for (const [id, change, all] of [
+    ['wk-whole', {}, true],
+    ['wk-parts', { waitsOn }, true],
+    ['wk-stated', { shape: 'sweep', pieces: 20_000 }, true],
+    ['wk-former', { shape: 'sweep', pieces: 60_000 }, false],
+  ] as const) {
+    const spec = fullSpec({ id, ...change });
+    const done = await records(all).accept({ spec, ...times }, `tag-${id}`);
+    if (done.kind !== 'accepted') throw new Error(`${id} is not accepted`);
+    const stored = accepted(spec, done.version);
+    for (const task of [0, 2, 11_600, 50_000]) {
+      if (!stored.done.add(task)) continue;
+      stored.dirtyChunks.add(records(all).chunkOf(stored, task));
+    }
+    await records(all).storeDone(stored);
+    await records(all).finish(stored, id === 'wk-whole' ? 'cancelled' : 'done');
+  }
+  return numbered('jobs', sent);
+}
+
+/** What is stored of clusters of submit files. */
+export async function clusterWrites(): Promise<Produced> {
+  const service = new StateService(new FakeClock());
+  const { store, sent } = recorded((...request) => service.serve(...request));
+  const held = await store.txn([], [{ put: 'c/condor', value: OWNER }]);
+  const term = held.ok ? held.revision : 0;
+  const records = new ClusterRecords(store, LIMITS);
+  const text = 'executable = run.sh\nqueue 40\n';
+  const submission = { text, rows: { 0: ['a b'] }, user: 'ann', at: 1_700_000_000 };
+  await records.create('submission-1', submission, 40, 'nightly');
+  const [made] = await records.all();
+  if (!made) throw new Error('no cluster');
+  const grown = { ...made.record, from: 2, upTo: 5, state: 'removing' as const };
+  const version = await records.put(term, made, grown);
+  const exceptions = new Map([
+    [1, { start: 0, state: 'held' as const, why: 'as its owner asked' }],
+    [33, { start: 2, state: 'idle' as const, why: 'released' }],
+    [34, { start: 0, state: 'removed' as const, why: '' }],
+  ]);
+  await records.putExceptions(term, 1, exceptions, [0, 1], new Map());
+  const ended = { ...made, version: version! };
+  await records.end(term, ended, { ...grown, state: 'over', removed: 2 });
+  await records.sweep(term, ended);
+  const packed = deflateRawSync(JSON.stringify(submission)).toString('base64');
+  // Which bytes make a text is up to the library; what they say is not.
+  return numbered(
+    'clusters',
+    sent.map((request) => request.replace(packed, JSON.stringify(submission).replaceAll('"', "'"))),
+  );
+}
+
+const frame = (message: Parameters<typeof encodeFrame>[0]) => encodeFrame(message).toString('hex');
+
+/** Questions that owners put to each other, as frames. */
+export async function ownersFrames(): Promise<Produced> {
+  const frames: Produced = {};
+  const mesh: Mesh = {
+    ask: async (node, op, args) => {
+      frames[`${op} to ${node}`] = frame({ q: 1, op, a: args });
+      return true;
+    },
+    tell: (node, op, args) => {
+      frames[`${op} to ${node}`] = frame({ op, a: args });
+    },
+    connected: () => true,
+    refused: () => false,
+  };
+  const world = { settings: { node: 'n0' } } as World;
+  const members = { owner: () => OWNER } as unknown as Members;
+  const hooks = { locate: async () => null, soon: async () => undefined };
+  const owners = new Owners(world, members, null as unknown as StoredRequests, () => new Map(), [], hooks);
+  owners.mesh = mesh;
+  const need: Required<Need> = {
+    types: ['c8'],
+    zone: 'a',
+    spot: true,
+    cpus: 2,
+    gpus: 1,
+    memoryGb: 4.5,
+    count: 3,
+    priority: 2,
+    guaranteed: true,
+    deadline: 1_700_000_000_000,
+    waitS: 9,
+    kinds: ['c8 a spot'],
+  };
+  const here = () => Promise.reject(new Error('not here'));
+  await owners.giveAway(1, 'm-1', 2);
+  await owners.clearMachine(1, 'm-1', 2, 3);
+  await owners.reserveMachine(1, 2, need, 'a');
+  await owners.others.askNeeded(1, 2, [{ id: 'wk-1', priority: 2, dueWall: 1_700_000_000_000 }]);
+  owners.others.tellOver(1, 'wk-1', 'cancelled');
+  for (const op of [PEER_OPS.submit, PEER_OPS.submitAfter])
+    await owners.ask(1, op, { spec: fullSpec() }, here);
+  for (const op of [PEER_OPS.status, PEER_OPS.cancel]) await owners.ask(1, op, { id: 'wk-1' }, here);
+  await owners.ask(1, PEER_OPS.list, { under: 'wk-', after: '', most: 200 }, here);
+  frames['not ready'] = frame({ r: 1, e: NOT_READY });
+  return frames;
+}
+
+/** The stream to a standby: a snapshot, what happens meanwhile, and a message of it. */
+export function standbyFrames(): Produced {
+  const { begin: _begin, level: _level, at: _at, ...drawn } = STREAM;
+  const feed = new Feed({ snapshot: () => Object.values(drawn).values() });
+  feed.add({ t: 'only', job: 'wk-2', machines: null });
+  void feed.announce([{ job: 'wk-1', machine: 'm-1' }]);
+  const { from, records } = feed.batch();
+  const message: StandMessage = { shard: 1, term: 9, revision: 11, run: 'n1-7', from, records, changes: 5 };
+  const produced: Produced = { batch: JSON.stringify({ from, records }) };
+  for (const [kind, record] of Object.entries(STREAM)) produced[`record ${kind}`] = JSON.stringify(record);
+  produced.stand = frame({ q: 2, op: 'stand', a: message });
+  return produced;
+}
+
+/** Batches of the changes that followers are given. */
+export function feedFrames(): Produced {
+  const log = new ChangeLog();
+  log.append({
+    since: 3,
+    revision: 8,
+    changes: [
+      { key: 'c/own/1', value: OWNER, version: 5 },
+      { key: 'c/own/2', gone: true, version: 7 },
+    ],
+  });
+  return {
+    batch: frame({ r: 3, a: log.after(3) }),
+    later: frame({ r: 3, a: log.after(7) }),
+    gap: String(log.after(2)),
+  };
+}
+
+/** Answers to users and workers, whole, that do not depend on what a plan finds. */
+export async function apiAnswers(): Promise<Produced> {
+  const c = new FakeCluster(['n0']);
+  c.addWorker('c8', 'a');
+  c.startNode('n0');
+  const produced: Produced = {};
+  const call = async (method: string, path: string, body: object | null = null) => {
+    const { status, headers, body: answer } = await c.call('n0', method, path, body);
+    const name = `${method} ${path} ${(body as { id?: string } | null)?.id ?? ''}`.trim();
+    produced[`${Object.keys(produced).length + 1} ${name}`] = JSON.stringify({ status, headers, answer });
+  };
+  await call('GET', '/healthz');
+  await call('POST', '/api/jobs', job('wk-1'));
+  await c.clock.advance(8000);
+  await call('POST', '/api/jobs', { ...job('wk-2'), pieces: 0 });
+  await call('POST', '/api/jobs', job('wk-3', { owner: 'green' }));
+  await call('POST', '/api/jobs', job('wk-4', { cpus: 900 }));
+  await call('POST', '/api/jobs', job('wk-5', { waitsOn: ['wk-none'] }));
+  await call('POST', '/api/jobs', job('wk-6', { dueS: 1 }));
+  await call('POST', '/api/jobs', job('wk-7'));
+  await call('POST', '/api/jobs', job('wk-7'));
+  await call('GET', '/api/jobs/wk-7');
+  await call('GET', '/api/jobs');
+  await call('GET', '/api/jobs/wk-none');
+  await call('POST', '/api/jobs/wk-none/abort');
+  await call('POST', '/api/jobs/wk-7/other');
+  await call('POST', '/api/jobs/wk-7/abort');
+  await call('GET', '/api/jobs/wk-7');
+  await call('GET', '/api/jobs/wk-7/abort');
+  await call('PUT', '/api/jobs/wk-7');
+  await call('PUT', '/api/jobs');
+  await call('POST', '/healthz');
+  await call('GET', '/v1/report');
+  await call('POST', '/v1/report', { worker: 1 });
+  await call('GET', '/other');
+  return produced;
+}
+
+/** Words inside, each with itself: one that is missing here does not compile. */
+const KIND_WORDS: { [K in JobKind]: K } = { array: 'array', gang: 'gang', service: 'service' };
+const STATUS_WORDS: { [S in JobStatus]: S } = {
+  queued: 'queued',
+  running: 'running',
+  done: 'done',
+  cancelled: 'cancelled',
+};
+const TASK_STATES: { [S in TaskState]: S } = {
+  fetching: 'fetching',
+  waiting: 'waiting',
+  running: 'running',
+  saving: 'saving',
+  exited: 'exited',
+};
+const EXIT_CAUSES: { [C in ExitCause]: C } = {
+  done: 'done',
+  stopped: 'stopped',
+  peers: 'peers',
+  alone: 'alone',
+  error: 'error',
+  no_room: 'no_room',
+  busy: 'busy',
+  unknown: 'unknown',
+};
+const MACHINE_STATES: { [S in ListedMachine['state']]: S } = {
+  booting: 'booting',
+  running: 'running',
+  failed: 'failed',
+};
+const ATTEMPT = { job: 'wk-1', index: 3, attempt: 7 };
+const ORDERS: { [O in Order['op']]: Extract<Order, { op: O }> } = {
+  start: { op: 'start', ...ATTEMPT },
+  stop: { op: 'stop', ...ATTEMPT, graceS: 2.5 },
+  forget: { op: 'forget', ...ATTEMPT },
+};
+
+/** Every word of the formats for users, workers and the cloud. */
+export function wireWords(): Produced {
+  const produced: Produced = {};
+  const add = (name: string, value: object) => {
+    produced[name] = JSON.stringify(value);
+  };
+  for (const kind of Object.values(KIND_WORDS)) add(`kind ${kind}`, writeJob({ ...fullSpec(), kind }));
+  for (const priority of [0, 1, 2, 3]) add(`priority ${priority}`, writeJob({ ...fullSpec(), priority }));
+  for (const status of Object.values(STATUS_WORDS))
+    add(`status ${status}`, writeStatus('wk-1', status, 2, 1));
+  const report = (task: TaskReport) =>
+    writeReport({
+      machine: 'm-1',
+      addr: '10.1.0.1:9000',
+      type: 'c8',
+      zone: 'a',
+      spot: true,
+      session: 2,
+      seq: 9,
+      token: 12,
+      noticeS: 30,
+      tasks: [task],
+    });
+  for (const state of Object.values(TASK_STATES)) {
+    const cause = state === 'exited' ? 'done' : null;
+    add(`task ${state}`, report({ ...ATTEMPT, state, cause, saved: state === 'saving' }));
+  }
+  for (const cause of Object.values(EXIT_CAUSES))
+    add(`cause ${cause}`, report({ ...ATTEMPT, state: 'exited', cause, saved: false }));
+  for (const state of Object.values(MACHINE_STATES)) {
+    const place = { id: 'm-1', addr: '10.1.0.1:9000', type: 'c8', zone: 'a', spot: false };
+    add(`machine ${state}`, writeList([{ ...place, state, ageS: 3 }], true));
+  }
+  for (const [name, order] of Object.entries(ORDERS)) add(`order ${name}`, writeOrders(12, [order]));
+  add('commands', writeCommands(12, 2, Object.values(ORDERS)));
+  return produced;
+}
+
+/** All families, by the names of their fixtures. */
+export const FAMILIES: Readonly<Record<string, () => Promise<Produced> | Produced>> = {
+  'state-requests': stateRequests,
+  'cloud-requests': cloudRequests,
+  'job-writes': jobWrites,
+  'cluster-writes': clusterWrites,
+  'owners-frames': ownersFrames,
+  'standby-frames': standbyFrames,
+  'feed-frames': feedFrames,
+  'wire-words': wireWords,
+  'http-bytes': httpBytes,
+  'api-answers': apiAnswers,
+};
