--- a/src/emulator/local.ts
+++ b/src/emulator/local.ts
@@ -33,6 +33,8 @@
   seed: number;
   /** The controllers' program and further flags for it. */
   program: string;
+  /** Dealt out to the controllers in turn in place of `program`, for a cluster of several builds. */
+  programs?: readonly string[];
   flags: readonly string[];
   /** Told of what goes wrong. */
   onError: (what: string) => void;
@@ -220,8 +222,15 @@
     this.controllers[index]?.process?.kill('SIGKILL');
   }
 
+  /** The program that a controller runs, by its number. */
+  programOf(index: number): string {
+    const { program, programs } = this.options;
+    return programs?.[index % programs.length] ?? program;
+  }
+
   private launch(c: Controller): void {
-    const { data, program, flags, speed } = this.options;
+    const { data, flags, speed } = this.options;
+    const program = this.programOf(this.controllers.indexOf(c));
     const file = join(data, `${c.node}.toml`);
     writeFileSync(file, settingsOf(this.options.platform, c, this.controllers));
     const log = openSync(join(data, `${c.node}.log`), 'a');
