--- a/tests/upgrade/check.ts
+++ b/tests/upgrade/check.ts
@@ -3,9 +3,10 @@
  * the new one on its data, the old one again, and controllers of both in one cluster, under load and with controllers
  * killed. Not part of the tests: it takes some minutes of real time.
  *
- *     npm run check:upgrade -- OLD [--json] [--speed TIMES] [--port FIRST] [--data DIR]
+ *     npm run check:upgrade -- OLD [--new NEW] [--json] [--speed TIMES] [--port FIRST] [--data DIR]
  *
- * OLD is a checkout of the older version that has been built (`OLD/target/main.js`). Ends with 0 when no rule was broken
+ * OLD is a checkout of the older version that has been built (`OLD/target/main.js`), NEW one of the newer version (this one
+ * if left out). Ends with 0 when no rule was broken
  * and every accepted job was accounted for, with 1 otherwise, and with 2 when it is called in a wrong way.
  */
 import { existsSync, mkdtempSync, rmSync } from 'node:fs';
@@ -15,11 +16,14 @@
 import { EXIT } from '../../src/cli/output.js';
 import { quickClock } from '../../src/clock/clock.js';
 import { loadPlatform, type Platform } from '../../src/emulator/platform.js';
+import { MORE_TEAMS } from './jobs.js';
+import type { Build } from './owners.js';
 import { printable, reportOf, type StepFigures, verdictOf } from './report.js';
 import { playStep, type Stage, type StepPlan } from './step.js';
 import { Users } from './users.js';
 
-const USAGE = 'usage: npm run check:upgrade -- OLD [--json] [--speed TIMES] [--port FIRST] [--data DIR]';
+const USAGE =
+  'usage: npm run check:upgrade -- OLD [--new NEW] [--json] [--speed TIMES] [--port FIRST] [--data DIR]';
 const CONTROLLERS = 4;
 const SEED = 11;
 /** Away from the ports of `spartray local`. */
@@ -87,13 +91,18 @@
 ];
 
 interface Options {
-  old: string;
+  /** The controllers' programs. */
+  programs: Record<Build, string>;
   json: boolean;
   speed: number;
   port: number;
   data: string | undefined;
 }
 
+function programIn(checkout: string): string {
+  return resolve(checkout, 'target/main.js');
+}
+
 /** What the command line asks for; a string says what is wrong with it. */
 function readOptions(args: string[]): Options | string {
   try {
@@ -101,6 +110,7 @@
       args,
       allowPositionals: true,
       options: {
+        new: { type: 'string', default: '.' },
         json: { type: 'boolean', default: false },
         speed: { type: 'string', default: SPEED },
         port: { type: 'string', default: PORT },
@@ -109,13 +119,14 @@
     });
     const [folder] = positionals;
     if (folder === undefined || positionals.length > 1) return USAGE;
-    const old = resolve(folder, 'target/main.js');
-    if (!existsSync(old)) return `${old} is not there: build the old version first\n${USAGE}`;
+    const programs = { old: programIn(folder), new: programIn(values.new) };
+    for (const program of Object.values(programs))
+      if (!existsSync(program)) return `${program} is not there: build that version first\n${USAGE}`;
     const [speed, port] = [Number(values.speed), Number(values.port)];
     if (!(speed >= 1 && speed <= SPEED_MOST)) return `--speed: a number from 1 to ${SPEED_MOST}\n${USAGE}`;
     if (!(Number.isInteger(port) && port >= 1024 && port <= 60_000))
       return `--port: a number from 1024 to 60000\n${USAGE}`;
-    return { old, json: values.json, speed, port, data: values.data };
+    return { programs, json: values.json, speed, port, data: values.data };
   } catch (error) {
     return `${error instanceof Error ? error.message : error}\n${USAGE}`;
   }
@@ -125,6 +136,7 @@
   const platform = loadPlatform('builtin');
   for (const c of platform.capacity) c.up = Math.min(c.count, MACHINES_UP);
   for (const team of platform.teams) if (team.name === 'guests') team.cpus_max = BULK_CPUS_MAX;
+  for (const name of MORE_TEAMS) platform.teams.push({ name, cpus: 16, cpus_max: 256, gpus: 0, gpus_max: 0 });
   platform.state.value_kb = VALUE_KB;
   platform.boot_fail = 0;
   return platform;
@@ -146,7 +158,7 @@
     clock,
     users,
     platform: platformOf(),
-    programs: { old: options.old, new: resolve('target/main.js') },
+    programs: options.programs,
     local: { controllers: CONTROLLERS, speed, data, port, seed: SEED, onError: say },
     histories: [],
     reported: new Set(),
--- a/tests/upgrade/jobs.ts
+++ b/tests/upgrade/jobs.ts
@@ -13,6 +13,10 @@
   cancelAfterS?: number;
 }
 
+/** Beside those of the builtin platform, so that every shard has jobs of a team. */
+export const MORE_TEAMS = ['green', 'amber'];
+const TEAMS = ['red', 'blue', ...MORE_TEAMS];
+
 const SMALL_EVERY_S = 5;
 const GANG_EVERY_S = 20;
 const CHAIN_EVERY_S = 30;
@@ -33,7 +37,7 @@
 function smallArray(id: string, n: number): JobFields {
   return {
     id,
-    owner: n % 2 === 0 ? 'red' : 'blue',
+    owner: TEAMS[n % TEAMS.length],
     urgency: n % 5 === 0 ? 'urgent' : 'standard',
     pieces: 4 + (n % 7) * 4,
     cpus: 1,
@@ -62,10 +66,10 @@
   };
 }
 
-/** Three jobs of which each waits for all those before it. */
+/** Jobs of all teams, of which each waits for all those before it: mostly for those of other shards. */
 function chain(prefix: string, n: number): JobFields[] {
-  const ids = ['a', 'b', 'c'].map((part) => `${prefix}chain-${n}-${part}`);
-  return ids.map((id, i) => ({ ...smallArray(id, n), pieces: 4, waitsOn: ids.slice(0, i) }));
+  const ids = TEAMS.map((team) => `${prefix}chain-${n}-${team}`);
+  return ids.map((id, i) => ({ ...smallArray(id, n + i), pieces: 4, waitsOn: ids.slice(0, i) }));
 }
 
 /** One array of many short tasks, its done tasks in several chunks, and a job that waits for it. */
--- a/tests/upgrade/report.ts
+++ b/tests/upgrade/report.ts
@@ -1,6 +1,6 @@
 import { table } from '../../src/cli/output.js';
 import type { Violation } from '../../src/load/check.js';
-import { isOver, type TrackedJob, type Users } from './users.js';
+import { isOver, type Questions, type TrackedJob, type Users } from './users.js';
 
 /** What happened while one step's cluster ran. */
 export interface StepFigures {
@@ -17,10 +17,15 @@
   kills: number;
   /** Controllers that owned a shard, as `old` or `new` and their number. */
   owners: string[];
+  /** Builds of a shard's owner and its standby, as `old>new`. */
+  standbys: string[];
+  /** Teams of the cluster when owners of both builds served some of them; 0 when they never did. */
+  mixedTeams: number;
   /** Chunks of done tasks that the step's large array has at the end. */
   chunks: number;
-  asked: number;
-  answered: number;
+  /** While a new cluster's users ask again until each job is answered for, and after that. */
+  atTakeover: Questions;
+  underLoad: Questions;
   /** Tasks that ran to their end more than once in this step. */
   twice: number;
   broken: Violation[];
@@ -85,6 +90,10 @@
   return [`step ${step} (${what}): ${verdict}`, ...shown, ...more].join('\n');
 }
 
+function shareOf({ asked, answered }: Questions): string {
+  return `${answered}/${asked}`;
+}
+
 export function printable(report: UpgradeReport): string {
   const stepRows = report.steps.map((s) => [
     s.step,
@@ -95,11 +104,12 @@
     s.terms,
     s.kills,
     s.chunks,
-    s.asked,
-    s.answered,
+    shareOf(s.atTakeover),
+    shareOf(s.underLoad),
     s.twice,
     s.broken.length,
     s.owners.join(' '),
+    s.standbys.join(' '),
   ]);
   const jobRows = report.jobs.map((f) => [
     f.step,
@@ -111,9 +121,9 @@
     f.cancelled,
     f.lost,
   ]);
-  const stepHead = ['STEP', 'SECONDS', 'CARRIED', 'OVER', 'LEFT', 'TERMS', 'KILLS', 'CHUNKS', 'ASKED'];
+  const stepHead = ['STEP', 'SECONDS', 'CARRIED', 'OVER', 'LEFT', 'TERMS', 'KILLS', 'CHUNKS'];
   return [
-    table([...stepHead, 'ANSWERED', 'TWICE', 'BROKEN', 'OWNERS'], stepRows),
+    table([...stepHead, 'TAKEOVER', 'ANSWERED', 'TWICE', 'BROKEN', 'OWNERS', 'STANDBYS'], stepRows),
     '',
     table(['JOBS OF', 'SUBMITTED', 'ACCEPTED', 'REFUSED', 'UNDECIDED', 'DONE', 'CANCELLED', 'LOST'], jobRows),
     '',
--- a/tests/upgrade/step.ts
+++ b/tests/upgrade/step.ts
@@ -2,15 +2,13 @@
 import { pause } from '../../src/clock/clock.js';
 import { LocalCluster, type LocalOptions } from '../../src/emulator/local.js';
 import type { Platform } from '../../src/emulator/platform.js';
-import { KEYS, readHolder } from '../../src/keys/keys.js';
+import { KEYS } from '../../src/keys/keys.js';
 import { checkHistory, type Violation } from '../../src/load/check.js';
 import { ranAgain, type StepHistory, settledBefore } from './history.js';
 import { ID_PREFIX, submissionsOf } from './jobs.js';
+import { type Build, OwnerWatch } from './owners.js';
 import type { StepFigures } from './report.js';
-import { isOver, type TrackedJob, type Users } from './users.js';
-
-/** The build that a controller runs. */
-export type Build = 'old' | 'new';
+import { isOver, type Questions, type TrackedJob, type Users } from './users.js';
 
 /** One cluster on the data directory of all steps. */
 export interface StepPlan {
@@ -45,7 +43,6 @@
 }
 
 const POLL_MS = 3000;
-const WATCH_MS = 500;
 
 /** Plays one step and holds all that has happened so far against the rules. */
 export async function playStep(stage: Stage, plan: StepPlan): Promise<StepFigures> {
@@ -65,12 +62,15 @@
   }
 }
 
+function between(before: Questions, after: Questions): Questions {
+  return { asked: after.asked - before.asked, answered: after.answered - before.answered };
+}
+
 class StepRun {
   private readonly clock: Clock;
   private readonly users: Users;
   private readonly broken: Violation[] = [];
-  private readonly terms = new Set<string>();
-  private readonly owners = new Set<string>();
+  private readonly watch: OwnerWatch;
   private kills = 0;
   private over = false;
 
@@ -81,6 +81,7 @@
   ) {
     this.clock = stage.clock;
     this.users = stage.users;
+    this.watch = new OwnerWatch(cluster, plan.builds);
   }
 
   async play(): Promise<StepFigures> {
@@ -94,14 +95,17 @@
     };
     const settled = settledBefore(stage.histories, users.specs);
     await cluster.start();
+    void this.watch.run();
     const begun = this.clock.now();
     stage.histories.push(history);
     this.broken.push(...(await users.takeOver(settled)));
+    const atTakeover = { ...users.questions };
     await this.load();
     if (plan.drainS > 0) await this.drain();
     const chunks = this.countChunks();
     const lengthS = Math.round((this.clock.now() - begun) / 1000);
     this.over = true;
+    this.watch.stop();
     this.checkStarts();
     history.stoppedAt = this.clock.now();
     await cluster.stop();
@@ -116,12 +120,14 @@
       carried: carried.length,
       carriedOver: carried.filter(isOver).length,
       left,
-      terms: this.terms.size,
+      terms: this.watch.terms.size,
       kills: this.kills,
-      owners: [...this.owners].sort(),
+      owners: [...this.watch.owners].sort(),
+      standbys: [...this.watch.standbys].sort(),
+      mixedTeams: this.watch.mixedTeams,
       chunks,
-      asked: users.questions.asked - questions.asked,
-      answered: users.questions.answered - questions.answered,
+      atTakeover: between(questions, atTakeover),
+      underLoad: between(atTakeover, users.questions),
       twice: cluster.tasks.twice,
       broken: this.broken,
     };
@@ -132,7 +138,6 @@
     const { name, lengthS, bulkTasks, kills } = this.plan;
     const begun = this.clock.now();
     for (const kill of kills) this.clock.after(kill.atS * 1000, () => this.kill(kill.controller));
-    void this.watchOwners();
     const submitting: Promise<void>[] = [];
     const submissions = submissionsOf(name, lengthS, bulkTasks);
     while (this.clock.now() < begun + lengthS * 1000) {
@@ -151,26 +156,6 @@
     this.cluster.kill(which === 'oldest' ? this.cluster.oldestController() : which);
   }
 
-  /** Sees who owns the shards, and in which terms, until the step is over. */
-  private async watchOwners(): Promise<void> {
-    const { controllers, state } = this.cluster;
-    while (!this.over) {
-      for (const [key, item] of state.items) {
-        if (!key.startsWith(KEYS.owners)) continue;
-        this.terms.add(`${key}@${item.version}`);
-        const node = readHolder(item.value)?.node;
-        const index = controllers.findIndex((c) => c.node === node);
-        if (index >= 0) this.owners.add(`${this.buildOf(index)}-${index}`);
-      }
-      await pause(this.clock, WATCH_MS);
-    }
-  }
-
-  private buildOf(controller: number): Build {
-    const { builds } = this.plan;
-    return builds[controller % builds.length]!;
-  }
-
   /** Waits until every job is over; services run on until they are cancelled. */
   private async drain(): Promise<void> {
     const until = this.clock.now() + this.plan.drainS * 1000;
@@ -209,16 +194,21 @@
 
   /** Without these the step would pass and show nothing. */
   private checkExpected(chunks: number, left: number): void {
-    const { expects, builds } = this.plan;
+    const { expects, builds, standby } = this.plan;
     const short = (what: string, found: number, least: number) => {
       if (found < least) this.report('not_tried', `${found} ${what}, and the step needs ${least}`);
     };
-    short('terms', this.terms.size, expects.terms);
+    short('terms', this.watch.terms.size, expects.terms);
     short('chunks of the large array', chunks, expects.chunks);
     short('unfinished jobs at the end', left, expects.left);
     for (const build of new Set(builds))
-      if (![...this.owners].some((owner) => owner.startsWith(build)))
+      if (![...this.watch.owners].some((owner) => owner.startsWith(build)))
         this.report('not_tried', `no controller of the ${build} build owned a shard`);
+    if (new Set(builds).size < 2) return;
+    if (this.watch.mixedTeams === 0)
+      this.report('not_tried', 'at no moment did owners of both builds serve teams');
+    if (standby && !this.watch.standbys.has('old>new') && !this.watch.standbys.has('new>old'))
+      this.report('not_tried', 'no shard had its owner and its standby of different builds');
   }
 
   /** Holds all steps so far to the rules; what earlier steps were told of is not told again. */
--- a/tests/upgrade/users.ts
+++ b/tests/upgrade/users.ts
@@ -15,6 +15,12 @@
   view: JobView | null;
 }
 
+/** Questions how a job stands, and those of them that got an answer. */
+export interface Questions {
+  asked: number;
+  answered: number;
+}
+
 const TAKEOVER_S = 90;
 const ASK_AGAIN_MS = 1000;
 const RETRY_S = 120;
@@ -28,8 +34,7 @@
   readonly jobs = new Map<string, TrackedJob>();
   readonly specs = new Map<string, JobSpec>();
   readonly events: UserEvent[] = [];
-  /** Questions how a job stands, and those that got an answer. */
-  readonly questions = { asked: 0, answered: 0 };
+  readonly questions: Questions = { asked: 0, answered: 0 };
   private readonly http: HttpClient;
   private readonly client: SpartrayClient;
 
