--- a/src/condor/service.ts
+++ b/src/condor/service.ts
@@ -81,7 +81,7 @@
       return await this.route(r);
     } catch (error) {
       if (error instanceof SubmitError || error instanceof ClassAdError)
-        return { status: 400, body: { err: error, line: error.line, column: error.column } };
+        return { status: 400, body: { error: error.message, line: error.line, column: error.column } };
       if (error instanceof NoCluster) return { status: 404, body: { error: 'no such cluster' } };
       if (error instanceof UnavailableError || error instanceof StateStoreError)
         return later(503, 1, error.message);
--- a/src/scheduler/replicationsource.ts
+++ b/src/scheduler/replicationsource.ts
@@ -72,14 +72,14 @@
   /** An attempt is surely no longer on its machine, and nothing of it is still to be stored. */
   onAttemptLeft(job: Job, h: TaskAttempt): void {
     for (const other of this.placesOf(job)) if (other !== h && other.machine === h.machine) return;
-    this.replicator.replicate({ t: 'off', job: job.spec.id, onMachineChanged: h.machine.id });
+    this.replicator.replicate({ t: 'off', job: job.spec.id, machine: h.machine.id });
   }
 
   onRunning(h: TaskAttempt): void {
     if (h.runningAt !== null) this.replicator.replicate(this.runs(h, h.runningAt));
   }
 
-  machine(m: Machine): void {
+  onMachineChanged(m: Machine): void {
     this.replicator.replicate(this.recordOf(m));
   }
 
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -101,7 +101,7 @@
       onAttemptFound: (h) => this.taskProgress.onAttemptFound(h),
       onAttemptChanged: (h) => this.taskProgress.onAttemptChanged(h),
       onAttemptGone: (h, why) => this.taskProgress.onAttemptGone(h, why),
-      onIncarnation: (m) => this.replicationSource?.machine(m),
+      onIncarnation: (m) => this.replicationSource?.onMachineChanged(m),
       announceStarts: (held) =>
         this.replicator?.announce(held.map((h) => ({ job: h.job, machine: h.machine.id }))) ?? null,
       requestPlan: () => this.requestPlan(),
@@ -143,7 +143,7 @@
         lostOwnership: () => this.lostOwnership(),
         onAttemptLeft: (job, h) => this.replicationSource?.onAttemptLeft(job, h),
         onRunning: (h) => this.replicationSource?.onRunning(h),
-        onImageCached: (m) => this.replicationSource?.machine(m),
+        onImageCached: (m) => this.replicationSource?.onMachineChanged(m),
         onRuntimeLearnt: (job) => this.replicationSource?.onRuntimeLearnt(job.spec.class),
         runningSince: (h) => this.warmStart.runningSince(h),
         onJobEnded: (job, status) => {
--- a/src/standby/messages.ts
+++ b/src/standby/messages.ts
@@ -15,7 +15,7 @@
   /** Tasks of the job may be on these machines and on no others; null: on any. */
   v.object({ t: v.literal('only'), job: name, machines: v.nullable(v.array(name)) }),
   /** No task of the job is on the machine any more. */
-  v.object({ t: v.literal('off'), job: name, onMachineChanged: name }),
+  v.object({ t: v.literal('off'), job: name, machine: name }),
   v.object({ t: v.literal('over'), job: name }),
   v.object({ t: v.literal('runs'), task: name, attempt: v.number(), since: v.number() }),
   v.object({
--- a/src/standby/shardreplica.ts
+++ b/src/standby/shardreplica.ts
@@ -68,7 +68,7 @@
         else for (const m of r.machines) this.mayBe(r.job, m);
         return;
       case 'off':
-        if (this.where.get(r.job)?.delete(r.onMachineChanged)) this.places--;
+        if (this.where.get(r.job)?.delete(r.machine)) this.places--;
         return;
       case 'over':
         this.forget(r.job);
--- a/tests/compatibility-cluster.test.ts
+++ b/tests/compatibility-cluster.test.ts
@@ -5,10 +5,10 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { FEED_OPS } from '../src/feed/messages.js';
-import { KEYS } from '../src/keys/keys.js';
-import { PEER_OPS } from '../src/shards/operations.js';
-import { RATES_OP } from '../src/shards/rates.js';
+import { CHANGE_FEED_OPS } from '../src/changefeed/messages.js';
+import { PEER_OPS } from '../src/controller/peeroperations.js';
+import { RATES_OP } from '../src/controller/rateallocator.js';
+import { KEYS } from '../src/schema/schema.js';
 import { STANDBY_OPS } from '../src/standby/messages.js';
 import { CLOUD_PATHS } from '../src/wire/cloud.js';
 import { CONDOR_PATH } from '../src/wire/condor.js';
@@ -39,11 +39,11 @@
 
 /** Messages that only tell something get no answer. */
 const TOLD: ReadonlySet<string> = new Set([
-  PEER_OPS.gossip,
-  PEER_OPS.unassigned,
-  PEER_OPS.owns,
+  PEER_OPS.shardStatus,
+  PEER_OPS.unregisteredMachine,
+  PEER_OPS.ownerAnnouncement,
   PEER_OPS.redirected,
-  PEER_OPS.over,
+  PEER_OPS.dependencyEnded,
 ]);
 
 // Guards against a member of a type that is renamed in the code and with it on the wire or in storage, unseen by the compiler.
@@ -63,7 +63,7 @@
       );
     else assert.ok(kinds.includes(storedKind(made)), `no fixture for ${made}`);
   }
-  assert.ok(kinds.includes(storedKind(KEYS.chunk('ID', 'at8'))));
+  assert.ok(kinds.includes(storedKind(KEYS.completionChunk('ID', 'at8'))));
 });
 
 test('every message between controllers has the members that versions before this one read', async () => {
@@ -74,7 +74,7 @@
   const kinds = new Set(Object.keys(fixture('peers-shapes')));
   const operations = [
     ...Object.values(PEER_OPS),
-    ...Object.values(FEED_OPS),
+    ...Object.values(CHANGE_FEED_OPS),
     ...Object.values(STANDBY_OPS),
     RATES_OP,
   ];
--- a/tests/compatibility.test.ts
+++ b/tests/compatibility.test.ts
@@ -7,10 +7,16 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { parse, stringify } from 'smol-toml';
+import { readResourceDemand, readShardStatus } from '../src/autoscaler/shardstatus.js';
+import {
+  readChangesRequest,
+  readChangesResponse,
+  readLatestRevisionResponse,
+} from '../src/changefeed/messages.js';
 import { ClusterRecords } from '../src/condor/records.js';
 import { parseSettings, type Settings, SettingsError } from '../src/config/settings.js';
+import { MachineTypeCatalog, NameTables } from '../src/context/context.js';
 import { StateService } from '../src/emulator/state.js';
-import { readChangesAnswer, readChangesQuestion, readHeadAnswer } from '../src/feed/messages.js';
 import {
   readChunk,
   readJobEntry,
@@ -19,23 +25,27 @@
   readSpec,
   shardOfRecord,
 } from '../src/jobs/records.js';
-import { KEYS, readHolder, readMachineRecord, readTeamAssignment } from '../src/keys/keys.js';
 import { encodeFrame, FrameReader, type PeerMessage } from '../src/peer/frames.js';
-import { readClaims, readStandings } from '../src/shard/waiting.js';
-import { WarmCopy } from '../src/standby/copy.js';
+import { readDependencyStatuses, readDependentClaims } from '../src/scheduler/dependencytracker.js';
+import {
+  KEYS,
+  readLeaseHolder,
+  readMachineRecord,
+  readTeamAssignment,
+  writeLeaseHolder,
+} from '../src/schema/schema.js';
 import {
-  readAssumeMessage,
-  readStandAnswer,
-  readStandKey,
-  readStandMessage,
+  readHandoverMessage,
+  readReplicationMessage,
+  readReplicationResponse,
+  readStandbyRecord,
 } from '../src/standby/messages.js';
-import { StateStore } from '../src/state/store.js';
-import { readGossip, readNeed } from '../src/supply/gossip.js';
+import { ShardReplica } from '../src/standby/shardreplica.js';
+import { StateStore } from '../src/state/statestore.js';
 import * as cloud from '../src/wire/cloud.js';
 import * as state from '../src/wire/state.js';
 import * as users from '../src/wire/users.js';
 import * as workers from '../src/wire/workers.js';
-import { Catalog, Names } from '../src/world/world.js';
 import { FakeClock } from './support/clock.js';
 import { FAMILIES, fullSpec, type Produced, STREAM } from './support/produced.js';
 
@@ -73,7 +83,7 @@
 
 const viewed = (body: unknown) => read(users.readStatus(body));
 const answered = (body: unknown) => users.writeAccepted(viewed(body).id, viewed(body).status);
-const reported = (body: unknown) => workers.writeReport(read(workers.readReport(body)));
+const reported = (body: unknown) => workers.writeHeartbeat(read(workers.readHeartbeat(body)));
 const leased = (body: unknown) => state.writeLease(read<number>(state.readLease(body)));
 const settled = (body: unknown) => {
   const { revision, failed } = read(state.readTxn(body));
@@ -99,11 +109,11 @@
   'GET /show 200': reported,
   'POST /do 200': reported,
   'POST /v1/report 200': (body) => {
-    const { token, orders } = read(workers.readOrders(body));
-    return workers.writeOrders(token!, orders);
+    const { token, orders } = read(workers.readCommands(body));
+    return workers.writeHeartbeatResponse(token!, orders);
   },
   'POST /do request': (body) => {
-    const { token, session, orders } = read(workers.readOrders(body));
+    const { token, session, orders } = read(workers.readCommands(body));
     return workers.writeCommands(token!, session!, orders);
   },
   'POST /v1/report 421': (body) => workers.writeRedirect(workers.readRedirect(body)),
@@ -178,18 +188,21 @@
   return from === null ? { done: bits } : { from, bits };
 };
 
+/** A holder has names of its own inside: what is read is written again in those of storage. */
+const holderAsStored: Rewrite = (value: unknown) => writeLeaseHolder(read(readLeaseHolder(value)));
+
 /** Stored records that the code reads on their own. */
 const STORED: Record<string, Rewrite> = {
-  'c/lead': unchanged(readHolder),
-  'c/condor': unchanged(readHolder),
-  'c/own/SHARD': unchanged(readHolder),
-  'c/node/NAME': unchanged(readHolder),
+  'c/lead': holderAsStored,
+  'c/condor': holderAsStored,
+  'c/own/SHARD': holderAsStored,
+  'c/node/NAME': holderAsStored,
   'c/m/ID': unchanged(readMachineRecord),
-  'c/stand/SHARD': unchanged(readStandKey),
+  'c/stand/SHARD': unchanged(readStandbyRecord),
   'c/teams': assignment(KEYS.teams),
   'c/teams/N': assignment(KEYS.moreTeams(1)),
   'c/types': (value: cloud.MachineType[]) => {
-    const catalog = new Catalog(new Names());
+    const catalog = new MachineTypeCatalog(new NameTables());
     catalog.set(value);
     return catalog.all().map(([, type]) => type);
   },
@@ -213,7 +226,7 @@
     const values = parts.map((part) => part.toString('base64'));
     return { entries: values.map((value, n) => ({ key: `${under}${n}`, value, version: 3 })), revision: 3 };
   };
-  assert.deepEqual(await readParts({ list }, KEYS.parts('wk-1', 'tag'), 2), fullSpec());
+  assert.deepEqual(await readParts({ list }, KEYS.specParts('wk-1', 'tag'), 2), fullSpec());
   let parted = 0;
   for (const text of fixture<Examples>('stored-examples')['act/ID']!) {
     const value = JSON.parse(text);
@@ -242,18 +255,18 @@
   const kinds = { 'condor/c/00000001': 'condor/c/N', 'condor/over/00000002': 'condor/over/N' };
   for (const [key, kind] of Object.entries(kinds)) {
     for (const text of examples[kind]!) {
-      await store.txn([], [{ put: key, value: JSON.parse(text) }]);
+      await store.compareAndSwap([], [{ put: key, value: JSON.parse(text) }]);
       const [loaded] = await records.all(kind === 'condor/over/N');
       assert.equal(JSON.stringify(loaded!.record), text);
     }
   }
   for (const text of examples['condor/x/N/N']!) {
-    await store.txn([], [{ put: 'condor/x/00000001/00000000', value: JSON.parse(text) }]);
+    await store.compareAndSwap([], [{ put: 'condor/x/00000001/00000000', value: JSON.parse(text) }]);
     const { exceptions } = await records.exceptions(1);
     assert.equal(JSON.stringify(Object.fromEntries(exceptions)), text);
   }
   const [part] = examples['condor/p/ID/N']!;
-  await store.txn([], [{ put: 'condor/p/sub-1/00000000', value: JSON.parse(part!) }]);
+  await store.compareAndSwap([], [{ put: 'condor/p/sub-1/00000000', value: JSON.parse(part!) }]);
   const record = JSON.parse(examples['condor/c/N']![0]!);
   const submission = await records.submission({ ...record, submission: 'sub-1', parts: 1 });
   assert.deepEqual(Object.keys(submission), ['text', 'rows', 'user', 'at']);
@@ -270,19 +283,19 @@
 
 /** What the code reads of the messages between controllers. */
 const PEERS: Record<string, Rewrite> = {
-  'gossip told': unchanged(readGossip),
-  'cede asked': member('need', unchanged(readNeed)),
-  'owns told': member('holder', unchanged(readHolder)),
-  'needed asked': member('claims', unchanged(readClaims)),
-  'needed answered': unchanged(readStandings),
+  'gossip told': unchanged(readShardStatus),
+  'cede asked': member('need', unchanged(readResourceDemand)),
+  'owns told': member('holder', holderAsStored),
+  'needed asked': member('claims', unchanged(readDependentClaims)),
+  'needed answered': unchanged(readDependencyStatuses),
   'submit asked': specIn,
   'submitAfter asked': specIn,
-  'changes asked': unchanged(readChangesQuestion),
-  'changes answered': unchanged(readChangesAnswer),
-  'changesHead answered': unchanged(readHeadAnswer),
-  'stand asked': unchanged(readStandMessage),
-  'stand answered': unchanged(readStandAnswer),
-  'assume asked': unchanged(readAssumeMessage),
+  'changes asked': unchanged(readChangesRequest),
+  'changes answered': unchanged(readChangesResponse),
+  'changesHead answered': unchanged(readLatestRevisionResponse),
+  'stand asked': unchanged(readReplicationMessage),
+  'stand answered': unchanged(readReplicationResponse),
+  'assume asked': unchanged(readHandoverMessage),
 };
 /** Members that are taken one by one where they are read, and answers of which only the type counts. */
 const PEERS_PLAIN =
@@ -312,28 +325,28 @@
 test('frames that the code makes of owners and standbys are read with all their members', () => {
   const frames = fixture<Produced>('owners-frames');
   const asked = (op: string) => (decoded(frames[`${op} to n1`]!) as { a: Record<string, unknown> }).a;
-  assert.deepEqual(readNeed(asked('cede').need), asked('cede').need);
-  assert.equal(readClaims(asked('needed').claims).length, 1);
+  assert.deepEqual(readResourceDemand(asked('cede').need), asked('cede').need);
+  assert.equal(readDependentClaims(asked('needed').claims).length, 1);
   for (const op of ['submit', 'submitAfter']) assert.deepEqual(readSpec(asked(op).spec), fullSpec());
   const stand = decoded(fixture<Produced>('standby-frames').stand!) as { a: { records: unknown[] } };
-  assert.deepEqual(readStandMessage(stand.a), stand.a);
+  assert.deepEqual(readReplicationMessage(stand.a), stand.a);
   const said = new Set(stand.a.records.map((record) => (record as { t: string }).t));
   assert.deepEqual([...said].sort(), Object.keys(STREAM).sort(), 'every kind of record is in the stream');
 });
 
 test('a standby takes the recorded stream as versions before this one sent it', () => {
   const batch = JSON.parse(fixture<Produced>('standby-frames').batch!);
-  const copy = new WarmCopy();
-  copy.take(batch.from, batch.records);
-  assert.ok(copy.level);
-  assert.equal(copy.mayBeOn('wk-2'), null);
-  assert.equal(copy.ranSince('wk-1/3', 7), 1_700_000_000_000);
+  const copy = new ShardReplica();
+  copy.applyBatch(batch.from, batch.records);
+  assert.ok(copy.inSync);
+  assert.equal(copy.machinesOf('wk-2'), null);
+  assert.equal(copy.runningSince('wk-1/3', 7), 1_700_000_000_000);
   assert.deepEqual(copy.machine('m-1'), { session: 2, images: [['img', 1.5]] });
   assert.deepEqual([...copy.classes()], [['train', { log: 0.25, count: 3 }]]);
   const only = batch.records.filter((r: { t: string }) => ['begin', 'suspect', 'level'].includes(r.t));
-  const suspecting = new WarmCopy();
-  suspecting.take(0, only);
-  assert.deepEqual(suspecting.suspect('wk-1'), { failures: 2, until: 1_700_000_001_000 });
+  const suspecting = new ShardReplica();
+  suspecting.applyBatch(0, only);
+  assert.deepEqual(suspecting.quarantine('wk-1'), { failures: 2, until: 1_700_000_001_000 });
 });
 
 // --- settings
--- a/tests/feed.test.ts
+++ b/tests/feed.test.ts
@@ -76,7 +76,7 @@
   feed.add({ t: 'at', job: 'wk-1', machine: 'm-1' });
   const first = feed.batch();
   copy.applyBatch(first.from, first.records);
-  feed.add({ t: 'off', job: 'wk-1', onMachineChanged: 'm-1' });
+  feed.add({ t: 'off', job: 'wk-1', machine: 'm-1' });
   const both = feed.batch();
   copy.applyBatch(both.from, both.records);
   copy.applyBatch(first.from, first.records);
--- a/tests/support/capture.ts
+++ b/tests/support/capture.ts
@@ -1,6 +1,6 @@
+import { ControllerNode } from '../../src/controller/controllernode.js';
 import { encodeFrame, FrameReader, type PeerMessage } from '../../src/peer/frames.js';
 import type { Mesh } from '../../src/peer/mesh.js';
-import { ControllerNode } from '../../src/shards/node.js';
 import { type FakeCluster, STATE } from './cluster.js';
 import type { Peer } from './net.js';
 import { Shapes } from './shapes.js';
@@ -123,13 +123,13 @@
     return {
       connected: (node) => mesh.connected(node),
       refused: (node) => mesh.refused(node),
-      tell: (node, op, args) => {
+      notify: (node, op, args) => {
         this.peers.add(`${op} told`, passed({ op, a: args }).a);
-        mesh.tell(node, op, args);
+        mesh.notify(node, op, args);
       },
-      ask: async (node, op, args, timeoutMs) => {
+      request: async (node, op, args, timeoutMs) => {
         this.peers.add(`${op} asked`, passed({ q: 1, op, a: args }).a);
-        const answer = await mesh.ask(node, op, args, timeoutMs);
+        const answer = await mesh.request(node, op, args, timeoutMs);
         this.peers.add(`${op} answered`, passed({ r: 1, a: answer }).a);
         return answer;
       },
--- a/tests/support/meshbytes.ts
+++ b/tests/support/meshbytes.ts
@@ -51,8 +51,8 @@
   const [connection] = (await accepted) as [net.Socket];
   const received = bytesOf(connection);
   await received(HELLO.length);
-  const question = mesh.ask('n1', 'status', { shard: 1, id: 'wk-1' }, 5000);
-  mesh.tell('n1', 'sent', { machine: 'm-1' });
+  const question = mesh.request('n1', 'status', { shard: 1, id: 'wk-1' }, 5000);
+  mesh.notify('n1', 'sent', { machine: 'm-1' });
   const asked = encodeFrame({ q: 1, op: 'status', a: { shard: 1, id: 'wk-1' } });
   const told = encodeFrame({ op: 'sent', a: { machine: 'm-1' } });
   const sent = await received(HELLO.length + asked.length + told.length);
--- a/tests/support/produced.ts
+++ b/tests/support/produced.ts
@@ -1,25 +1,26 @@
 import { deflateRawSync } from 'node:zlib';
+import type { ResourceDemand } from '../../src/autoscaler/shardstatus.js';
+import { ChangeLog } from '../../src/changefeed/changelog.js';
 import { SpartrayClient } from '../../src/client/client.js';
 import { CondorClient } from '../../src/client/condor.js';
 import { Cloud } from '../../src/cloud/cloud.js';
 import { ClusterRecords } from '../../src/condor/records.js';
+import type { ControllerContext } from '../../src/context/context.js';
+import type { Membership } from '../../src/controller/membership.js';
+import { OwnerClient } from '../../src/controller/ownerclient.js';
+import { PEER_OPS } from '../../src/controller/peeroperations.js';
+import type { StoredRequests } from '../../src/controller/storedrequests.js';
 import { StateService } from '../../src/emulator/state.js';
-import { ChangeLog } from '../../src/feed/log.js';
 import type { HttpAnswer, Requester } from '../../src/http/client.js';
 import { type Job, makeJob } from '../../src/jobs/job.js';
 import { JobRecords } from '../../src/jobs/records.js';
-import { KEYS } from '../../src/keys/keys.js';
 import { encodeFrame } from '../../src/peer/frames.js';
 import type { Mesh } from '../../src/peer/mesh.js';
-import { NOT_READY } from '../../src/shard/answers.js';
-import type { Members } from '../../src/shards/members.js';
-import { PEER_OPS } from '../../src/shards/operations.js';
-import { Owners } from '../../src/shards/owners.js';
-import type { StoredRequests } from '../../src/shards/storedrequests.js';
-import { Feed } from '../../src/standby/feed.js';
-import type { FeedRecord, StandMessage } from '../../src/standby/messages.js';
-import { StateStore } from '../../src/state/store.js';
-import type { Need } from '../../src/supply/gossip.js';
+import { NOT_READY } from '../../src/scheduler/responses.js';
+import { KEYS } from '../../src/schema/schema.js';
+import type { ReplicationMessage, ReplicationRecord } from '../../src/standby/messages.js';
+import { ReplicationStream } from '../../src/standby/replicationstream.js';
+import { StateStore } from '../../src/state/statestore.js';
 import { type ListedMachine, writeList, writeTypes } from '../../src/wire/cloud.js';
 import {
   type JobKind,
@@ -31,14 +32,13 @@
 } from '../../src/wire/users.js';
 import {
   type ExitCause,
-  type Order,
-  type TaskReport,
   type TaskState,
+  type TaskStatus,
+  type WorkerCommand,
   writeCommands,
-  writeOrders,
-  writeReport,
+  writeHeartbeat,
+  writeHeartbeatResponse,
 } from '../../src/wire/workers.js';
-import type { World } from '../../src/world/world.js';
 import { FakeClock } from './clock.js';
 import { FakeCluster, job } from './cluster.js';
 import { httpBytes } from './heads.js';
@@ -73,7 +73,7 @@
 }
 
 /** Every kind of record of the stream to a standby; one that is missing here does not compile. */
-export const STREAM: { [K in FeedRecord['t']]: Extract<FeedRecord, { t: K }> } = {
+export const STREAM: { [K in ReplicationRecord['t']]: Extract<ReplicationRecord, { t: K }> } = {
   begin: { t: 'begin' },
   level: { t: 'level' },
   at: { t: 'at', job: 'wk-1', machine: 'm-1' },
@@ -124,8 +124,11 @@
   });
   const lease = await store.grant(8000);
   await store.renew(lease, 1000);
-  await store.txn([{ key: 'c/a', version: 0 }], [{ put: 'c/a', value: { x: 1 }, lease }, { delete: 'c/b' }]);
-  await store.txn([], [{ put: 'c/c', value: null }]);
+  await store.compareAndSwap(
+    [{ key: 'c/a', version: 0 }],
+    [{ put: 'c/a', value: { x: 1 }, lease }, { delete: 'c/b' }],
+  );
+  await store.compareAndSwap([], [{ put: 'c/c', value: null }]);
   await store.get('c/a');
   await store.list('act/');
   await store.watch('c/', 7, 5000);
@@ -187,7 +190,7 @@
 export async function jobWrites(): Promise<Produced> {
   const service = new StateService(new FakeClock());
   const { store, sent } = recorded((...request) => service.serve(...request));
-  const owned = await store.txn([], [{ put: KEYS.owner(2), value: OWNER }]);
+  const owned = await store.compareAndSwap([], [{ put: KEYS.owner(2), value: OWNER }]);
   const term = owned.ok ? owned.revision : 0;
   const times = { accepted: 1_700_000_000_000, deadline: 1_700_000_900_000 };
   const records = (all: boolean) => new JobRecords(store, 2, term, LIMITS, () => all);
@@ -216,7 +219,7 @@
 export async function clusterWrites(): Promise<Produced> {
   const service = new StateService(new FakeClock());
   const { store, sent } = recorded((...request) => service.serve(...request));
-  const held = await store.txn([], [{ put: 'c/condor', value: OWNER }]);
+  const held = await store.compareAndSwap([], [{ put: 'c/condor', value: OWNER }]);
   const term = held.ok ? held.revision : 0;
   const records = new ClusterRecords(store, LIMITS);
   const text = 'executable = run.sh\nqueue 40\n';
@@ -249,22 +252,29 @@
 export async function ownersFrames(): Promise<Produced> {
   const frames: Produced = {};
   const mesh: Mesh = {
-    ask: async (node, op, args) => {
+    request: async (node, op, args) => {
       frames[`${op} to ${node}`] = frame({ q: 1, op, a: args });
       return true;
     },
-    tell: (node, op, args) => {
+    notify: (node, op, args) => {
       frames[`${op} to ${node}`] = frame({ op, a: args });
     },
     connected: () => true,
     refused: () => false,
   };
-  const world = { settings: { node: 'n0' } } as World;
-  const members = { owner: () => OWNER } as unknown as Members;
-  const hooks = { locate: async () => null, soon: async () => undefined };
-  const owners = new Owners(world, members, null as unknown as StoredRequests, () => new Map(), [], hooks);
+  const context = { settings: { node: 'n0' } } as ControllerContext;
+  const members = { owner: () => OWNER } as unknown as Membership;
+  const hooks = { locate: async () => null, waitForHandover: async () => undefined };
+  const owners = new OwnerClient(
+    context,
+    members,
+    null as unknown as StoredRequests,
+    () => new Map(),
+    [],
+    hooks,
+  );
   owners.mesh = mesh;
-  const need: Required<Need> = {
+  const need: Required<ResourceDemand> = {
     types: ['c8'],
     zone: 'a',
     spot: true,
@@ -279,15 +289,17 @@
     kinds: ['c8 a spot'],
   };
   const here = () => Promise.reject(new Error('not here'));
-  await owners.giveAway(1, 'm-1', 2);
-  await owners.clearMachine(1, 'm-1', 2, 3);
-  await owners.reserveMachine(1, 2, need, 'a');
-  await owners.others.askNeeded(1, 2, [{ id: 'wk-1', priority: 2, dueWall: 1_700_000_000_000 }]);
-  owners.others.tellOver(1, 'wk-1', 'cancelled');
-  for (const op of [PEER_OPS.submit, PEER_OPS.submitAfter])
-    await owners.ask(1, op, { spec: fullSpec() }, here);
-  for (const op of [PEER_OPS.status, PEER_OPS.cancel]) await owners.ask(1, op, { id: 'wk-1' }, here);
-  await owners.ask(1, PEER_OPS.list, { under: 'wk-', after: '', most: 200 }, here);
+  await owners.transferMachine(1, 'm-1', 2);
+  await owners.evictForTransfer(1, 'm-1', 2, 3);
+  await owners.reserveForTransfer(1, 2, need, 'a');
+  await owners.peerShards.requestDependencyStatus(1, 2, [
+    { id: 'wk-1', priority: 2, dueWall: 1_700_000_000_000 },
+  ]);
+  owners.peerShards.notifyDependencyEnded(1, 'wk-1', 'cancelled');
+  for (const op of [PEER_OPS.submit, PEER_OPS.submitWithDependencies])
+    await owners.request(1, op, { spec: fullSpec() }, here);
+  for (const op of [PEER_OPS.status, PEER_OPS.cancel]) await owners.request(1, op, { id: 'wk-1' }, here);
+  await owners.request(1, PEER_OPS.list, { under: 'wk-', after: '', most: 200 }, here);
   frames['not ready'] = frame({ r: 1, e: NOT_READY });
   return frames;
 }
@@ -295,11 +307,19 @@
 /** The stream to a standby: a snapshot, what happens meanwhile, and a message of it. */
 export function standbyFrames(): Produced {
   const { begin: _begin, level: _level, at: _at, ...drawn } = STREAM;
-  const feed = new Feed({ snapshot: () => Object.values(drawn).values() });
+  const feed = new ReplicationStream({ snapshot: () => Object.values(drawn).values() });
   feed.add({ t: 'only', job: 'wk-2', machines: null });
   void feed.announce([{ job: 'wk-1', machine: 'm-1' }]);
   const { from, records } = feed.batch();
-  const message: StandMessage = { shard: 1, term: 9, revision: 11, run: 'n1-7', from, records, changes: 5 };
+  const message: ReplicationMessage = {
+    shard: 1,
+    term: 9,
+    revision: 11,
+    run: 'n1-7',
+    from,
+    records,
+    changes: 5,
+  };
   const produced: Produced = { batch: JSON.stringify({ from, records }) };
   for (const [kind, record] of Object.entries(STREAM)) produced[`record ${kind}`] = JSON.stringify(record);
   produced.stand = frame({ q: 2, op: 'stand', a: message });
@@ -393,7 +413,7 @@
   failed: 'failed',
 };
 const ATTEMPT = { job: 'wk-1', index: 3, attempt: 7 };
-const ORDERS: { [O in Order['op']]: Extract<Order, { op: O }> } = {
+const ORDERS: { [O in WorkerCommand['op']]: Extract<WorkerCommand, { op: O }> } = {
   start: { op: 'start', ...ATTEMPT },
   stop: { op: 'stop', ...ATTEMPT, graceS: 2.5 },
   forget: { op: 'forget', ...ATTEMPT },
@@ -409,17 +429,17 @@
   for (const priority of [0, 1, 2, 3]) add(`priority ${priority}`, writeJob({ ...fullSpec(), priority }));
   for (const status of Object.values(STATUS_WORDS))
     add(`status ${status}`, writeStatus('wk-1', status, 2, 1));
-  const report = (task: TaskReport) =>
-    writeReport({
+  const report = (task: TaskStatus) =>
+    writeHeartbeat({
       machine: 'm-1',
       addr: '10.1.0.1:9000',
       type: 'c8',
       zone: 'a',
       spot: true,
-      session: 2,
-      seq: 9,
-      token: 12,
-      noticeS: 30,
+      incarnation: 2,
+      sequence: 9,
+      fencingToken: 12,
+      reclaimInS: 30,
       tasks: [task],
     });
   for (const state of Object.values(TASK_STATES)) {
@@ -432,7 +452,8 @@
     const place = { id: 'm-1', addr: '10.1.0.1:9000', type: 'c8', zone: 'a', spot: false };
     add(`machine ${state}`, writeList([{ ...place, state, ageS: 3 }], true));
   }
-  for (const [name, order] of Object.entries(ORDERS)) add(`order ${name}`, writeOrders(12, [order]));
+  for (const [name, order] of Object.entries(ORDERS))
+    add(`order ${name}`, writeHeartbeatResponse(12, [order]));
   add('commands', writeCommands(12, 2, Object.values(ORDERS)));
   return produced;
 }
--- a/tests/upgrade/owners.ts
+++ b/tests/upgrade/owners.ts
@@ -1,7 +1,7 @@
 import { pause } from '../../src/clock/clock.js';
 import type { LocalCluster } from '../../src/emulator/local.js';
-import { KEYS, readHolder, readTeamAssignment } from '../../src/keys/keys.js';
-import { readStandKey } from '../../src/standby/messages.js';
+import { KEYS, readHolder, readTeamAssignment } from '../../src/schema/schema.js';
+import { readStandbyRecord } from '../../src/standby/messages.js';
 
 /** The build that a controller runs. */
 export type Build = 'old' | 'new';
@@ -49,7 +49,7 @@
       buildOfShard.set(shard, build);
       this.terms.add(`${key}@${item.version}`);
       this.owners.add(`${build}-${owner}`);
-      const standby = this.indexOf(readStandKey(items.get(KEYS.standby(shard))?.value)?.node);
+      const standby = this.indexOf(readStandbyRecord(items.get(KEYS.standby(shard))?.value)?.node);
       if (standby !== null) this.standbys.add(`${build}>${this.buildOf(standby)}`);
     }
     this.countMixed(buildOfShard);
--- a/tests/upgrade/step.ts
+++ b/tests/upgrade/step.ts
@@ -1,8 +1,8 @@
 import { type Clock, pause, systemClock } from '../../src/clock/clock.js';
 import { LocalCluster, type LocalOptions } from '../../src/emulator/local.js';
 import type { Platform } from '../../src/emulator/platform.js';
-import { KEYS } from '../../src/keys/keys.js';
 import { checkHistory, type Violation } from '../../src/load/check.js';
+import { KEYS } from '../../src/schema/schema.js';
 import { ranAgain, type StepHistory, settledBefore } from './history.js';
 import { ID_PREFIX, submissionsOf } from './jobs.js';
 import { type Build, OwnerWatch } from './owners.js';
