--- a/tests/upgrade/owners.ts
+++ b/tests/upgrade/owners.ts
@@ -1,6 +1,6 @@
 import { pause } from '../../src/clock/clock.js';
 import type { LocalCluster } from '../../src/emulator/local.js';
-import { KEYS, readHolder, readTeamAssignment } from '../../src/schema/schema.js';
+import { KEYS, readLeaseHolder, readTeamAssignment } from '../../src/schema/schema.js';
 import { readStandbyRecord } from '../../src/standby/messages.js';
 
 /** The build that a controller runs. */
@@ -42,7 +42,7 @@
     const buildOfShard = new Map<number, Build>();
     for (const [key, item] of items) {
       if (!key.startsWith(KEYS.owners)) continue;
-      const owner = this.indexOf(readHolder(item.value)?.node);
+      const owner = this.indexOf(readLeaseHolder(item.value)?.node);
       if (owner === null) continue;
       const shard = Number(key.slice(KEYS.owners.length));
       const build = this.buildOf(owner);
--- a/tests/upgrade/step.ts
+++ b/tests/upgrade/step.ts
@@ -184,7 +184,7 @@
   }
 
   private countChunks(): number {
-    const under = KEYS.chunk(`${ID_PREFIX}${this.plan.name}-bulk`, '');
+    const under = KEYS.completionChunk(`${ID_PREFIX}${this.plan.name}-bulk`, '');
     return [...this.cluster.state.items.keys()].filter((key) => key.startsWith(under)).length;
   }
 
