--- a/tests/submission.test.ts
+++ b/tests/api/submission.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { busy, NODES, status } from './support/busy.js';
-import { FakeCluster, job } from './support/cluster.js';
+import { busy, NODES, status } from '../support/busy.js';
+import { FakeCluster, job } from '../support/cluster.js';
 
 const TEXT = ['id', 'jobClass', 'owner', 'shape', 'urgency', 'bundle'];
 const AMOUNTS = ['cpus', 'cards', 'memoryGb', 'pullGb', 'expectedS', 'saveEveryS', 'savingS'];
--- a/tests/changes.test.ts
+++ b/tests/changefeed/changefeed.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import type { ChangeSource } from '../src/changefeed/changefeed.js';
-import { ChangeLog } from '../src/changefeed/changelog.js';
-import { sourceOrder } from '../src/changefeed/sourceorder.js';
-import { watchPaceMs } from '../src/changefeed/watchpacing.js';
-import { ClusterStateCache } from '../src/controller/clusterstatecache.js';
-import type { Change } from '../src/wire/state.js';
-import { FakeClock } from './support/clock.js';
-import { FakeCluster, job } from './support/cluster.js';
-import { FeedCluster } from './support/feeds.js';
+import type { ChangeSource } from '../../src/changefeed/changefeed.js';
+import { ChangeLog } from '../../src/changefeed/changelog.js';
+import { sourceOrder } from '../../src/changefeed/sourceorder.js';
+import { watchPaceMs } from '../../src/changefeed/watchpacing.js';
+import { ClusterStateCache } from '../../src/controller/clusterstatecache.js';
+import type { Change } from '../../src/wire/state.js';
+import { FakeClock } from '../support/clock.js';
+import { FakeCluster, job } from '../support/cluster.js';
+import { FeedCluster } from '../support/feeds.js';
 
 const names = (n: number) => Array.from({ length: n }, (_, i) => `n${i}`);
 /** All that configuration is allowed, with room for what comes after. */
--- a/tests/verdict.test.ts
+++ b/tests/ci/verdict.test.ts
@@ -6,7 +6,7 @@
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
 
-const VERDICT = fileURLToPath(new URL('../../../.ci/verdict.mjs', import.meta.url));
+const VERDICT = fileURLToPath(new URL('../../../../.ci/verdict.mjs', import.meta.url));
 
 function verdict(known: string | null, tap: string[], code: number): { status: number | null; out: string } {
   const dir = mkdtempSync(join(tmpdir(), 'verdict-'));
--- a/tests/classad.test.ts
+++ b/tests/classad/classad.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { Ad, type BinaryOp, ErrorValue, type Expr, PRECEDENCE, UNDEFINED } from '../src/classad/ast.js';
-import { evaluate } from '../src/classad/evaluate.js';
-import { flatten, namesAsked } from '../src/classad/flatten.js';
-import { ClassAdError, parseAd, parseExpr } from '../src/classad/parser.js';
-import { printExpr, printValue } from '../src/classad/print.js';
+import { Ad, type BinaryOp, ErrorValue, type Expr, PRECEDENCE, UNDEFINED } from '../../src/classad/ast.js';
+import { evaluate } from '../../src/classad/evaluate.js';
+import { flatten, namesAsked } from '../../src/classad/flatten.js';
+import { ClassAdError, parseAd, parseExpr } from '../../src/classad/parser.js';
+import { printExpr, printValue } from '../../src/classad/print.js';
 
 const MY = parseAd(
   '[ Owner = "ann"; RequestMemory = 2048; Twice = RequestMemory * 2; Loop = Pool; Pool = Loop ]',
--- a/tests/compatibility-cluster.test.ts
+++ b/tests/compatibility/cluster.test.ts
@@ -5,18 +5,18 @@
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
-import { CHANGE_FEED_OPS } from '../src/changefeed/messages.js';
-import { PEER_OPS } from '../src/controller/peeroperations.js';
-import { RATES_OP } from '../src/controller/rateallocator.js';
-import { KEYS } from '../src/schema/schema.js';
-import { STANDBY_OPS } from '../src/standby/messages.js';
-import { CLOUD_PATHS } from '../src/wire/cloud.js';
-import { CONDOR_PATH } from '../src/wire/condor.js';
-import { STATE_PATHS } from '../src/wire/state.js';
-import { USER_PATHS } from '../src/wire/users.js';
-import { WORKER_PATHS } from '../src/wire/workers.js';
-import { Capture, pathKind, storedKind } from './support/capture.js';
-import { playClusters } from './support/captured.js';
+import { CHANGE_FEED_OPS } from '../../src/changefeed/messages.js';
+import { PEER_OPS } from '../../src/controller/peeroperations.js';
+import { RATES_OP } from '../../src/controller/rateallocator.js';
+import { KEYS } from '../../src/schema/schema.js';
+import { STANDBY_OPS } from '../../src/standby/messages.js';
+import { CLOUD_PATHS } from '../../src/wire/cloud.js';
+import { CONDOR_PATH } from '../../src/wire/condor.js';
+import { STATE_PATHS } from '../../src/wire/state.js';
+import { USER_PATHS } from '../../src/wire/users.js';
+import { WORKER_PATHS } from '../../src/wire/workers.js';
+import { Capture, pathKind, storedKind } from '../support/capture.js';
+import { playClusters } from '../support/captured.js';
 
 type Kinds = Record<string, string[]>;
 
--- a/tests/compatibility.test.ts
+++ b/tests/compatibility/encoders.test.ts
@@ -7,16 +7,16 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { parse, stringify } from 'smol-toml';
-import { readResourceDemand, readShardStatus } from '../src/autoscaler/shardstatus.js';
+import { readResourceDemand, readShardStatus } from '../../src/autoscaler/shardstatus.js';
 import {
   readChangesRequest,
   readChangesResponse,
   readLatestRevisionResponse,
-} from '../src/changefeed/messages.js';
-import { ClusterRecords } from '../src/condor/records.js';
-import { parseSettings, type Settings, SettingsError } from '../src/config/settings.js';
-import { MachineTypeCatalog, NameTables } from '../src/context/context.js';
-import { StateService } from '../src/emulator/state.js';
+} from '../../src/changefeed/messages.js';
+import { ClusterRecords } from '../../src/condor/records.js';
+import { parseSettings, type Settings, SettingsError } from '../../src/config/settings.js';
+import { MachineTypeCatalog, NameTables } from '../../src/context/context.js';
+import { StateService } from '../../src/emulator/state.js';
 import {
   readChunk,
   readJobEntry,
@@ -24,30 +24,30 @@
   readParts,
   readSpec,
   shardOfRecord,
-} from '../src/jobs/records.js';
-import { encodeFrame, FrameReader, type PeerMessage } from '../src/peer/frames.js';
-import { readDependencyStatuses, readDependentClaims } from '../src/scheduler/dependencytracker.js';
+} from '../../src/jobs/records.js';
+import { encodeFrame, FrameReader, type PeerMessage } from '../../src/peer/frames.js';
+import { readDependencyStatuses, readDependentClaims } from '../../src/scheduler/dependencytracker.js';
 import {
   KEYS,
   readLeaseHolder,
   readMachineRecord,
   readTeamAssignment,
   writeLeaseHolder,
-} from '../src/schema/schema.js';
+} from '../../src/schema/schema.js';
 import {
   readHandoverMessage,
   readReplicationMessage,
   readReplicationResponse,
   readStandbyRecord,
-} from '../src/standby/messages.js';
-import { ShardReplica } from '../src/standby/shardreplica.js';
-import { StateStore } from '../src/state/statestore.js';
-import * as cloud from '../src/wire/cloud.js';
-import * as state from '../src/wire/state.js';
-import * as users from '../src/wire/users.js';
-import * as workers from '../src/wire/workers.js';
-import { FakeClock } from './support/clock.js';
-import { FAMILIES, fullSpec, type Produced, STREAM } from './support/produced.js';
+} from '../../src/standby/messages.js';
+import { ShardReplica } from '../../src/standby/shardreplica.js';
+import { StateStore } from '../../src/state/statestore.js';
+import * as cloud from '../../src/wire/cloud.js';
+import * as state from '../../src/wire/state.js';
+import * as users from '../../src/wire/users.js';
+import * as workers from '../../src/wire/workers.js';
+import { FakeClock } from '../support/clock.js';
+import { FAMILIES, fullSpec, type Produced, STREAM } from '../support/produced.js';
 
 function fixture<T>(name: string): T {
   return JSON.parse(readFileSync(`tests/fixtures/compatibility/${name}.json`, 'utf8')) as T;
--- a/tests/condor.test.ts
+++ b/tests/condor/condor.test.ts
@@ -2,17 +2,17 @@
 import { readdirSync, readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { parseExpr } from '../src/classad/parser.js';
-import { analyze } from '../src/condor/analyze.js';
-import { parseSubmit, rowsOf } from '../src/condor/language.js';
-import { SubmitError } from '../src/condor/macros.js';
-import { ClassAdMatcher, kindAd } from '../src/condor/matcher.js';
-import { ClusterPlan } from '../src/condor/procs.js';
-import { MachineTypeCatalog, NameTables } from '../src/context/context.js';
-import { Plan } from '../src/plan/plan.js';
-import { FakeCluster, job } from './support/cluster.js';
-import { ask, condorCluster, expandThroughCrashes, finisher, HEAD, submission } from './support/condor.js';
-import { planJob, machine as planMachine, size } from './support/plan.js';
+import { parseExpr } from '../../src/classad/parser.js';
+import { analyze } from '../../src/condor/analyze.js';
+import { parseSubmit, rowsOf } from '../../src/condor/language.js';
+import { SubmitError } from '../../src/condor/macros.js';
+import { ClassAdMatcher, kindAd } from '../../src/condor/matcher.js';
+import { ClusterPlan } from '../../src/condor/procs.js';
+import { MachineTypeCatalog, NameTables } from '../../src/context/context.js';
+import { Plan } from '../../src/plan/plan.js';
+import { FakeCluster, job } from '../support/cluster.js';
+import { ask, condorCluster, expandThroughCrashes, finisher, HEAD, submission } from '../support/condor.js';
+import { planJob, machine as planMachine, size } from '../support/plan.js';
 
 const OPTIONS = { teams: ['red', 'blue'], team: null, never: () => null };
 const plan = (text: string, rows: Record<string, string[]> = {}) =>
--- a/tests/cluster.test.ts
+++ b/tests/controller/cluster.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { readJobList } from '../src/wire/users.js';
-import { FakeCluster, job, LEASE_S } from './support/cluster.js';
+import { readJobList } from '../../src/wire/users.js';
+import { FakeCluster, job, LEASE_S } from '../support/cluster.js';
 
 const status = (body: unknown) => (body as { status: string }).status;
 
--- a/tests/reach.test.ts
+++ b/tests/controller/workerconnectivity.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { WorkerConnectivity } from '../src/controller/workerconnectivity.js';
-import { FakeClock } from './support/clock.js';
-import { FakeCluster, job } from './support/cluster.js';
+import { WorkerConnectivity } from '../../src/controller/workerconnectivity.js';
+import { FakeClock } from '../support/clock.js';
+import { FakeCluster, job } from '../support/cluster.js';
 
 // Guards against a shard that goes to and fro: a slow owner that has just taken over hundreds of machines is told of many
 // that were sent to it, but some come all the time.
--- a/tests/writes.test.ts
+++ b/tests/controller/writes.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import { nodeLease } from '../src/config/bounds.js';
-import { ClusterStateCache } from '../src/controller/clusterstatecache.js';
-import type { Change } from '../src/wire/state.js';
-import { busy, NODES } from './support/busy.js';
-import { FakeClock } from './support/clock.js';
-import { FakeCluster, STATE } from './support/cluster.js';
+import { nodeLease } from '../../src/config/bounds.js';
+import { ClusterStateCache } from '../../src/controller/clusterstatecache.js';
+import type { Change } from '../../src/wire/state.js';
+import { busy, NODES } from '../support/busy.js';
+import { FakeClock } from '../support/clock.js';
+import { FakeCluster, STATE } from '../support/cluster.js';
 
 // Guards against a question that goes to and fro for ever between two nodes that have each handed the shard to the other.
 test('a question is passed on once at most', async () => {
--- a/tests/emulator.test.ts
+++ b/tests/emulator/emulator.test.ts
@@ -1,18 +1,18 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Market } from '../src/emulator/market.js';
-import { Random } from '../src/emulator/random.js';
-import { Reporter } from '../src/emulator/reporter.js';
-import { StateService } from '../src/emulator/state.js';
-import type { TaskEvent } from '../src/emulator/tasks.js';
-import { Tasks } from '../src/emulator/tasks.js';
-import { Worker } from '../src/emulator/worker.js';
-import type { Requester } from '../src/http/client.js';
-import { checkHistory, LeftWaiting, startName, type UserEvent } from '../src/load/check.js';
-import { sharesOf } from '../src/load/served.js';
-import { type JobSpec, readJob } from '../src/wire/users.js';
-import { FakeClock } from './support/clock.js';
-import { job } from './support/cluster.js';
+import { Market } from '../../src/emulator/market.js';
+import { Random } from '../../src/emulator/random.js';
+import { Reporter } from '../../src/emulator/reporter.js';
+import { StateService } from '../../src/emulator/state.js';
+import type { TaskEvent } from '../../src/emulator/tasks.js';
+import { Tasks } from '../../src/emulator/tasks.js';
+import { Worker } from '../../src/emulator/worker.js';
+import type { Requester } from '../../src/http/client.js';
+import { checkHistory, LeftWaiting, startName, type UserEvent } from '../../src/load/check.js';
+import { sharesOf } from '../../src/load/served.js';
+import { type JobSpec, readJob } from '../../src/wire/users.js';
+import { FakeClock } from '../support/clock.js';
+import { job } from '../support/cluster.js';
 
 const spec = (id: string, change: object = {}) => readJob(job(id, change)) as JobSpec;
 const TYPE = {
--- a/tests/combinedfaults.test.ts
+++ b/tests/faults/combinedfaults.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { busy, NODES, running, status } from './support/busy.js';
-import { FakeCluster, job, STATE } from './support/cluster.js';
-import { checkMeetings } from './support/process.js';
+import { busy, NODES, running, status } from '../support/busy.js';
+import { FakeCluster, job, STATE } from '../support/cluster.js';
+import { checkMeetings } from '../support/process.js';
 
 const CANCEL_MS = 45_000;
 const LEASE_MS = 20_000;
--- a/tests/deaf.test.ts
+++ b/tests/faults/deafworkers.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { WorkerConnectivity } from '../src/controller/workerconnectivity.js';
-import type { Worker } from '../src/emulator/worker.js';
-import { FakeClock } from './support/clock.js';
-import { FakeCluster, job, LEASE_S } from './support/cluster.js';
+import { WorkerConnectivity } from '../../src/controller/workerconnectivity.js';
+import type { Worker } from '../../src/emulator/worker.js';
+import { FakeClock } from '../support/clock.js';
+import { FakeCluster, job, LEASE_S } from '../support/cluster.js';
 
 const NODES = ['n0', 'n1', 'n2'];
 const owners = (c: FakeCluster) => [0, 1, 2].map((k) => c.owner(k));
--- a/tests/late.test.ts
+++ b/tests/faults/latemessages.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Random } from '../src/emulator/random.js';
-import { FakeCluster, job, LEASE_S } from './support/cluster.js';
+import { Random } from '../../src/emulator/random.js';
+import { FakeCluster, job, LEASE_S } from '../support/cluster.js';
 
 const NODES = ['n0', 'n1', 'n2'];
 
--- a/tests/drawn.test.ts
+++ b/tests/faults/randomfaults.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { checkMeetings } from './support/process.js';
+import { checkMeetings } from '../support/process.js';
 
 // Pairs of troubles that are on no list; `npm run check:meetings -- --seeds N` plays more of them, `--seed S` one alone. What
 // seeds have found has a small test of its own.
--- a/tests/takeover.test.ts
+++ b/tests/faults/takeover.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FakeCluster, job } from './support/cluster.js';
+import { FakeCluster, job } from '../support/cluster.js';
 
 // Guards against machines that never find their new owner: two of three controllers were cut off from the state service; the
 // owner among them answered 503, and the next one, by its copy of the keys from before the cut, sent the machines back to it.
--- a/tests/meetings.test.ts
+++ b/tests/faults/undecidedwrites.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { busy, NODES, running, status } from './support/busy.js';
-import { type FakeCluster, job, STATE } from './support/cluster.js';
+import { busy, NODES, running, status } from '../support/busy.js';
+import { type FakeCluster, job, STATE } from '../support/cluster.js';
 
 const CANCEL_MS = 45_000;
 
--- a/tests/zonecut.test.ts
+++ b/tests/faults/zonecut.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { checkMeetings } from './support/process.js';
+import { checkMeetings } from '../support/process.js';
 
 // Meetings of troubles that operators have named, each as they say it, while users submit, cancel, and look closely at all nodes. The
 // lease of a worker is 20 s here, and a cancellation has 45 s. What guards each of them stands in docs/meetings.md.
--- a/tests/admission.test.ts
+++ b/tests/http/connectionadmission.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { Admission, type Seat, type Shown } from '../src/http/admission.js';
+import { Admission, type Seat, type Shown } from '../../src/http/admission.js';
 
 /** An admission with its open seats. */
 class Door {
--- a/tests/parser.test.ts
+++ b/tests/http/parser.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { MessageParser } from '../src/http/parser.js';
+import { MessageParser } from '../../src/http/parser.js';
 
 const LIMITS = { headerBytes: 512, bodyBytes: 64 };
 const request = () => new MessageParser('request', LIMITS);
--- a/tests/server.test.ts
+++ b/tests/http/server.test.ts
@@ -2,9 +2,9 @@
 import { once } from 'node:events';
 import net from 'node:net';
 import { test } from 'node:test';
-import { HttpClient, type HttpRequestError } from '../src/http/client.js';
-import { type Handler, HttpServer, type ServerOptions } from '../src/http/server.js';
-import { FakeClock } from './support/clock.js';
+import { HttpClient, type HttpRequestError } from '../../src/http/client.js';
+import { type Handler, HttpServer, type ServerOptions } from '../../src/http/server.js';
+import { FakeClock } from '../support/clock.js';
 
 const clocked = (clock: FakeClock, handler: Handler, change: Partial<ServerOptions> = {}) =>
   new HttpServer(clock, handler, {
--- a/tests/overflow.test.ts
+++ b/tests/modelcheck/lending.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Random } from '../src/emulator/random.js';
-import * as lending from '../src/federation/lending.js';
-import { explore, wander } from '../src/modelcheck/explore.js';
-import { type Bounds, lendingModel, PRODUCTION, type Transitions } from '../src/modelcheck/lending.js';
+import { Random } from '../../src/emulator/random.js';
+import * as lending from '../../src/federation/lending.js';
+import { explore, wander } from '../../src/modelcheck/explore.js';
+import { type Bounds, lendingModel, PRODUCTION, type Transitions } from '../../src/modelcheck/lending.js';
 
 const limits = { leaseMs: 5, skewMs: 1, stopMs: 1 };
 const BOUNDS: Bounds = { epochs: 3, messages: 1, writes: 1, cancels: false, limits };
--- a/tests/promise.test.ts
+++ b/tests/modelcheck/standbylease.test.ts
@@ -1,17 +1,17 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Random } from '../src/emulator/random.js';
-import { explore, wander } from '../src/modelcheck/explore.js';
+import { Random } from '../../src/emulator/random.js';
+import { explore, wander } from '../../src/modelcheck/explore.js';
 import {
   type Bounds,
   GUARDED,
   PRODUCTION,
   promiseModel,
   type Transitions,
-} from '../src/modelcheck/standbylease.js';
-import * as promise from '../src/standby/standbylease.js';
-import * as checks from '../src/standby/takeoverchecks.js';
-import * as machine from '../src/workers/machine.js';
+} from '../../src/modelcheck/standbylease.js';
+import * as promise from '../../src/standby/standbylease.js';
+import * as checks from '../../src/standby/takeoverchecks.js';
+import * as machine from '../../src/workers/machine.js';
 
 const ALONE: Bounds = {
   ticks: 6,
--- a/tests/mesh.test.ts
+++ b/tests/peer/mesh.test.ts
@@ -2,9 +2,9 @@
 import { once } from 'node:events';
 import net from 'node:net';
 import { test } from 'node:test';
-import { encodeFrame } from '../src/peer/frames.js';
-import { PeerMesh } from '../src/peer/mesh.js';
-import { FakeClock } from './support/clock.js';
+import { encodeFrame } from '../../src/peer/frames.js';
+import { PeerMesh } from '../../src/peer/mesh.js';
+import { FakeClock } from '../support/clock.js';
 
 async function freePort(): Promise<number> {
   const probe = net.createServer().listen(0, '127.0.0.1');
--- a/tests/plan.test.ts
+++ b/tests/plan/plan.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { chooseReservation, chooseTransfers, shardFor } from '../src/autoscaler/rebalancing.js';
-import { assignTeams } from '../src/controller/leader.js';
-import { makeJob, withinGuarantee } from '../src/jobs/job.js';
-import { Plan } from '../src/plan/plan.js';
-import { chooseOption } from '../src/plan/rentalchoice.js';
-import { chooseVictims } from '../src/plan/victimchoice.js';
-import type { JobSpec } from '../src/wire/users.js';
-import { machine, planJob, size } from './support/plan.js';
+import { chooseReservation, chooseTransfers, shardFor } from '../../src/autoscaler/rebalancing.js';
+import { assignTeams } from '../../src/controller/leader.js';
+import { makeJob, withinGuarantee } from '../../src/jobs/job.js';
+import { Plan } from '../../src/plan/plan.js';
+import { chooseOption } from '../../src/plan/rentalchoice.js';
+import { chooseVictims } from '../../src/plan/victimchoice.js';
+import type { JobSpec } from '../../src/wire/users.js';
+import { machine, planJob, size } from '../support/plan.js';
 
 const busy = (end: number, cpus = 4) => ({ team: 0, end, need: { cpus, gpus: 0, memoryGb: 4 } });
 const noCaps = [{ cpus: 0, gpus: 0 }];
--- a/tests/size.test.ts
+++ b/tests/plan/size.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { PlanJob, PlanMachine } from '../src/plan/model.js';
-import { Plan } from '../src/plan/plan.js';
-import { chooseRentals, type RentOption } from '../src/plan/rentalchoice.js';
-import { RateLimiter } from '../src/state/ratelimiter.js';
-import { FakeClock } from './support/clock.js';
-import { FakeCluster, job } from './support/cluster.js';
+import type { PlanJob, PlanMachine } from '../../src/plan/model.js';
+import { Plan } from '../../src/plan/plan.js';
+import { chooseRentals, type RentOption } from '../../src/plan/rentalchoice.js';
+import { RateLimiter } from '../../src/state/ratelimiter.js';
+import { FakeClock } from '../support/clock.js';
+import { FakeCluster, job } from '../support/cluster.js';
 
 const MACHINES = 1000;
 
--- a/tests/waiting.test.ts
+++ b/tests/scheduler/dependencytracker.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { ControllerContext } from '../src/context/context.js';
-import { makeJob } from '../src/jobs/job.js';
-import type { Plan } from '../src/plan/plan.js';
-import { TaskDispatcher } from '../src/scheduler/taskdispatcher.js';
-import { readJob } from '../src/wire/users.js';
-import type { Machine } from '../src/workers/machine.js';
-import type { MachineRegistry } from '../src/workers/machineregistry.js';
-import { FakeCluster, job } from './support/cluster.js';
+import type { ControllerContext } from '../../src/context/context.js';
+import { makeJob } from '../../src/jobs/job.js';
+import type { Plan } from '../../src/plan/plan.js';
+import { TaskDispatcher } from '../../src/scheduler/taskdispatcher.js';
+import { readJob } from '../../src/wire/users.js';
+import type { Machine } from '../../src/workers/machine.js';
+import type { MachineRegistry } from '../../src/workers/machineregistry.js';
+import { FakeCluster, job } from '../support/cluster.js';
 
 const status = (body: unknown) => (body as { status: string }).status;
 
--- a/tests/failures.test.ts
+++ b/tests/scheduler/failuretracker.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import pino from 'pino';
-import { type Job, makeJob } from '../src/jobs/job.js';
-import { FailureTracker } from '../src/scheduler/failuretracker.js';
-import { readJob } from '../src/wire/users.js';
-import { MAX_CONSECUTIVE_ERRORS, type Machine } from '../src/workers/machine.js';
-import { FakeCluster, job } from './support/cluster.js';
+import { type Job, makeJob } from '../../src/jobs/job.js';
+import { FailureTracker } from '../../src/scheduler/failuretracker.js';
+import { readJob } from '../../src/wire/users.js';
+import { MAX_CONSECUTIVE_ERRORS, type Machine } from '../../src/workers/machine.js';
+import { FakeCluster, job } from '../support/cluster.js';
 
 function setting(jobs: string[], machines: string[]) {
   const j = new Map<string, Job>();
--- a/tests/decisions.test.ts
+++ b/tests/scheduler/jobrequests.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { pause } from '../src/clock/clock.js';
-import { busy, NODES, status } from './support/busy.js';
-import { type FakeCluster, job, STATE } from './support/cluster.js';
-import { checkMeetings } from './support/process.js';
+import { pause } from '../../src/clock/clock.js';
+import { busy, NODES, status } from '../support/busy.js';
+import { type FakeCluster, job, STATE } from '../support/cluster.js';
+import { checkMeetings } from '../support/process.js';
 
 /** Submits at a node without waiting; what was answered, and when. */
 function submit(c: FakeCluster, node: string, wire: object): { status: number | null; body: unknown } {
--- a/tests/aims.test.ts
+++ b/tests/scheduler/servicelevelobjectives.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { ServiceLevelObjectives, SLO_RANKS } from '../src/scheduler/servicelevelobjectives.js';
-import { FakeCluster, job } from './support/cluster.js';
+import { ServiceLevelObjectives, SLO_RANKS } from '../../src/scheduler/servicelevelobjectives.js';
+import { FakeCluster, job } from '../support/cluster.js';
 
 const objectives = [
   { kind: 'wait', class: 'train', withinS: 80, share: 0.9 },
--- a/tests/flow.test.ts
+++ b/tests/scheduler/shortjobs.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { Random } from '../src/emulator/random.js';
-import { Tasks } from '../src/emulator/tasks.js';
-import { checkHistory } from '../src/load/check.js';
-import { NODES } from './support/busy.js';
-import { FakeCluster, job } from './support/cluster.js';
-import { Users } from './support/users.js';
+import { Random } from '../../src/emulator/random.js';
+import { Tasks } from '../../src/emulator/tasks.js';
+import { checkHistory } from '../../src/load/check.js';
+import { NODES } from '../support/busy.js';
+import { FakeCluster, job } from '../support/cluster.js';
+import { Users } from '../support/users.js';
 
 const COMING_S = 120;
 const A_SECOND = 4;
--- a/tests/guests.test.ts
+++ b/tests/scheduler/teamswithoutquota.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FakeCluster, job } from './support/cluster.js';
+import { FakeCluster, job } from '../support/cluster.js';
 
 const team = (name: string, cpus: number) => ({ name, cpus, cpusMax: cpus * 2, gpus: 0, gpusMax: 0 });
 const guest = (id: string, change: object = {}) => job(id, { owner: 'guest', urgency: 'low', ...change });
--- a/tests/versions.test.ts
+++ b/tests/schema/versions.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as v from 'valibot';
-import { StateService } from '../src/emulator/state.js';
-import { makeJob } from '../src/jobs/job.js';
-import { JobRecords } from '../src/jobs/records.js';
-import { chunkTasks, TaskSet } from '../src/jobs/taskset.js';
-import { readLeaseHolder, readTeamAssignment, writeLeaseHolder } from '../src/schema/schema.js';
-import { StateStore } from '../src/state/statestore.js';
-import { readJob } from '../src/wire/users.js';
-import { FakeClock } from './support/clock.js';
-import { FakeCluster, job } from './support/cluster.js';
-import { FakeNet } from './support/net.js';
+import { StateService } from '../../src/emulator/state.js';
+import { makeJob } from '../../src/jobs/job.js';
+import { JobRecords } from '../../src/jobs/records.js';
+import { chunkTasks, TaskSet } from '../../src/jobs/taskset.js';
+import { readLeaseHolder, readTeamAssignment, writeLeaseHolder } from '../../src/schema/schema.js';
+import { StateStore } from '../../src/state/statestore.js';
+import { readJob } from '../../src/wire/users.js';
+import { FakeClock } from '../support/clock.js';
+import { FakeCluster, job } from '../support/cluster.js';
+import { FakeNet } from '../support/net.js';
 
 /** What the version before this one reads of a record; all else it leaves out, and what is not so it drops. */
 const formerSpec = v.object({
--- a/tests/feed.test.ts
+++ b/tests/standby/replicationstream.test.ts
@@ -4,10 +4,10 @@
   MAX_BATCH_RECORDS,
   type ReplicationRecord,
   readReplicationMessage,
-} from '../src/standby/messages.js';
-import { ReplicationStream } from '../src/standby/replicationstream.js';
-import { ShardReplica } from '../src/standby/shardreplica.js';
-import { chooseStandby, EvictionBackoff } from '../src/standby/standbyselection.js';
+} from '../../src/standby/messages.js';
+import { ReplicationStream } from '../../src/standby/replicationstream.js';
+import { ShardReplica } from '../../src/standby/shardreplica.js';
+import { chooseStandby, EvictionBackoff } from '../../src/standby/standbyselection.js';
 
 const only = (job: string, machines: string[] | null): ReplicationRecord => ({ t: 'only', job, machines });
 const at = (job: string, machine: string) => ({ job, machine });
--- a/tests/standby.test.ts
+++ b/tests/standby/standby.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { FakeCluster, job, LEASE_S } from './support/cluster.js';
+import { FakeCluster, job, LEASE_S } from '../support/cluster.js';
 
 const NODES = ['n0', 'n1', 'n2'];
 
--- a/tests/rates.test.ts
+++ b/tests/state/rateallocation.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { allocateRate } from '../src/state/rateallocation.js';
-import { RateLimiter } from '../src/state/ratelimiter.js';
-import { FakeClock } from './support/clock.js';
-import { FakeCluster, job } from './support/cluster.js';
+import { allocateRate } from '../../src/state/rateallocation.js';
+import { RateLimiter } from '../../src/state/ratelimiter.js';
+import { FakeClock } from '../support/clock.js';
+import { FakeCluster, job } from '../support/cluster.js';
 
 const sum = (numbers: number[]) => numbers.reduce((a, b) => a + b, 0);
 
--- a/tests/tls.test.ts
+++ b/tests/tls/links.test.ts
@@ -4,11 +4,11 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { after, before, test } from 'node:test';
-import { encodeFrame } from '../src/peer/frames.js';
-import { type Issued, type Issuer, issue, makeIssuer } from '../src/tls/certs.js';
-import { CredentialStore, type Credentials, loadCredentials, TlsError } from '../src/tls/credentials.js';
-import { LINK_LIMITS, PartnerAway, PartnerLink, PartnerServer, WRONG_VERSION } from '../src/tls/links.js';
-import { FakeClock } from './support/clock.js';
+import { encodeFrame } from '../../src/peer/frames.js';
+import { type Issued, type Issuer, issue, makeIssuer } from '../../src/tls/certs.js';
+import { CredentialStore, type Credentials, loadCredentials, TlsError } from '../../src/tls/credentials.js';
+import { LINK_LIMITS, PartnerAway, PartnerLink, PartnerServer, WRONG_VERSION } from '../../src/tls/links.js';
+import { FakeClock } from '../support/clock.js';
 
 // Good for as long as anybody runs these tests, so that the time of day plays no part.
 const EVER = [new Date('1990-01-01'), new Date('2999-01-01')] as const;
--- a/tests/upgrade.test.ts
+++ b/tests/upgrade/upgrade.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { TaskEvent } from '../src/emulator/tasks.js';
-import { ranAgain, SETTLED_MS, type StepHistory, settledBefore } from './upgrade/history.js';
-import { submissionsOf } from './upgrade/jobs.js';
+import type { TaskEvent } from '../../src/emulator/tasks.js';
+import { ranAgain, SETTLED_MS, type StepHistory, settledBefore } from './history.js';
+import { submissionsOf } from './jobs.js';
 
 const STOPPED_AT = 60_000;
 const specs = new Map(
--- a/tests/wire.test.ts
+++ b/tests/wire/wire.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { parseSettings, SettingsError } from '../src/config/settings.js';
-import { chunkTasks, TaskSet } from '../src/jobs/taskset.js';
-import { encodeFrame, FrameReader } from '../src/peer/frames.js';
-import { readJob } from '../src/wire/users.js';
-import { readHeartbeat } from '../src/wire/workers.js';
-import { job } from './support/cluster.js';
+import { parseSettings, SettingsError } from '../../src/config/settings.js';
+import { chunkTasks, TaskSet } from '../../src/jobs/taskset.js';
+import { encodeFrame, FrameReader } from '../../src/peer/frames.js';
+import { readJob } from '../../src/wire/users.js';
+import { readHeartbeat } from '../../src/wire/workers.js';
+import { job } from '../support/cluster.js';
 
 test('a submission with a missing, wrong or out-of-range field is refused by name', () => {
   assert.equal(typeof readJob(job('wk-1')), 'object');
