--- a/src/cli/load.ts
+++ b/src/cli/load.ts
@@ -1,8 +1,8 @@
 import { writeFileSync } from 'node:fs';
 import { basename } from 'node:path';
 import type { Command } from 'commander';
-import type { LoadReport } from '../load/play.js';
-import { FAILED, LOW } from '../load/served.js';
+import type { LoadReport } from '../load/loadrun.js';
+import { FAILED_SERVED_SHARE, LOW_SERVED_SHARE } from '../load/served.js';
 import { type LocalFlags, localOptions, startLocal } from './local.js';
 import { EXIT, say, table } from './output.js';
 
@@ -35,7 +35,8 @@
   const [lowest] = r.served;
   if (lowest) say(`lowest served: ${lowest.who}, ${lowest.what} ${rounded(lowest.share)}`);
   for (const s of r.served)
-    if (s.share < LOW) say(`${s.share < FAILED ? 'FAILED' : 'low'}: ${s.who}, ${s.what}`);
+    if (s.share < LOW_SERVED_SHARE)
+      say(`${s.share < FAILED_SERVED_SHARE ? 'FAILED' : 'low'}: ${s.who}, ${s.what}`);
   for (const x of r.violations.slice(0, 20)) say(`${x.at} s: ${x.rule}: ${x.what}`);
 }
 
@@ -49,8 +50,8 @@
       .option('--json', 'print the report as JSON'),
     10,
   ).action(async (file: string, flags: LocalFlags & { report?: string; json?: boolean }) => {
-    const [{ Load }, { loadScenario }, { loadPlatform }, { createLogUpdate }] = await Promise.all([
-      import('../load/play.js'),
+    const [{ LoadRun }, { loadScenario }, { loadPlatform }, { createLogUpdate }] = await Promise.all([
+      import('../load/loadrun.js'),
       import('../load/scenario.js'),
       import('../emulator/platform.js'),
       import('log-update'),
@@ -58,7 +59,7 @@
     const scenario = loadScenario(file);
     const { cluster, stop } = await startLocal(flags);
     const live = createLogUpdate(process.stderr);
-    const load = new Load(cluster, loadPlatform(flags.machines), scenario);
+    const load = new LoadRun(cluster, loadPlatform(flags.machines), scenario);
     const report = await load.run(basename(file), flags.speed, (line) => {
       if (process.stderr.isTTY) live(line);
     });
@@ -70,7 +71,7 @@
     if (flags.json) say(JSON.stringify(report));
     else print(report);
     const lost = report.classes.some((c) => c.lost > 0);
-    const unserved = report.served.some((s) => s.share < FAILED);
+    const unserved = report.served.some((s) => s.share < FAILED_SERVED_SHARE);
     process.exit(
       report.violations.length > 0 || lost || unserved || report.twice > 0 ? EXIT.failed : EXIT.ok,
     );
--- a/src/load/play.ts
+++ b/src/load/loadrun.ts
@@ -8,7 +8,8 @@
 import type { TaskEvent } from '../emulator/tasks.js';
 import { HttpClient } from '../http/client.js';
 import { type JobSpec, KINDS, PRIORITIES } from '../wire/users.js';
-import { checkHistory, type UserEvent, type Violation } from './check.js';
+import { checkHistory } from './checkhistory.js';
+import type { UserEvent, Violation } from './history.js';
 import { ANY_TEAM, type Fault, type JobClass, type Scenario } from './scenario.js';
 import { type Share, sharesOf } from './served.js';
 import { histogram, type Spread, spread } from './spread.js';
@@ -55,7 +56,7 @@
   faults: { at: number; what: string }[];
 }
 
-interface Tally {
+interface ClassTally {
   submitted: number;
   accepted: number;
   refused: number;
@@ -64,37 +65,37 @@
   submit: Histogram;
   start: Histogram;
   wait: Histogram;
-  soon: number;
+  withinSecond: number;
   finish: Histogram;
 }
 
 const POLL_MS = 5000;
 const SERIES_MS = 1000;
-const STRANGE_MS = 7000;
+const UNKNOWN_JOB_INTERVAL_MS = 7000;
 /** Urgent work is expected to start within this of its acceptance. */
-const SOON_MS = 1000;
+const PROMPT_START_MS = 1000;
 
 /** Users and faults of a scenario on a cluster on this machine. */
-export class Load {
+export class LoadRun {
   private readonly random: Random;
   private readonly clock: Clock;
   private readonly http: HttpClient;
   private readonly client: SpartrayClient;
-  private readonly told: UserEvent[] = [];
+  private readonly userEvents: UserEvent[] = [];
   private readonly jobs = new Map<string, JobSpec>();
   private readonly classOf = new Map<string, JobClass>();
   private readonly submittedAt = new Map<string, number>();
   private readonly acceptedAt = new Map<string, number>();
-  private readonly tallies = new Map<string, Tally>();
+  private readonly tallies = new Map<string, ClassTally>();
   private readonly startedJobs = new Set<string>();
   private readonly series: LoadReport['series'] = [];
   private readonly faults: LoadReport['faults'] = [];
   /** When controllers were killed last, by their number. */
   readonly killed = new Map<number, number>();
   private readonly users = new Set<Promise<void>>();
-  private begun = 0;
-  private made = 0;
-  private over = false;
+  private startedAt = 0;
+  private submittedCount = 0;
+  private ended = false;
 
   constructor(
     private readonly cluster: LocalCluster,
@@ -109,7 +110,7 @@
       depot: cluster.depot,
     });
     for (const c of scenario.classes) {
-      const none = { submitted: 0, accepted: 0, refused: 0, done: 0, cancelled: 0, soon: 0 };
+      const none = { submitted: 0, accepted: 0, refused: 0, done: 0, cancelled: 0, withinSecond: 0 };
       const times = { submit: histogram(), start: histogram(), wait: histogram(), finish: histogram() };
       this.tallies.set(c.name, { ...none, ...times });
     }
@@ -118,42 +119,42 @@
   /** Plays the scenario; `progress` is told how it goes about once a second. */
   async run(name: string, speed: number, progress: (line: string) => void): Promise<LoadReport> {
     const { duration_s, drain_s, seed, classes, faults } = this.scenario;
-    this.begun = this.clock.now();
-    for (const f of faults) this.clock.after(f.at_s * 1000, () => this.fault(f));
-    void this.watch(progress);
-    void this.strangers();
-    await Promise.all(classes.map((c) => this.arrivals(c)));
-    const until = this.begun + (duration_s + drain_s) * 1000;
+    this.startedAt = this.clock.now();
+    for (const f of faults) this.clock.after(f.at_s * 1000, () => this.injectFault(f));
+    void this.recordSeries(progress);
+    void this.pollUnknownJobs();
+    await Promise.all(classes.map((c) => this.runArrivals(c)));
+    const until = this.startedAt + (duration_s + drain_s) * 1000;
     while (this.users.size > 0 && this.clock.now() < until) await pause(this.clock, 500);
-    this.over = true;
-    const durationS = (this.clock.now() - this.begun) / 1000;
+    this.ended = true;
+    const durationS = (this.clock.now() - this.startedAt) / 1000;
     this.http.close();
     return this.report(name, seed, speed, durationS);
   }
 
-  private async arrivals(c: JobClass): Promise<void> {
-    for (let i = 0; i < c.at_start; i++) this.arrive(c);
+  private async runArrivals(c: JobClass): Promise<void> {
+    for (let i = 0; i < c.at_start; i++) this.startUser(c);
     if (c.a_minute === 0) return;
     const random = new Random(this.scenario.seed * 31 + this.scenario.classes.indexOf(c));
-    const until = this.begun + Math.min(c.until_s ?? Infinity, this.scenario.duration_s) * 1000;
-    let at = this.begun + c.from_s * 1000;
+    const until = this.startedAt + Math.min(c.until_s ?? Infinity, this.scenario.duration_s) * 1000;
+    let at = this.startedAt + c.from_s * 1000;
     for (;;) {
       at += random.gap(60_000 / c.a_minute);
       if (at > until) return;
       if (at > this.clock.now()) await pause(this.clock, at - this.clock.now());
-      this.arrive(c);
+      this.startUser(c);
     }
   }
 
-  private arrive(c: JobClass): void {
-    const user = this.user(c).catch((error) => {
+  private startUser(c: JobClass): void {
+    const user = this.runUser(c).catch((error) => {
       if (!(error instanceof Unreachable)) throw error;
     });
     this.users.add(user);
     void user.finally(() => this.users.delete(user));
   }
 
-  private async user(c: JobClass): Promise<void> {
+  private async runUser(c: JobClass): Promise<void> {
     const spec = this.job(c);
     const t = this.tallies.get(c.name)!;
     const runS = c.run_s * this.random.between(0.7, 1.4);
@@ -162,33 +163,33 @@
     this.classOf.set(spec.id, c);
     const begun = this.clock.now();
     this.submittedAt.set(spec.id, begun);
-    this.note(spec.id, 'submitted');
+    this.record(spec.id, 'submitted');
     t.submitted++;
     try {
       await this.client.submit(spec, { runS });
     } catch (error) {
       t.refused++;
-      if (error instanceof Rejected) this.note(spec.id, 'refused');
+      if (error instanceof Rejected) this.record(spec.id, 'refused');
       if (!(error instanceof Rejected || error instanceof Unreachable)) throw error;
       return;
     }
     t.accepted++;
     t.submit.recordValue(Math.max(1, Math.round(this.clock.now() - begun)));
-    this.note(spec.id, 'accepted');
+    this.record(spec.id, 'accepted');
     this.acceptedAt.set(spec.id, this.clock.now());
     if (cancelAfter !== null)
       this.clock.after(cancelAfter, () => void this.cancel(spec.id).catch(() => undefined));
     await this.follow(spec, t, begun);
   }
 
-  private async follow(spec: JobSpec, t: Tally, begun: number): Promise<void> {
-    while (!this.over) {
+  private async follow(spec: JobSpec, t: ClassTally, begun: number): Promise<void> {
+    while (!this.ended) {
       await pause(this.clock, POLL_MS * this.random.between(0.8, 1.2));
       const view = await this.client.poll(spec.id);
       if (view === undefined) continue;
-      if (view === null) this.note(spec.id, 'unknown');
+      if (view === null) this.record(spec.id, 'unknown');
       else {
-        this.told.push({ at: this.clock.now(), job: spec.id, kind: 'told', status: view.status });
+        this.userEvents.push({ at: this.clock.now(), job: spec.id, kind: 'told', status: view.status });
         if (view.status === 'done') {
           t.done++;
           t.finish.recordValue(Math.max(1, Math.round(this.clock.now() - begun)));
@@ -200,23 +201,23 @@
   }
 
   private async cancel(id: string): Promise<void> {
-    this.note(id, 'cancel asked');
+    this.record(id, 'cancel asked');
     const view = await this.client.cancel(id);
-    if (view.status === 'cancelled') this.note(id, 'cancelled');
+    if (view.status === 'cancelled') this.record(id, 'cancelled');
   }
 
   /** Somebody who asks for jobs that nobody has submitted. */
-  private async strangers(): Promise<void> {
-    for (let i = 0; !this.over; i++) {
-      await pause(this.clock, STRANGE_MS);
+  private async pollUnknownJobs(): Promise<void> {
+    for (let i = 0; !this.ended; i++) {
+      await pause(this.clock, UNKNOWN_JOB_INTERVAL_MS);
       const id = `wk-nobody-${i}`;
       const view = await this.client.poll(id).catch(() => undefined);
-      if (view) this.told.push({ at: this.clock.now(), job: id, kind: 'told', status: view.status });
+      if (view) this.userEvents.push({ at: this.clock.now(), job: id, kind: 'told', status: view.status });
     }
   }
 
   private job(c: JobClass): JobSpec {
-    const n = ++this.made;
+    const n = ++this.submittedCount;
     const estimateS = c.run_s * this.random.between(0.6, 1.5);
     return {
       id: `wk-load-${this.scenario.seed}-${String(n).padStart(6, '0')}`,
@@ -243,11 +244,11 @@
     };
   }
 
-  private note(job: string, kind: UserEvent['kind']): void {
-    this.told.push({ at: this.clock.now(), job, kind });
+  private record(job: string, kind: UserEvent['kind']): void {
+    this.userEvents.push({ at: this.clock.now(), job, kind });
   }
 
-  private fault(f: Fault): void {
+  private injectFault(f: Fault): void {
     const { state, cloud, machines, market, tasks, controllers } = this.cluster;
     const end = (undo: () => void) => this.clock.after(f.for_s * 1000, undo);
     const some = [...machines.keys()].sort().slice(0, f.count);
@@ -290,15 +291,15 @@
         market.reclaim(m.id, 0);
   }
 
-  private async watch(progress: (line: string) => void): Promise<void> {
-    while (!this.over) {
-      const at = Math.round((this.clock.now() - this.begun) / 1000);
+  private async recordSeries(progress: (line: string) => void): Promise<void> {
+    while (!this.ended) {
+      const at = Math.round((this.clock.now() - this.startedAt) / 1000);
       let tasks = 0;
       for (const m of this.cluster.machines.values())
         for (const a of m.worker.attempts) if (a.state !== 'exited' && a.state !== 'fetching') tasks++;
       const machines = this.cluster.machines.size;
       this.series.push({ at, machines, tasks, open: this.users.size });
-      const sum = (f: (t: Tally) => number) => [...this.tallies.values()].reduce((n, t) => n + f(t), 0);
+      const sum = (f: (t: ClassTally) => number) => [...this.tallies.values()].reduce((n, t) => n + f(t), 0);
       progress(
         `${at} s: ${sum((t) => t.accepted)} accepted, ${sum((t) => t.done)} done, ${this.users.size} open, ${tasks} tasks on ${machines} machines`,
       );
@@ -309,7 +310,7 @@
   private report(scenario: string, seed: number, speed: number, durationS: number): LoadReport {
     const history = this.cluster.tasks.history;
     this.recordStarts();
-    const violations = checkHistory(history, this.told, this.jobs, {
+    const violations = checkHistory(history, this.userEvents, this.jobs, {
       teams: this.platform.teams.map((t) => ({ name: t.name, cpusMax: t.cpus_max, gpusMax: t.gpus_max })),
       cancelS: this.platform.workers.cancel_s,
     });
@@ -332,7 +333,7 @@
         submitMs: spread(t.submit, 1),
         startS: spread(t.start, 1000),
         waitS: spread(t.wait, 1000),
-        withinSecond: t.wait.totalCount > 0 ? t.soon / t.wait.totalCount : 1,
+        withinSecond: t.wait.totalCount > 0 ? t.withinSecond / t.wait.totalCount : 1,
         finishS: spread(t.finish, 1000),
       }),
     );
@@ -344,7 +345,7 @@
       classes,
       served: sharesOf(classes),
       twice: this.cluster.tasks.twice,
-      violations: violations.map((x) => ({ ...x, at: Math.round((x.at - this.begun) / 100) / 10 })),
+      violations: violations.map((x) => ({ ...x, at: Math.round((x.at - this.startedAt) / 100) / 10 })),
       spent: this.cluster.market.charge(),
       startsPeak: this.startsPeak(),
       lostTasks: this.lostTasks(),
@@ -385,7 +386,7 @@
     const tally = this.tallies.get(c.name)!;
     const ms = Math.max(1, Math.round(startedAt - accepted));
     tally.wait.recordValue(ms);
-    if (ms <= SOON_MS) tally.soon++;
+    if (ms <= PROMPT_START_MS) tally.withinSecond++;
   }
 
   /** The most task starts in any second. */
@@ -403,7 +404,7 @@
     const bySecond = new Map<number, number>();
     for (const e of this.cluster.tasks.history) {
       if (!counts(e)) continue;
-      const second = Math.floor((e.at - this.begun) / 1000);
+      const second = Math.floor((e.at - this.startedAt) / 1000);
       bySecond.set(second, (bySecond.get(second) ?? 0) + 1);
     }
     return bySecond;
--- a/src/load/scalerun.ts
+++ b/src/load/scalerun.ts
@@ -1,12 +1,12 @@
 import type { LocalCluster } from '../emulator/local.js';
 import type { Platform } from '../emulator/platform.js';
 import { HttpClient } from '../http/client.js';
-import { type LoneOptions, measureLoneWorker, type WorkerCost } from './lone.js';
+import { type LoadReport, LoadRun } from './loadrun.js';
 import { Measurement, type PhaseReport } from './measure.js';
-import { Load, type LoadReport } from './play.js';
 import { Propagation, type PropagationReport } from './propagation.js';
 import type { Sizes } from './scale.js';
 import type { Scenario } from './scenario.js';
+import { measureSingleWorker, type SingleWorkerOptions, type WorkerCost } from './singleworker.js';
 
 /** All that one run at a size has measured. Figures are of emulated machines on one computer. */
 export interface ScaleReport {
@@ -37,7 +37,7 @@
 
 /** One run at a size: load, faults, and what all roles use meanwhile. */
 export class ScaleRun {
-  private readonly load: Load;
+  private readonly load: LoadRun;
   private readonly measurement: Measurement;
   private readonly workers: Platform['workers'];
 
@@ -47,7 +47,7 @@
     private readonly scenario: Scenario,
     private readonly sizes: Sizes,
   ) {
-    this.load = new Load(cluster, platform, scenario);
+    this.load = new LoadRun(cluster, platform, scenario);
     this.measurement = new Measurement(cluster.clock, cluster, scenario);
     this.workers = platform.workers;
   }
@@ -63,7 +63,7 @@
     const load = await this.load.run(name, options.speed, () => undefined);
     const spread = await propagation.stop();
     http.close();
-    const worker = options.loneS > 0 ? await measureLoneWorker(this.loneOptions(options)) : [];
+    const worker = options.loneS > 0 ? await measureSingleWorker(this.loneOptions(options)) : [];
     const { phases } = this.measurement;
     return { scenario: name, sizes: this.sizes, phases, load, propagation: spread, worker };
   }
@@ -77,7 +77,7 @@
     return nodes;
   }
 
-  private loneOptions(options: ScaleRunOptions): LoneOptions {
+  private loneOptions(options: ScaleRunOptions): SingleWorkerOptions {
     return {
       reportS: this.workers.report_s,
       leaseS: this.workers.lease_s,
--- a/src/load/served.ts
+++ b/src/load/served.ts
@@ -1,6 +1,6 @@
 /** Below this a class or a team has not been served, and the play has failed; below `LOW` it is a fault to trace. */
-export const FAILED = 0.5;
-export const LOW = 0.7;
+export const FAILED_SERVED_SHARE = 0.5;
+export const LOW_SERVED_SHARE = 0.7;
 
 export interface ServedCounts {
   name: string;
--- a/src/load/lone.ts
+++ b/src/load/singleworker.ts
@@ -22,7 +22,7 @@
   startsPerSecond: number;
 }
 
-export interface LoneOptions {
+export interface SingleWorkerOptions {
   reportS: number;
   leaseS: number;
   /** Tasks that the worker keeps running, and starts a second, at the peak. */
@@ -38,9 +38,9 @@
 const HOST = '127.0.0.1';
 
 /** Measures one hollow worker alone in a process, at rest and at the peak. Fails where a port is taken. */
-export async function measureLoneWorker(options: LoneOptions): Promise<WorkerCost[]> {
+export async function measureSingleWorker(options: SingleWorkerOptions): Promise<WorkerCost[]> {
   const { reportS, leaseS, port } = options;
-  const controller = new LoneController();
+  const controller = new SingleWorkerController();
   const server = new HttpServer(systemClock, (r) => controller.answer(r.body), {
     maxConnections: 16,
     bodyBytes: 256 * 1024,
@@ -82,7 +82,7 @@
 
 async function measure(
   phase: WorkerCost['phase'],
-  options: LoneOptions,
+  options: SingleWorkerOptions,
   worker: ChildProcess,
   empty: ChildProcess,
   link: CountingLink,
@@ -109,7 +109,7 @@
 }
 
 /** Answers one worker's reports, and keeps so many tasks running by orders in the answers. */
-class LoneController {
+class SingleWorkerController {
   private tasks = 0;
   private gapMs = Number.POSITIVE_INFINITY;
   private startedAt = 0;
--- a/tests/cli/scale.test.ts
+++ b/tests/cli/scale.test.ts
@@ -9,10 +9,10 @@
 import { loadPlatform } from '../../src/emulator/platform.js';
 import { PeerRelay } from '../../src/emulator/relay.js';
 import { ratesBetween, Traffic } from '../../src/emulator/traffic.js';
-import { measureLoneWorker } from '../../src/load/lone.js';
 import { checkSizes, sizedPlatform, sizedScenario } from '../../src/load/scale.js';
 import type { ScaleReport } from '../../src/load/scalerun.js';
 import { loadScenario } from '../../src/load/scenario.js';
+import { measureSingleWorker } from '../../src/load/singleworker.js';
 import { encodeFrame, FrameReader } from '../../src/peer/frames.js';
 import { run } from '../support/process.js';
 
@@ -175,7 +175,7 @@
 });
 
 test('one worker alone is measured at rest and at the peak, against an empty process', async () => {
-  const [rest, peak] = await measureLoneWorker({
+  const [rest, peak] = await measureSingleWorker({
     reportS: 0.3,
     leaseS: 16,
     tasks: 3,
--- a/tests/condor/beside.ts
+++ b/tests/condor/beside.ts
@@ -14,7 +14,7 @@
 import { LocalCluster } from '../../src/emulator/local.js';
 import { loadPlatform } from '../../src/emulator/platform.js';
 import { HttpClient } from '../../src/http/client.js';
-import { Load } from '../../src/load/play.js';
+import { LoadRun } from '../../src/load/loadrun.js';
 import { loadScenario } from '../../src/load/scenario.js';
 
 const runs = Number(process.argv[2] ?? 3);
@@ -73,7 +73,7 @@
     drain_s: 200,
   };
   scenario.classes = scenario.classes.filter((c) => c.name === 'cutoff').map((c) => ({ ...c, a_minute: 12 }));
-  const r = await new Load(cluster, platform, scenario).run('beside', SPEED, () => undefined);
+  const r = await new LoadRun(cluster, platform, scenario).run('beside', SPEED, () => undefined);
   http.close();
   await cluster.stop();
   rmSync(data, { recursive: true, force: true });
--- a/tests/emulator/emulator.test.ts
+++ b/tests/emulator/emulator.test.ts
@@ -8,8 +8,10 @@
 import { Tasks } from '../../src/emulator/tasks.js';
 import { Worker } from '../../src/emulator/worker.js';
 import type { Requester } from '../../src/http/client.js';
-import { checkHistory, LeftWaiting, startName, type UserEvent } from '../../src/load/check.js';
+import { checkHistory } from '../../src/load/checkhistory.js';
+import { startKey, type UserEvent } from '../../src/load/history.js';
 import { sharesOf } from '../../src/load/served.js';
+import { StarvationCheck } from '../../src/load/starvationcheck.js';
 import { type JobSpec, readJob } from '../../src/wire/users.js';
 import { FakeClock } from '../support/clock.js';
 import { job } from '../support/cluster.js';
@@ -239,9 +241,11 @@
   assert.deepEqual(rules(clean, [{ ...did(1, 'wk-odd', 'accepted'), unfit: 'it has no id' }]), [
     'accepted_unfit',
   ]);
-  const ordered = (at: number) => new Map([[startName('m-1', 'wk-a', 0, on(0, 'wk-a', 0).attempt), at]]);
+  const ordered = (at: number) => new Map([[startKey('m-1', 'wk-a', 0, on(0, 'wk-a', 0).attempt), at]]);
   const started = (at: number) =>
-    checkHistory([on(900, 'wk-a', 0)], cancel, jobs, { ...limits, ordered: ordered(at) }).map((v) => v.rule);
+    checkHistory([on(900, 'wk-a', 0)], cancel, jobs, { ...limits, startSentAt: ordered(at) }).map(
+      (v) => v.rule,
+    );
   assert.deepEqual(started(9), [], 'it was under way');
   assert.deepEqual(started(11), ['started_cancelled']);
 });
@@ -257,10 +261,14 @@
     memoryGb: 64,
   });
   const waits = (machines: ReturnType<typeof machine>[], leftCpus: number | null, gapAt = -1) => {
-    const left = new LeftWaiting();
+    const left = new StarvationCheck();
     const found = [];
     for (let s = 0; s <= 200; s++)
-      found.push(...left.look(s * 1000, s === gapAt ? [] : machines, [{ spec, leftCpus, leftGpus: null }]));
+      found.push(
+        ...left.observe(s * 1000, s === gapAt ? [] : machines, [
+          { spec, quotaCpusLeft: leftCpus, quotaGpusLeft: null },
+        ]),
+      );
     return found.map((v) => [v.rule, v.at]);
   };
   assert.deepEqual(waits([machine('a', 8)], null), [['left_waiting', 91_000]]);
--- a/tests/scheduler/shortjobs.test.ts
+++ b/tests/scheduler/shortjobs.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { Random } from '../../src/emulator/random.js';
 import { Tasks } from '../../src/emulator/tasks.js';
-import { checkHistory } from '../../src/load/check.js';
+import { checkHistory } from '../../src/load/checkhistory.js';
 import { NODES } from '../support/busy.js';
 import { FakeCluster, job } from '../support/cluster.js';
 import { Users } from '../support/users.js';
--- a/tests/support/meeting.ts
+++ b/tests/support/meeting.ts
@@ -1,13 +1,8 @@
 import { Random } from '../../src/emulator/random.js';
 import { Tasks } from '../../src/emulator/tasks.js';
-import {
-  checkHistory,
-  LeftWaiting,
-  type RoomOn,
-  startName,
-  type Violation,
-  type Waits,
-} from '../../src/load/check.js';
+import { checkHistory } from '../../src/load/checkhistory.js';
+import { startKey, type Violation } from '../../src/load/history.js';
+import { type FreeCapacity, StarvationCheck, type WaitingJob } from '../../src/load/starvationcheck.js';
 import type { JobSpec } from '../../src/wire/users.js';
 import { readCommands, WORKER_PATHS } from '../../src/wire/workers.js';
 import { NODES } from './busy.js';
@@ -79,7 +74,7 @@
   };
   let overAt: number | null = null;
   const violations: Violation[] = [];
-  const left = new LeftWaiting();
+  const left = new StarvationCheck();
   for (;;) {
     boot();
     // A lease ends by the machine's own clock, also while it stands still.
@@ -89,7 +84,7 @@
     const now = c.clock.now();
     if (met.over && now > begun + COMING_S * 1000) overAt ??= now;
     if (overAt === null) continue;
-    violations.push(...left.look(now, room(c, users), waiting(c, users, tasks)));
+    violations.push(...left.observe(now, room(c, users), waiting(c, users, tasks)));
     const late = users.forgotten(overAt, false);
     const open = [...users.jobs.values()].some((j) => j.accepted && !j.over);
     if (late.length > 0 || now > overAt + DRAIN_S * 1000 || (!open && now > overAt + CANCEL_S * 1000)) {
@@ -124,14 +119,14 @@
     const machine = orders.length > 0 ? c.workers.find((w) => w.place.addr === addr)?.id : undefined;
     for (const o of orders)
       if (o.op === 'start' && machine !== undefined)
-        ordered.set(startName(machine, o.job, o.index, o.attempt), c.clock.now());
+        ordered.set(startKey(machine, o.job, o.index, o.attempt), c.clock.now());
     return fate?.(from, addr, method, path, body) ?? troubles(from, addr, method, path, body);
   };
   return ordered;
 }
 
 /** What the machines that report have left. */
-function room(c: FakeCluster, users: Users): RoomOn[] {
+function room(c: FakeCluster, users: Users): FreeCapacity[] {
   const types = new Map(c.types.map((t) => [t.name, t]));
   return c.workers
     .filter((w) => !c.silent.has(w) && w.noticeS === null)
@@ -149,7 +144,7 @@
 }
 
 /** Jobs that were accepted, and of which nothing is on a machine although nothing keeps them from starting. */
-function waiting(c: FakeCluster, users: Users, tasks: Tasks): Waits[] {
+function waiting(c: FakeCluster, users: Users, tasks: Tasks): WaitingJob[] {
   const there = new Set<string>();
   const use = new Map<string, { cpus: number; gpus: number }>();
   for (const w of c.workers)
@@ -172,8 +167,8 @@
       const used = use.get(spec.team) ?? { cpus: 0, gpus: 0 };
       return {
         spec,
-        leftCpus: team && team.cpusMax > 0 ? team.cpusMax - used.cpus : null,
-        leftGpus: team && team.gpusMax > 0 ? team.gpusMax - used.gpus : null,
+        quotaCpusLeft: team && team.cpusMax > 0 ? team.cpusMax - used.cpus : null,
+        quotaGpusLeft: team && team.gpusMax > 0 ? team.gpusMax - used.gpus : null,
       };
     });
 }
--- a/tests/support/users.ts
+++ b/tests/support/users.ts
@@ -3,7 +3,7 @@
 import type { TaskEvent, Tasks } from '../../src/emulator/tasks.js';
 import type { Worker } from '../../src/emulator/worker.js';
 import type { HttpReply } from '../../src/http/server.js';
-import type { UserEvent, Violation } from '../../src/load/check.js';
+import type { UserEvent, Violation } from '../../src/load/history.js';
 import { type JobSpec, readJob, readStatus } from '../../src/wire/users.js';
 import { type FakeCluster, job } from './cluster.js';
 
--- a/tests/upgrade/history.ts
+++ b/tests/upgrade/history.ts
@@ -1,5 +1,5 @@
 import type { TaskEvent } from '../../src/emulator/tasks.js';
-import type { Violation } from '../../src/load/check.js';
+import type { Violation } from '../../src/load/history.js';
 import type { JobSpec } from '../../src/wire/users.js';
 
 /** What ran on the workers of one step's cluster. */
--- a/tests/upgrade/report.ts
+++ b/tests/upgrade/report.ts
@@ -1,5 +1,5 @@
 import { table } from '../../src/cli/output.js';
-import type { Violation } from '../../src/load/check.js';
+import type { Violation } from '../../src/load/history.js';
 import { isOver, type Questions, type TrackedJob, type Users } from './users.js';
 
 /** What happened while one step's cluster ran. */
--- a/tests/upgrade/step.ts
+++ b/tests/upgrade/step.ts
@@ -1,7 +1,8 @@
 import { type Clock, pause, systemClock } from '../../src/clock/clock.js';
 import { LocalCluster, type LocalOptions } from '../../src/emulator/local.js';
 import type { Platform } from '../../src/emulator/platform.js';
-import { checkHistory, type Violation } from '../../src/load/check.js';
+import { checkHistory } from '../../src/load/checkhistory.js';
+import type { Violation } from '../../src/load/history.js';
 import { KEYS } from '../../src/schema/schema.js';
 import { ranAgain, type StepHistory, settledBefore } from './history.js';
 import { ID_PREFIX, submissionsOf } from './jobs.js';
--- a/tests/upgrade/users.ts
+++ b/tests/upgrade/users.ts
@@ -2,7 +2,7 @@
 import type { JobOrder } from '../../src/client/jobfile.js';
 import { type Clock, pause } from '../../src/clock/clock.js';
 import { HttpClient } from '../../src/http/client.js';
-import type { UserEvent, Violation } from '../../src/load/check.js';
+import type { UserEvent, Violation } from '../../src/load/history.js';
 import type { JobSpec, JobView } from '../../src/wire/users.js';
 import { ID_PREFIX, type Submission } from './jobs.js';
 
