--- a/src/cli/load.ts
+++ b/src/cli/load.ts
@@ -1,7 +1,7 @@
 import { writeFileSync } from 'node:fs';
 import { basename } from 'node:path';
 import type { Command } from 'commander';
-import type { LoadReport } from '../load/loadrun.js';
+import type { LoadReport } from '../load/loadreport.js';
 import { FAILED_SERVED_SHARE, LOW_SERVED_SHARE } from '../load/served.js';
 import { type LocalFlags, localOptions, startLocal } from './local.js';
 import { EXIT, say, table } from './output.js';
--- a/src/cli/scale.ts
+++ b/src/cli/scale.ts
@@ -1,7 +1,7 @@
 import { writeFileSync } from 'node:fs';
 import { basename } from 'node:path';
 import type { Command } from 'commander';
-import type { LoadReport } from '../load/loadrun.js';
+import type { LoadReport } from '../load/loadreport.js';
 import type { ScaleReport } from '../load/scalerun.js';
 import { type LocalFlags, localOptions, number, startLocal } from './local.js';
 import { EXIT, say, table } from './output.js';
--- a/src/load/loadrun.ts
+++ b/src/load/loadrun.ts
@@ -5,56 +5,14 @@
 import type { LocalCluster } from '../emulator/local.js';
 import type { Platform } from '../emulator/platform.js';
 import { Random } from '../emulator/random.js';
-import type { TaskEvent } from '../emulator/tasks.js';
 import { HttpClient } from '../http/client.js';
 import { type JobSpec, KINDS, PRIORITIES } from '../wire/users.js';
 import { checkHistory } from './checkhistory.js';
-import type { UserEvent, Violation } from './history.js';
+import type { UserEvent } from './history.js';
+import { type ClassReport, type LoadReport, lostTasks, startsPeak } from './loadreport.js';
 import { ANY_TEAM, type Fault, type JobClass, type Scenario } from './scenario.js';
-import { type Share, sharesOf } from './served.js';
-import { histogram, type Spread, spread } from './spread.js';
-
-export interface ClassReport {
-  name: string;
-  team: string;
-  submitted: number;
-  accepted: number;
-  /** Jobs of which a task has started. */
-  started: number;
-  refused: number;
-  done: number;
-  cancelled: number;
-  /** Accepted, and neither done nor cancelled in the end; services run on, and are forgotten only by the rules. */
-  lost: number;
-  submitMs: Spread;
-  startS: Spread;
-  /** From acceptance to the start of a job's first task; of a gang, of its last. */
-  waitS: Spread;
-  /** Share of the jobs that started whose wait was a second at most. */
-  withinSecond: number;
-  finishS: Spread;
-}
-
-export interface LoadReport {
-  scenario: string;
-  seed: number;
-  speed: number;
-  durationS: number;
-  classes: ClassReport[];
-  /** What share of each class and team was served, the lowest first. */
-  served: Share[];
-  /** Tasks done more than once. */
-  twice: number;
-  violations: Violation[];
-  spent: number;
-  /** Task starts in the second that had the most. */
-  startsPeak: number;
-  /** Tasks that ended since their machine lost its lease or was gone: seconds since the beginning, and how many then. */
-  lostTasks: { at: number; count: number }[];
-  /** Every second or so: seconds since the beginning, machines up, tasks on machines, jobs not over. */
-  series: { at: number; machines: number; tasks: number; open: number }[];
-  faults: { at: number; what: string }[];
-}
+import { sharesOf } from './served.js';
+import { histogram, spread } from './spread.js';
 
 interface ClassTally {
   submitted: number;
@@ -347,8 +305,8 @@
       twice: this.cluster.tasks.twice,
       violations: violations.map((x) => ({ ...x, at: Math.round((x.at - this.startedAt) / 100) / 10 })),
       spent: this.cluster.market.charge(),
-      startsPeak: this.startsPeak(),
-      lostTasks: this.lostTasks(),
+      startsPeak: startsPeak(history, this.startedAt),
+      lostTasks: lostTasks(history, this.startedAt),
       series: this.series,
       faults: this.faults,
     };
@@ -388,25 +346,4 @@
     tally.wait.recordValue(ms);
     if (ms <= PROMPT_START_MS) tally.withinSecond++;
   }
-
-  /** The most task starts in any second. */
-  private startsPeak(): number {
-    return Math.max(0, ...this.bySecond((e) => e.kind === 'on').values());
-  }
-
-  private lostTasks(): LoadReport['lostTasks'] {
-    const lost = this.bySecond((e) => e.kind === 'off' && e.cause === 'lost');
-    return [...lost].map(([at, count]) => ({ at, count }));
-  }
-
-  /** How many events of a kind there were in each second since the beginning. */
-  private bySecond(counts: (e: TaskEvent) => boolean): Map<number, number> {
-    const bySecond = new Map<number, number>();
-    for (const e of this.cluster.tasks.history) {
-      if (!counts(e)) continue;
-      const second = Math.floor((e.at - this.startedAt) / 1000);
-      bySecond.set(second, (bySecond.get(second) ?? 0) + 1);
-    }
-    return bySecond;
-  }
 }
--- a/src/load/page.ts
+++ b/src/load/page.ts
@@ -1,5 +1,5 @@
 import { Eta } from 'eta';
-import type { LoadReport } from './loadrun.js';
+import type { LoadReport } from './loadreport.js';
 
 const PAGE = `<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>spartray load: <%= it.r.scenario %></title>
--- a/src/load/scalerun.ts
+++ b/src/load/scalerun.ts
@@ -1,7 +1,8 @@
 import type { LocalCluster } from '../emulator/local.js';
 import type { Platform } from '../emulator/platform.js';
 import { HttpClient } from '../http/client.js';
-import { type LoadReport, LoadRun } from './loadrun.js';
+import type { LoadReport } from './loadreport.js';
+import { LoadRun } from './loadrun.js';
 import { Measurement, type PhaseReport } from './measure.js';
 import { Propagation, type PropagationReport } from './propagation.js';
 import type { Sizes } from './scale.js';
