--- /dev/null
+++ b/src/program/compose.ts
@@ -0,0 +1,119 @@
+/** What a controller process consists of and how its parts are wired; nothing is listening or running yet. */
+
+import { randomUUID } from 'node:crypto';
+import { Api, claimOf } from '../api/routes.js';
+import { type Clock, quickClock } from '../clock/clock.js';
+import { Cloud } from '../cloud/cloud.js';
+import type { Log } from '../config/log.js';
+import { partSockets, type Settings } from '../config/settings.js';
+import { type ControllerContext, MachineTypeCatalog, NameTables } from '../context/context.js';
+import { ControllerNode } from '../controller/controllernode.js';
+import { HttpClient } from '../http/client.js';
+import { HttpServer } from '../http/server.js';
+import { PeerMesh } from '../peer/mesh.js';
+import { StateStore } from '../state/statestore.js';
+import type { ControllerOptions } from './commandline.js';
+
+/** Connections to one worker at once: most orders go one after the other. */
+const SOCKETS_PER_WORKER = 4;
+/** The longest answer of the state service or the cloud. */
+const MAX_SERVICE_ANSWER_BYTES = 32 * 1024 * 1024;
+/** The longest answer of a worker or of any other service. */
+const MAX_WORKER_ANSWER_BYTES = 1024 * 1024;
+/** The longest body of a request of a user or worker. */
+const MAX_REQUEST_BYTES = 64 * 1024;
+const REQUEST_TIMEOUT_MS = 10_000;
+const IDLE_TIMEOUT_MS = 90_000;
+
+/** The parts of a controller process that its lifecycle starts and stops. */
+export interface Controller {
+  readonly clock: Clock;
+  readonly node: ControllerNode;
+  /** Connections to the other controllers. */
+  readonly mesh: PeerMesh;
+  /** Serves users and workers. */
+  readonly server: HttpServer;
+}
+
+/** Makes all parts of a controller; optional ones are loaded only where the options enable them. */
+export async function composeController(
+  settings: Settings,
+  options: ControllerOptions,
+  log: Log,
+): Promise<Controller> {
+  const clock = quickClock(options.clockSpeed);
+  const context = composeContext(settings, clock, log);
+  const condor = options.condor ? await loadCondor() : null;
+  if (condor) context.matchCompiler = new condor.ClassAdMatcher(context.names, context.catalog);
+  const standbys = options.standby
+    ? (await import('../controller/standbycoordinator.js')).StandbyCoordinator
+    : null;
+  const node = new ControllerNode(context, standbys);
+  const api = new Api(context, node);
+  if (condor) {
+    const service = new condor.CondorService(context, node, {
+      team: options.condorTeam ?? null,
+      depot: options.depot ?? null,
+    });
+    api.mounts.set('/condor/', (request) => service.handle(request));
+    service.start();
+  }
+  const onError = (error: unknown) => log.error({ err: error }, 'error');
+  const mesh = new PeerMesh(clock, settings.node, settings.peers, onError, (why) =>
+    log.debug({ why }, 'connection to the peer address refused'),
+  );
+  const server = new HttpServer(clock, (request) => api.handle(request), {
+    maxConnections: partSockets(settings.limits.maxSockets).incoming,
+    claims: claimOf,
+    bodyBytes: MAX_REQUEST_BYTES,
+    requestMs: REQUEST_TIMEOUT_MS,
+    idleMs: IDLE_TIMEOUT_MS,
+    onError,
+    onShort: (counts, open) => log.warn({ ...counts, open }, 'connections short'),
+  });
+  return { clock, node, mesh, server };
+}
+
+/** What the parts of the node share: clients of the services around it, and the tables of names. */
+function composeContext(settings: Settings, clock: Clock, log: Log): ControllerContext {
+  const sockets = partSockets(settings.limits.maxSockets);
+  const services = new HttpClient(clock, {
+    maxSockets: sockets.services,
+    // A cloud that trickles must not keep a lease from renewal.
+    mostTo: (addr) => (addr === settings.cloud ? Math.ceil(sockets.services / 4) : sockets.services),
+    bodyBytes: MAX_SERVICE_ANSWER_BYTES,
+  });
+  const workers = new HttpClient(clock, {
+    maxSockets: sockets.workers,
+    mostTo: () => SOCKETS_PER_WORKER,
+    bodyBytes: MAX_WORKER_ANSWER_BYTES,
+  });
+  const names = new NameTables();
+  for (const team of settings.teams) names.teams.index(team.name);
+  for (const zone of settings.zones) names.zones.index(zone);
+  return {
+    clock,
+    settings,
+    log,
+    http: workers,
+    store: new StateStore(clock, services, settings.state, {
+      ...settings.stateLimits,
+      nodes: settings.nodes,
+    }),
+    cloud: new Cloud(clock, services, settings.cloud, settings.cloudLimits.rps, settings.nodes),
+    names,
+    catalog: new MachineTypeCatalog(names),
+    removedMachines: new Map(),
+    matchCompiler: null,
+    incarnation: `${settings.node}-${randomUUID().slice(0, 13)}`,
+  };
+}
+
+/** Loaded on demand: optional parts cost nothing where they are not enabled. */
+async function loadCondor() {
+  const [{ ClassAdMatcher }, { CondorService }] = await Promise.all([
+    import('../condor/matcher.js'),
+    import('../condor/service.js'),
+  ]);
+  return { ClassAdMatcher, CondorService };
+}
