--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -3,7 +3,7 @@
 import type { ControllerContext } from '../context/context.js';
 import type { ControllerNode } from '../controller/controllernode.js';
 import { UnavailableError } from '../errors/errors.js';
-import type { Shown } from '../http/admission.js';
+import type { ClientKind } from '../http/connectionadmission.js';
 import { bad, later, parseBody, wrongMethod } from '../http/replies.js';
 import type { HttpReply, HttpRequest } from '../http/server.js';
 import { fitCount } from '../plan/capacityprofile.js';
@@ -23,7 +23,7 @@
 const JOB_PATH = /^\/api\/jobs\/([^/]+)(?:\/([^/]+))?$/;
 
 /** Whom a request seems to come from, before anything of it has been checked. */
-export function claimOf(path: string): Shown {
+export function classifyRequest(path: string): ClientKind {
   if (path === WORKER_PATHS.heartbeat) return 'worker';
   return path === USER_PATHS.health ? 'health' : 'user';
 }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,15 +1,20 @@
-import net from 'node:net';
+/** An HTTP/1.1 client that sends and receives JSON and keeps its connections open between requests. */
+
+import type net from 'node:net';
 import type { Clock, Timer } from '../clock/clock.js';
 import { UnreachableError } from '../errors/errors.js';
-import { type Message, MessageParser } from './parser.js';
+import { ConnectionPool, type PoolLimits } from './connectionpool.js';
+import { type HttpMessage, MessageParser } from './parser.js';
 
+/** A response; its body is the JSON value, null where it is empty. */
 export interface HttpAnswer {
   status: number;
   body: unknown;
+  /** By lower-case name. */
   headers: Map<string, string>;
 }
 
-/** `sent` is false only when the other side surely never gets the request. */
+/** There was no usable response. `sent` is false only when the other side surely never gets the request. */
 export class HttpRequestError extends UnreachableError {
   constructor(
     message: string,
@@ -19,7 +24,12 @@
   }
 }
 
+/** Whatever sends requests: the client itself, or what stands in its place. */
 export interface Requester {
+  /**
+   * Sends a request to `addr` (`host:port`), with `body` as JSON unless it is null, and resolves with the response, whatever
+   * its status. Rejects with `HttpRequestError` when there is none within `timeoutMs`.
+   */
   request(
     addr: string,
     method: string,
@@ -29,46 +39,33 @@
   ): Promise<HttpAnswer>;
 }
 
-interface Idle {
-  socket: net.Socket;
-  since: number;
-}
-
-export interface ClientOptions {
-  maxSockets: number;
-  /** Connections to one address at once, so that one that is slow does not take all; no more than `maxSockets`. */
-  mostTo?: (addr: string) => number;
-  /** The longest body of an answer. */
+/** Bounds of a client. */
+export interface ClientOptions extends PoolLimits {
+  /** The longest body of a response. */
   bodyBytes: number;
-  /** All that answers not yet complete may hold together; the one that goes beyond fails. */
-  heldBytes?: number;
+  /** Memory that all incomplete responses together may hold; the one that goes beyond fails. */
+  maxHeldBytes?: number;
 }
 
 const HEADER_BYTES = 16 * 1024;
-const HELD_BYTES = 48 * 1024 * 1024;
-const IDLE_MS = 15_000;
+const MAX_HELD_BYTES = 48 * 1024 * 1024;
 
-/** Keeps connections open between requests; one request at a time on each. */
+/** Sends one request at a time on each connection. */
 export class HttpClient implements Requester {
-  private readonly idle = new Map<string, Idle[]>();
-  private readonly openTo = new Map<string, number>();
-  private open = 0;
-  /** Bytes of answers not yet complete. */
-  private held = 0;
-  private closed = false;
+  private readonly pool: ConnectionPool;
+  private readonly memory: ResponseMemory;
 
   constructor(
     private readonly clock: Clock,
     private readonly options: ClientOptions,
   ) {
-    this.sweep();
+    this.pool = new ConnectionPool(clock, options);
+    this.memory = new ResponseMemory(options.maxHeldBytes ?? MAX_HELD_BYTES);
   }
 
   /** Ends all connections, for good. */
   close(): void {
-    this.closed = true;
-    for (const list of this.idle.values()) for (const kept of list) kept.socket.destroy();
-    this.idle.clear();
+    this.pool.close();
   }
 
   request(
@@ -78,140 +75,129 @@
     body: object | null,
     timeoutMs: number,
   ): Promise<HttpAnswer> {
-    const payload = body === null ? '' : JSON.stringify(body);
-    const length =
-      body === null
-        ? ''
-        : `Content-Type: application/json\r\nContent-Length: ${Buffer.byteLength(payload)}\r\n`;
-    const text = `${method} ${path} HTTP/1.1\r\nHost: ${addr}\r\n${length}\r\n${payload}`;
+    const text = requestText(addr, method, path, body);
+    const socket = this.pool.acquire(addr);
+    if (!socket) return Promise.reject(new HttpRequestError('no socket free', false));
     return new Promise((resolve, reject) => {
-      let timer: Timer | null = null;
-      let sent = false;
-      let over = false;
-      const socket = this.take(addr);
-      if (!socket) {
-        reject(new HttpRequestError('no socket free', false));
-        return;
-      }
-      const parser = new MessageParser('response', {
-        headerBytes: HEADER_BYTES,
-        bodyBytes: this.options.bodyBytes,
-      });
-      let holds = 0;
-      const hold = (bytes: number) => {
-        this.held += bytes - holds;
-        holds = bytes;
-      };
-      const end = (reuse: boolean, finish: () => void) => {
-        if (over) return;
-        over = true;
-        timer?.cancel();
-        hold(0);
-        socket.removeAllListeners('data');
-        socket.removeAllListeners('end');
-        socket.removeAllListeners('connect');
-        if (reuse && !socket.destroyed && !this.closed) this.put(addr, socket);
-        else socket.destroy();
-        finish();
-      };
-      const fail = (why: string) =>
-        end(false, () => reject(new HttpRequestError(`${method} ${path}: ${why}`, sent)));
-      const take = (m: Message) => {
-        let parsed: unknown = null;
-        try {
-          if (m.body.length > 0) parsed = JSON.parse(m.body.toString('utf8'));
-        } catch {
-          fail('not JSON');
-          return;
-        }
-        end(m.keepAlive, () => resolve({ status: Number(m.start[1]), body: parsed, headers: m.headers }));
-      };
-      const write = () => {
-        sent = true;
-        socket.write(text);
-      };
-      timer = this.clock.after(timeoutMs, () => fail('timeout'));
-      socket.once('failed', (why: string) => fail(why));
-      socket.on('data', (data) => {
-        const [first] = parser.feed(data);
-        if (first) {
-          take(first);
-          return;
-        }
-        hold(parser.held);
-        if (parser.failure) fail(parser.failure.message);
-        else if (this.held > (this.options.heldBytes ?? HELD_BYTES)) fail('too much at once');
-      });
-      socket.on('end', () => {
-        const last = parser.finish();
-        if (last) take(last);
-        else fail('closed');
-      });
-      if (socket.connecting) socket.once('connect', write);
-      else write();
+      new Exchange({
+        clock: this.clock,
+        socket,
+        parser: new MessageParser('response', {
+          headerBytes: HEADER_BYTES,
+          bodyBytes: this.options.bodyBytes,
+        }),
+        memory: this.memory,
+        onEnd: (state) => this.pool.release(addr, socket, state),
+        resolve,
+        reject: (why, sent) => reject(new HttpRequestError(`${method} ${path}: ${why}`, sent)),
+      }).start(text, timeoutMs);
     });
   }
+}
 
-  private take(addr: string): net.Socket | null {
-    const list = this.idle.get(addr);
-    for (let kept = list?.pop(); kept; kept = list?.pop()) {
-      if (!kept.socket.destroyed && kept.socket.writable) return kept.socket;
-    }
-    const there = this.openTo.get(addr) ?? 0;
-    if (there >= (this.options.mostTo?.(addr) ?? this.options.maxSockets)) return null;
-    if (this.open >= this.options.maxSockets && !this.dropOldest()) return null;
-    const colon = addr.lastIndexOf(':');
-    this.open++;
-    this.openTo.set(addr, there + 1);
-    const socket = net.connect({
-      host: addr.slice(0, colon),
-      port: Number(addr.slice(colon + 1)),
-      noDelay: true,
-    });
-    socket.on('error', (error) => {
-      socket.emit('failed', error.message);
-      socket.destroy();
-    });
-    socket.on('close', () => {
-      this.open--;
-      const left = (this.openTo.get(addr) ?? 1) - 1;
-      if (left > 0) this.openTo.set(addr, left);
-      else this.openTo.delete(addr);
-      socket.emit('failed', 'closed');
-    });
-    return socket;
+function requestText(addr: string, method: string, path: string, body: object | null): string {
+  const payload = body === null ? '' : JSON.stringify(body);
+  const length =
+    body === null
+      ? ''
+      : `Content-Type: application/json\r\nContent-Length: ${Buffer.byteLength(payload)}\r\n`;
+  return `${method} ${path} HTTP/1.1\r\nHost: ${addr}\r\n${length}\r\n${payload}`;
+}
+
+/** Counts the bytes that incomplete responses hold. */
+class ResponseMemory {
+  heldBytes = 0;
+
+  constructor(private readonly maxBytes: number) {}
+
+  get exceeded(): boolean {
+    return this.heldBytes > this.maxBytes;
   }
+}
 
-  private put(addr: string, socket: net.Socket): void {
-    socket.removeAllListeners('failed');
-    let list = this.idle.get(addr);
-    if (!list) {
-      list = [];
-      this.idle.set(addr, list);
-    }
-    list.push({ socket, since: this.clock.now() });
-    // A connection kept idle that the other side closes must not be used again.
-    socket.once('end', () => socket.destroy());
+interface ExchangeOptions {
+  readonly clock: Clock;
+  readonly socket: net.Socket;
+  readonly parser: MessageParser;
+  readonly memory: ResponseMemory;
+  /** Called once, before the exchange resolves or rejects. */
+  readonly onEnd: (state: 'reusable' | 'broken') => void;
+  readonly resolve: (answer: HttpAnswer) => void;
+  readonly reject: (why: string, sent: boolean) => void;
+}
+
+/** One request and its response on a connection. */
+class Exchange {
+  private timeout: Timer | null = null;
+  private sent = false;
+  private over = false;
+  private heldBytes = 0;
+
+  constructor(private readonly options: ExchangeOptions) {}
+
+  start(text: string, timeoutMs: number): void {
+    const { clock, socket } = this.options;
+    this.timeout = clock.after(timeoutMs, () => this.fail('timeout'));
+    socket.once('failed', (why: string) => this.fail(why));
+    socket.on('data', (data) => this.onData(data));
+    socket.on('end', () => this.onClosed());
+    if (socket.connecting) socket.once('connect', () => this.write(text));
+    else this.write(text);
   }
 
-  private dropOldest(): boolean {
-    for (const list of this.idle.values()) {
-      const kept = list.shift();
-      if (kept) {
-        kept.socket.destroy();
-        return true;
-      }
+  private write(text: string): void {
+    this.sent = true;
+    this.options.socket.write(text);
+  }
+
+  private onData(data: Buffer): void {
+    const { parser, memory } = this.options;
+    const [first] = parser.feed(data);
+    if (first) {
+      this.onResponse(first);
+      return;
     }
-    return false;
+    this.hold(parser.held);
+    if (parser.failure) this.fail(parser.failure.message);
+    else if (memory.exceeded) this.fail('too much at once');
+  }
+
+  private onClosed(): void {
+    const last = this.options.parser.finish();
+    if (last) this.onResponse(last);
+    else this.fail('closed');
   }
 
-  private sweep(): void {
-    if (this.closed) return;
-    const limit = this.clock.now() - IDLE_MS;
-    for (const [addr, list] of this.idle) {
-      while (list[0] && (list[0].since < limit || list[0].socket.destroyed)) list.shift()!.socket.destroy();
-      if (list.length === 0) this.idle.delete(addr);
+  private onResponse(message: HttpMessage): void {
+    let body: unknown = null;
+    try {
+      if (message.body.length > 0) body = JSON.parse(message.body.toString('utf8'));
+    } catch {
+      this.fail('not JSON');
+      return;
     }
-    this.clock.after(5000, () => this.sweep());
+    if (!this.end(message.keepAlive ? 'reusable' : 'broken')) return;
+    this.options.resolve({ status: Number(message.start[1]), body, headers: message.headers });
+  }
+
+  private fail(why: string): void {
+    if (this.end('broken')) this.options.reject(why, this.sent);
+  }
+
+  /** False when the exchange is over already. */
+  private end(state: 'reusable' | 'broken'): boolean {
+    if (this.over) return false;
+    this.over = true;
+    this.timeout?.cancel();
+    this.hold(0);
+    const { socket } = this.options;
+    for (const event of ['data', 'end', 'connect']) socket.removeAllListeners(event);
+    this.options.onEnd(state);
+    return true;
+  }
+
+  private hold(bytes: number): void {
+    this.options.memory.heldBytes += bytes - this.heldBytes;
+    this.heldBytes = bytes;
   }
 }
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -1,19 +1,25 @@
+/** An HTTP/1.1 message parser that takes bytes as they are received, for requests and for responses. */
+
 import { ProtocolViolationError } from '../errors/errors.js';
-/** An HTTP/1.1 message parser that takes bytes as they come, for requests and for responses. */
-export interface Message {
+
+/** A complete request or response. */
+export interface HttpMessage {
   /** First line, split at its first two spaces. */
   start: [string, string, string];
+  /** By lower-case name; repeated ones joined by commas. */
   headers: Map<string, string>;
   body: Buffer;
+  /** Whether the connection may be used for another message. */
   keepAlive: boolean;
 }
 
+/** The longest head (without the empty line) and body of a message. */
 export interface ParserLimits {
   headerBytes: number;
   bodyBytes: number;
 }
 
-/** A message that cannot be accepted, with the status that a server answers it with. */
+/** A message that cannot be accepted, with the status that a server replies with. */
 export class ParseError extends ProtocolViolationError {
   constructor(
     readonly status: number,
@@ -23,17 +29,18 @@
   }
 }
 
-type Phase = 'head' | 'fixed' | 'chunk-size' | 'chunk-data' | 'chunk-end' | 'trailer' | 'until-close';
+/** Which part of a message is expected next. */
+type ParserPhase = 'head' | 'fixed' | 'chunk-size' | 'chunk-data' | 'chunk-end' | 'trailer' | 'until-close';
 
 const TOKEN = /^[!#$%&'*+.^_`|~0-9A-Za-z-]+$/;
-/** A bare line end inside a value lets two readers see two different heads. */
-const FORBIDDEN = /[\0\r\n]/;
-const ONCE = new Set(['content-length', 'transfer-encoding', 'host']);
-const CHUNK_LINE = 1024;
+/** A bare line end inside a value would be read differently by two parsers (request smuggling). */
+const FORBIDDEN_IN_VALUE = /[\0\r\n]/;
+const SINGLE_HEADERS = new Set(['content-length', 'transfer-encoding', 'host']);
+const MAX_CHUNK_LINE_BYTES = 1024;
 const EMPTY = Buffer.alloc(0);
 
-/** Bytes of a body as they come: memory in proportion to what has come, and time too, however small the pieces are. */
-class Body {
+/** A body as it is received: memory and time in proportion to the bytes received, however small the pieces are. */
+class BodyBuffer {
   private buffer: Buffer = EMPTY;
   bytes = 0;
 
@@ -43,7 +50,7 @@
 
   append(data: Buffer): void {
     if (this.bytes === 0) {
-      // Most bodies come whole and are not copied.
+      // Most bodies are received in one piece and are not copied.
       this.buffer = data;
     } else {
       if (this.bytes + data.length > this.buffer.length) {
@@ -64,19 +71,20 @@
   }
 }
 
+/** Parses the messages of one connection. */
 export class MessageParser {
   private buffer: Buffer = EMPTY;
-  private phase: Phase = 'head';
+  private phase: ParserPhase = 'head';
   private start: [string, string, string] = ['', '', ''];
   private headers = new Map<string, string>();
-  private readonly body = new Body();
+  private readonly body = new BodyBuffer();
   private bodyBytes = 0;
   private trailerBytes = 0;
-  private expected = 0;
-  private scanned = 0;
-  /** The client waits to be told to send the body (`Expect: 100-continue`); whoever tells it clears this. */
+  private expectedBytes = 0;
+  private scannedBytes = 0;
+  /** The client waits for an interim reply before it sends the body (`Expect: 100-continue`); who sends that clears this. */
   awaitsContinue = false;
-  /** Set by a client before the response of a request without a body in its answer. */
+  /** Set by a client whose request gets a response without a body (HEAD). */
   noBody = false;
 
   constructor(
@@ -84,26 +92,26 @@
     private readonly limits: ParserLimits,
   ) {}
 
-  /** True while part of a message has come. */
+  /** Whether part of a message has been received. */
   get midway(): boolean {
     return this.phase !== 'head' || this.buffer.length > 0;
   }
 
-  /** Bytes of memory that a message not yet complete takes. */
+  /** Bytes of memory that the incomplete message takes. */
   get held(): number {
     return this.buffer.length + this.body.held;
   }
 
-  /** Why nothing more can be read here; whatever comes after is passed over. */
+  /** Why nothing more can be parsed on this connection; further bytes are ignored. */
   failure: ParseError | null = null;
 
-  /** Takes bytes and returns the messages that they complete; then `failure` tells whether the rest can be accepted. */
-  feed(data: Buffer): Message[] {
-    const out: Message[] = [];
+  /** Takes bytes and returns the messages that they complete; `failure` is then set if the rest cannot be accepted. */
+  feed(data: Buffer): HttpMessage[] {
+    const out: HttpMessage[] = [];
     if (this.failure) return out;
     this.buffer = this.buffer.length === 0 ? data : Buffer.concat([this.buffer, data]);
     try {
-      for (let message = this.step(); message !== 'more'; message = this.step()) {
+      for (let message = this.advance(); message !== 'more'; message = this.advance()) {
         if (message !== 'again') out.push(message);
       }
     } catch (error) {
@@ -115,82 +123,91 @@
     return out;
   }
 
-  /** The other side has closed: a response without a length ends here. */
-  finish(): Message | null {
+  /** The other side has closed the connection: completes a response without a length. */
+  finish(): HttpMessage | null {
     if (this.failure || this.phase !== 'until-close') return null;
     const last = this.complete(false);
     return last === 'again' ? null : last;
   }
 
-  private step(): Message | 'more' | 'again' {
+  /** Parses the part that is expected next: a complete message, or whether to parse on or to wait for more bytes. */
+  private advance(): HttpMessage | 'more' | 'again' {
     switch (this.phase) {
       case 'head':
-        return this.head();
-      case 'fixed': {
-        if (!this.take()) return 'more';
-        return this.complete(true);
-      }
-      case 'chunk-size': {
-        const line = this.line(CHUNK_LINE);
-        if (line === null) return 'more';
-        const size = /^([0-9a-fA-F]{1,8})[ \t]*(;.*)?$/.exec(line);
-        if (!size) throw new ParseError(400, 'bad chunk size');
-        this.expected = Number.parseInt(size[1]!, 16);
-        if (this.expected === 0) {
-          this.phase = 'trailer';
-          return 'again';
-        }
-        this.grow(this.expected);
-        this.phase = 'chunk-data';
-        return 'again';
-      }
-      case 'chunk-data': {
-        if (!this.take()) return 'more';
-        this.phase = 'chunk-end';
-        return 'again';
-      }
-      case 'chunk-end': {
-        const line = this.line(8);
-        if (line === null) return 'more';
-        if (line !== '') throw new ParseError(400, 'bad chunk end');
-        this.phase = 'chunk-size';
-        return 'again';
-      }
-      case 'trailer': {
-        const line = this.line(this.limits.headerBytes);
-        if (line === null) return 'more';
-        this.trailerBytes += line.length;
-        if (this.trailerBytes > this.limits.headerBytes) throw new ParseError(431, 'trailer too large');
-        return line === '' ? this.complete(true) : 'again';
-      }
-      case 'until-close': {
-        if (this.buffer.length > 0) {
-          this.grow(this.buffer.length);
-          this.body.append(this.buffer);
-          this.buffer = EMPTY;
-        }
-        return 'more';
-      }
+        return this.readHead();
+      case 'fixed':
+        return this.takeExpected() ? this.complete(true) : 'more';
+      case 'chunk-size':
+        return this.readChunkSize();
+      case 'chunk-data':
+        return this.takeExpected() ? this.enter('chunk-end') : 'more';
+      case 'chunk-end':
+        return this.readChunkEnd();
+      case 'trailer':
+        return this.readTrailer();
+      case 'until-close':
+        return this.readUntilClose();
+    }
+  }
+
+  private enter(phase: ParserPhase): 'again' {
+    this.phase = phase;
+    return 'again';
+  }
+
+  private readChunkSize(): 'more' | 'again' {
+    const line = this.takeLine(MAX_CHUNK_LINE_BYTES);
+    if (line === null) return 'more';
+    const size = /^([0-9a-fA-F]{1,8})[ \t]*(;.*)?$/.exec(line);
+    if (!size) throw new ParseError(400, 'bad chunk size');
+    this.expectedBytes = Number.parseInt(size[1]!, 16);
+    if (this.expectedBytes === 0) return this.enter('trailer');
+    this.countBodyBytes(this.expectedBytes);
+    return this.enter('chunk-data');
+  }
+
+  private readChunkEnd(): 'more' | 'again' {
+    const line = this.takeLine(8);
+    if (line === null) return 'more';
+    if (line !== '') throw new ParseError(400, 'bad chunk end');
+    return this.enter('chunk-size');
+  }
+
+  private readTrailer(): HttpMessage | 'more' | 'again' {
+    const line = this.takeLine(this.limits.headerBytes);
+    if (line === null) return 'more';
+    this.trailerBytes += line.length;
+    if (this.trailerBytes > this.limits.headerBytes) throw new ParseError(431, 'trailer too large');
+    return line === '' ? this.complete(true) : 'again';
+  }
+
+  private readUntilClose(): 'more' {
+    if (this.buffer.length > 0) {
+      this.countBodyBytes(this.buffer.length);
+      this.body.append(this.buffer);
+      this.buffer = EMPTY;
     }
+    return 'more';
   }
 
-  private grow(bytes: number): void {
+  private countBodyBytes(bytes: number): void {
     this.bodyBytes += bytes;
     if (this.bodyBytes > this.limits.bodyBytes) throw new ParseError(413, 'body too large');
   }
 
-  /** Moves what has come of the expected bytes to the body; true when all have. */
-  private take(): boolean {
-    const bytes = Math.min(this.expected, this.buffer.length);
+  /** Moves the expected bytes received so far to the body; true when all have been received. */
+  private takeExpected(): boolean {
+    const bytes = Math.min(this.expectedBytes, this.buffer.length);
     if (bytes > 0) this.body.append(this.buffer.subarray(0, bytes));
     this.buffer = bytes === this.buffer.length ? EMPTY : this.buffer.subarray(bytes);
-    this.expected -= bytes;
-    return this.expected === 0;
+    this.expectedBytes -= bytes;
+    return this.expectedBytes === 0;
   }
 
-  private line(limit: number): string | null {
+  /** The next line without its end, or null while it is incomplete. */
+  private takeLine(limit: number): string | null {
     const end = this.buffer.indexOf('\r\n');
-    // The same whether the line comes whole or in pieces, of which the last may end between the two bytes of its end.
+    // The same result however the line is split into pieces, also between the two bytes of its end.
     if (end > limit || (end < 0 && this.buffer.length > limit + 1))
       throw new ParseError(400, 'line too long');
     if (end < 0) return null;
@@ -199,18 +216,18 @@
     return text;
   }
 
-  private head(): Message | 'more' | 'again' {
+  private readHead(): HttpMessage | 'more' | 'again' {
     // Empty lines before a request line are allowed.
     while (this.buffer.length >= 2 && this.buffer[0] === 13 && this.buffer[1] === 10) {
       this.buffer = this.buffer.subarray(2);
     }
-    const end = this.buffer.indexOf('\r\n\r\n', Math.max(0, this.scanned - 3));
+    const end = this.buffer.indexOf('\r\n\r\n', Math.max(0, this.scannedBytes - 3));
     if (end < 0) {
-      this.scanned = this.buffer.length;
+      this.scannedBytes = this.buffer.length;
       if (this.buffer.length > this.limits.headerBytes + 3) throw new ParseError(431, 'header too large');
       return 'more';
     }
-    this.scanned = 0;
+    this.scannedBytes = 0;
     if (end > this.limits.headerBytes) throw new ParseError(431, 'header too large');
     const lines = this.buffer.toString('latin1', 0, end).split('\r\n');
     this.buffer = this.buffer.subarray(end + 4);
@@ -218,7 +235,7 @@
     this.headers = new Map();
     for (let i = 1; i < lines.length; i++) this.readHeader(lines[i]!);
     if (this.kind === 'request') this.checkRequest();
-    return this.frame();
+    return this.beginBody();
   }
 
   private readStart(line: string): void {
@@ -235,14 +252,14 @@
     const name = line.slice(0, colon).toLowerCase();
     if (colon <= 0 || !TOKEN.test(name)) throw new ParseError(400, 'bad header');
     const value = line.slice(colon + 1).trim();
-    if (FORBIDDEN.test(value)) throw new ParseError(400, 'bad header');
+    if (FORBIDDEN_IN_VALUE.test(value)) throw new ParseError(400, 'bad header');
     const before = this.headers.get(name);
-    // Two lengths, or a length beside chunks, let two readers see two different bodies; two hosts, two servers.
-    if (before !== undefined && ONCE.has(name)) throw new ParseError(400, `repeated ${name}`);
+    // Two lengths, or a length beside chunks, let two parsers see two different bodies; two hosts, two servers.
+    if (before !== undefined && SINGLE_HEADERS.has(name)) throw new ParseError(400, `repeated ${name}`);
     this.headers.set(name, before === undefined ? value : `${before}, ${value}`);
   }
 
-  /** What HTTP/1.1 demands of a request beyond its form (RFC 9112, 3.2 and 6.1; RFC 9110, 10.1.1). */
+  /** What HTTP/1.1 requires of a request beyond its form (RFC 9112, 3.2 and 6.1; RFC 9110, 10.1.1). */
   private checkRequest(): void {
     const modern = this.start[2] === 'HTTP/1.1';
     if (modern && !this.headers.has('host')) throw new ParseError(400, 'no host');
@@ -253,7 +270,8 @@
     this.awaitsContinue = true;
   }
 
-  private frame(): Message | 'again' {
+  /** How the body is delimited, by the head (RFC 9112, 6.3). */
+  private beginBody(): HttpMessage | 'again' {
     this.bodyBytes = 0;
     this.trailerBytes = 0;
     const coding = this.headers.get('transfer-encoding');
@@ -262,30 +280,28 @@
       if (length !== undefined || coding.toLowerCase() !== 'chunked') {
         throw new ParseError(coding.toLowerCase() === 'chunked' ? 400 : 501, 'bad transfer coding');
       }
-      this.phase = 'chunk-size';
-      return 'again';
+      return this.enter('chunk-size');
     }
     if (length !== undefined) {
       if (!/^\d{1,15}$/.test(length)) throw new ParseError(400, 'bad length');
-      this.expected = Number(length);
-      if (this.expected > this.limits.bodyBytes) throw new ParseError(413, 'body too large');
-      this.phase = 'fixed';
-      return 'again';
+      this.expectedBytes = Number(length);
+      if (this.expectedBytes > this.limits.bodyBytes) throw new ParseError(413, 'body too large');
+      return this.enter('fixed');
     }
     const status = this.kind === 'response' ? Number(this.start[1]) : 0;
     if (this.kind === 'request' || this.noBody || status === 204 || status === 304 || status < 200) {
       return this.complete(true);
     }
-    this.phase = 'until-close';
-    return 'again';
+    return this.enter('until-close');
   }
 
-  private complete(framed: boolean): Message | 'again' {
+  /** Ends a message; `framed` is false when only the end of the connection has delimited it. */
+  private complete(framed: boolean): HttpMessage | 'again' {
     this.phase = 'head';
     this.noBody = false;
     this.awaitsContinue = false;
     const body = this.body.take();
-    // Interim answers come before the one that counts; nothing asks for another protocol.
+    // Interim responses precede the final one; no request asks for another protocol.
     if (this.kind === 'response' && this.start[1] === '101') throw new ParseError(400, 'protocol switched');
     if (this.kind === 'response' && this.start[1].startsWith('1')) return 'again';
     const version = this.kind === 'request' ? this.start[2] : this.start[0];
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,39 +1,54 @@
-// This package: HTTP/1.1 on sockets: parser, server, client, and who gets a place; nothing of what is asked.
+/** An HTTP/1.1 server on Node's `net`: connections, time limits and replies, whatever is asked. */
+
 import net from 'node:net';
 import type { Clock } from '../clock/clock.js';
-import { Admission, type AdmissionCounts, type Seat, type Shown } from './admission.js';
-import { type Message, MessageParser } from './parser.js';
+import { type PeriodicTask, startPeriodicTask } from '../clock/periodictask.js';
+import {
+  type AdmissionCounts,
+  type ClientKind,
+  ConnectionAdmission,
+  type ConnectionSlot,
+} from './connectionadmission.js';
+import { type HttpMessage, MessageParser } from './parser.js';
 
+/** A complete request. */
 export interface HttpRequest {
   method: string;
+  /** Without the query, not decoded. */
   path: string;
   query: URLSearchParams;
+  /** By lower-case name. */
   headers: Map<string, string>;
   body: Buffer;
 }
 
+/** A reply; its body is sent as JSON. */
 export interface HttpReply {
   status: number;
   body?: object;
   headers?: Record<string, string>;
-  /** What the request has shown its sender to be; a user unless said otherwise. */
+  /** What the content of the request has shown its client to be; a user unless set. */
   from?: 'worker' | 'health';
 }
 
+/** Answers a request; when it throws, the request is answered 503. */
 export type Handler = (request: HttpRequest) => Promise<HttpReply> | HttpReply;
 
+/** Bounds and hooks of a server; times in milliseconds. */
 export interface ServerOptions {
   /** Connections at once, of all kinds. */
   maxConnections: number;
+  /** The longest body of a request. */
   bodyBytes: number;
-  /** A request that has begun must be complete by then. */
+  /** A request must be complete within this time of its first byte. */
   requestMs: number;
+  /** An idle connection is ended after this time. */
   idleMs: number;
-  /** What a request claims to come from, by its path alone. */
-  claims?: (path: string) => Shown;
+  /** The kind of client that a request seems to come from, by its path alone. */
+  classify?: (path: string) => ClientKind;
   onError: (error: unknown) => void;
-  /** Now and then, when connections had to go or were turned away: the counts since the last time. */
-  onShort?: (counts: AdmissionCounts, open: number) => void;
+  /** Called at intervals when connections were evicted or refused: the counts since the last call. */
+  onOverload?: (counts: AdmissionCounts, open: number) => void;
 }
 
 const REASONS: Record<number, string> = {
@@ -53,67 +68,71 @@
   503: 'Service Unavailable',
 };
 
+/** An open connection and its limits' state. */
 interface Connection {
   socket: net.Socket;
-  seat: Seat;
+  slot: ConnectionSlot;
   parser: MessageParser;
-  queue: Message[];
+  /** Complete requests not yet answered. */
+  queue: HttpMessage[];
+  /** A request is being answered. */
   busy: boolean;
+  /** The last reply has been sent; nothing more is read. */
   closing: boolean;
-  /** When it was last idle, or since when part of a request is there. */
+  /** When it was last idle, or when the first part of an incomplete request was received. */
   since: number;
-  /** Bytes that have come since then. */
+  /** Bytes received since then. */
   received: number;
-  /** Bytes of answers that the other side has not taken, and since when they have not become fewer. */
+  /** Bytes of replies that the other side has not received, and since when they have not become fewer. */
   unsent: number;
   unsentSince: number;
 }
 
 const HEADER_BYTES = 8192;
-/** Requests are not pipelined; a client that does so anyway is held to a few. */
+/** Requests are not pipelined; a client that does so anyway may have this many unanswered. */
 const MAX_QUEUED = 8;
-const SWEEP_MS = 1000;
-/** Longer than this after the last sweep, the process has stood still, which is no fault of those who wait. */
-const STOOD_STILL_MS = 2500;
-/** Answers that nobody takes: so many bytes at once, and for so long. */
+const SWEEP_INTERVAL_MS = 1000;
+/** Longer than this after the last sweep, the process was stalled: that is not the fault of the connections, which get the time back. */
+const STALL_MS = 2500;
+/** Replies that are not received: at most so many bytes at once, and for so long. */
 const MAX_UNSENT_BYTES = 256 * 1024;
 const UNSENT_MS = 10_000;
-/** After this long a request that has not all come must have come at this rate, and while places are short sooner. */
+/** After this time an incomplete request must have been received at this rate; near the server's capacity, sooner. */
 const PROGRESS_MS = 4000;
-const PROGRESS_SHORT_MS = 1500;
+const PROGRESS_NEAR_CAPACITY_MS = 1500;
 const PROGRESS_BYTES_PER_S = 256;
-/** All that connections may hold of requests not complete and answers not taken. */
+/** Memory that all connections together may hold for incomplete requests and replies not received. */
 const MAX_HELD_BYTES = 8 * 1024 * 1024;
-const TELL_MS = 5000;
+const REPORT_INTERVAL_MS = 5000;
 
 /**
- * HTTP/1.1 on Node's `net`. Who gets a place is up to `Admission`; here is what a connection must do to keep it: send
- * what it has begun, and take what it asked for.
+ * Serves HTTP/1.1. Which connections are kept is up to `ConnectionAdmission`; this class enforces what a connection must do
+ * to be kept: complete the requests that it has begun, and receive the replies.
  */
 export class HttpServer {
   private readonly server: net.Server;
   private readonly connections = new Set<Connection>();
-  private readonly admission: Admission;
+  private readonly admission: ConnectionAdmission;
   private sweptAt: number;
-  private toldAt: number;
-  private told: AdmissionCounts = { refused: 0, evicted: 0, deferred: 0 };
-  private closed = false;
+  private reportedAt: number;
+  private reportedCounts: AdmissionCounts = { refused: 0, evicted: 0, deferred: 0 };
+  private readonly sweeping: PeriodicTask;
 
   constructor(
     private readonly clock: Clock,
     private readonly handler: Handler,
     private readonly options: ServerOptions,
   ) {
-    this.admission = new Admission(options.maxConnections);
+    this.admission = new ConnectionAdmission(options.maxConnections);
     this.server = net.createServer({ noDelay: true }, (socket) => this.accept(socket));
     this.server.maxConnections = options.maxConnections;
     this.server.on('error', options.onError);
     this.sweptAt = clock.now();
-    this.toldAt = this.sweptAt;
-    clock.after(SWEEP_MS, () => this.sweep());
+    this.reportedAt = this.sweptAt;
+    this.sweeping = startPeriodicTask(clock, SWEEP_INTERVAL_MS, () => this.sweep());
   }
 
-  /** Resolves with the port. */
+  /** Resolves with the port once the server is listening; rejects when the address cannot be bound. */
   listen(host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -126,25 +145,26 @@
 
   /** Connections that are open. */
   get open(): number {
-    return this.admission.size;
+    return this.admission.openCount;
   }
 
+  /** Stops listening and ends all connections, for good. */
   close(): void {
-    this.closed = true;
+    this.sweeping.stop();
     this.server.close();
     for (const c of this.connections) c.socket.destroy();
   }
 
   private accept(socket: net.Socket): void {
-    const seat = this.admission.enter(socket.remoteAddress ?? '', () => socket.destroy());
-    if (!seat) {
+    const slot = this.admission.admit(socket.remoteAddress ?? '', () => socket.destroy());
+    if (!slot) {
       socket.destroy();
       return;
     }
     const now = this.clock.now();
     const connection: Connection = {
       socket,
-      seat,
+      slot: slot,
       parser: new MessageParser('request', { headerBytes: HEADER_BYTES, bodyBytes: this.options.bodyBytes }),
       queue: [],
       busy: false,
@@ -155,17 +175,17 @@
       unsentSince: now,
     };
     this.connections.add(connection);
-    // What it sent before it was accepted is read in the turn of the event loop after this one.
+    // What it sent before it was accepted is read in the next turn of the event loop.
     setImmediate(() => {
       setImmediate(() => {
-        seat.looked = true;
+        slot.initialDataRead = true;
       });
     });
     socket.on('data', (data) => this.receive(connection, data));
     socket.on('error', () => socket.destroy());
     socket.on('close', () => {
       this.connections.delete(connection);
-      this.admission.leave(seat);
+      this.admission.release(slot);
     });
   }
 
@@ -174,7 +194,7 @@
     if (!c.parser.midway) {
       c.since = this.clock.now();
       c.received = 0;
-      this.admission.engage(c.seat);
+      this.admission.onRequestStarted(c.slot);
     }
     c.received += data.length;
     c.queue.push(...c.parser.feed(data));
@@ -184,7 +204,7 @@
     }
     if (c.parser.awaitsContinue) {
       c.parser.awaitsContinue = false;
-      // An answer to a request before this one must not be overtaken.
+      // The reply to an earlier request must not be overtaken.
       if (!c.busy && c.queue.length === 0) c.socket.write('HTTP/1.1 100 Continue\r\n\r\n');
     }
     if (!c.busy && (c.queue.length > 0 || c.parser.failure)) void this.serve(c);
@@ -192,9 +212,9 @@
 
   private async serve(c: Connection): Promise<void> {
     c.busy = true;
-    let kind: Shown = 'user';
+    let kind: ClientKind = 'user';
     for (let m = c.queue.shift(); m && !c.closing; m = c.queue.shift()) {
-      if (!this.admission.serve(c.seat, this.options.claims?.(m.start[1]) ?? 'user')) {
+      if (!this.admission.tryServe(c.slot, this.options.classify?.(m.start[1]) ?? 'user')) {
         this.send(
           c,
           { status: 503, body: { error: 'too many requests at once' }, headers: { 'Retry-After': '1' } },
@@ -206,7 +226,7 @@
       kind = reply.from ?? 'user';
       this.send(c, reply, m.keepAlive);
     }
-    // What was complete before what cannot be read has been answered.
+    // The complete requests before the one that cannot be parsed have been answered.
     const { failure } = c.parser;
     if (failure && !c.closing)
       this.send(c, { status: failure.status, body: { error: failure.message } }, false);
@@ -214,11 +234,11 @@
     c.since = this.clock.now();
     c.received = 0;
     if (!this.connections.has(c)) return;
-    this.admission.settle(c.seat, kind);
-    if (c.parser.midway) this.admission.engage(c.seat);
+    this.admission.onAnswered(c.slot, kind);
+    if (c.parser.midway) this.admission.onRequestStarted(c.slot);
   }
 
-  private async answer(m: Message): Promise<HttpReply> {
+  private async answer(m: HttpMessage): Promise<HttpReply> {
     try {
       const mark = m.start[1].indexOf('?');
       return await this.handler({
@@ -248,19 +268,18 @@
     }
   }
 
-  /** Slow or half-open connections must not hold a node: none stays midway, unread or idle for long. */
+  /** Ends connections that are overdue, so that slow or half-open ones do not exhaust the node, and the largest if memory is short. */
   private sweep(): void {
-    if (this.closed) return;
     const now = this.clock.now();
-    const late = now - this.sweptAt - SWEEP_MS;
+    const lateMs = now - this.sweptAt - SWEEP_INTERVAL_MS;
     this.sweptAt = now;
     let held = 0;
     let largest: Connection | null = null;
-    let most = 0;
+    let largestBytes = 0;
     for (const c of this.connections) {
-      if (late > STOOD_STILL_MS - SWEEP_MS) {
-        c.since = Math.min(now, c.since + late);
-        c.unsentSince = Math.min(now, c.unsentSince + late);
+      if (lateMs > STALL_MS - SWEEP_INTERVAL_MS) {
+        c.since = Math.min(now, c.since + lateMs);
+        c.unsentSince = Math.min(now, c.unsentSince + lateMs);
       }
       if (this.overdue(c, now)) {
         c.socket.destroy();
@@ -268,16 +287,16 @@
       }
       const bytes = c.parser.held + c.unsent;
       held += bytes;
-      if (bytes > most) {
-        most = bytes;
+      if (bytes > largestBytes) {
+        largestBytes = bytes;
         largest = c;
       }
     }
     if (held > MAX_HELD_BYTES) largest?.socket.destroy();
-    this.tell(now);
-    this.clock.after(SWEEP_MS, () => this.sweep());
+    this.reportCounts(now);
   }
 
+  /** Whether a connection has exceeded one of its time limits; also updates what it has unsent. */
   private overdue(c: Connection, now: number): boolean {
     const unsent = c.socket.writableLength;
     if (unsent === 0 || unsent < c.unsent) c.unsentSince = now;
@@ -286,24 +305,24 @@
     if (c.busy) return false;
     const waited = now - c.since;
     if (c.closing) return waited > this.options.requestMs;
-    const stranger = c.seat.kind === 'stranger';
-    if (!c.parser.midway && !(stranger && c.received === 0)) return waited > this.options.idleMs;
+    const unidentified = c.slot.kind === 'unidentified';
+    if (!c.parser.midway && !(unidentified && c.received === 0)) return waited > this.options.idleMs;
     if (waited > this.options.requestMs) return true;
-    const hurried = stranger && this.admission.short;
-    if (waited <= (hurried ? PROGRESS_SHORT_MS : PROGRESS_MS)) return false;
-    // A connection opened ahead of need sends nothing, which is no slowness while places are not short.
+    const hurried = unidentified && this.admission.nearCapacity;
+    if (waited <= (hurried ? PROGRESS_NEAR_CAPACITY_MS : PROGRESS_MS)) return false;
+    // A connection opened ahead of need sends nothing, which is tolerated while slots are not scarce.
     if (!c.parser.midway) return hurried;
     return (c.received * 1000) / waited < PROGRESS_BYTES_PER_S;
   }
 
-  private tell(now: number): void {
-    if (now - this.toldAt < TELL_MS) return;
-    this.toldAt = now;
+  private reportCounts(now: number): void {
+    if (now - this.reportedAt < REPORT_INTERVAL_MS) return;
+    this.reportedAt = now;
     const { refused, evicted, deferred } = this.admission.counts;
-    const before = this.told;
+    const before = this.reportedCounts;
     if (refused === before.refused && evicted === before.evicted && deferred === before.deferred) return;
-    this.told = { refused, evicted, deferred };
-    this.options.onShort?.(
+    this.reportedCounts = { refused, evicted, deferred };
+    this.options.onOverload?.(
       {
         refused: refused - before.refused,
         evicted: evicted - before.evicted,
--- a/src/program/compose.ts
+++ b/src/program/compose.ts
@@ -1,7 +1,7 @@
 /** What a controller process consists of and how its parts are wired; nothing is listening or running yet. */
 
 import { randomUUID } from 'node:crypto';
-import { Api, claimOf } from '../api/routes.js';
+import { Api, classifyRequest } from '../api/routes.js';
 import { type Clock, quickClock } from '../clock/clock.js';
 import { Cloud } from '../cloud/cloud.js';
 import type { Log } from '../config/log.js';
@@ -64,12 +64,12 @@
   );
   const server = new HttpServer(clock, (request) => api.handle(request), {
     maxConnections: partSockets(settings.limits.maxSockets).incoming,
-    claims: claimOf,
+    classify: classifyRequest,
     bodyBytes: MAX_REQUEST_BYTES,
     requestMs: REQUEST_TIMEOUT_MS,
     idleMs: IDLE_TIMEOUT_MS,
     onError,
-    onShort: (counts, open) => log.warn({ ...counts, open }, 'connections short'),
+    onOverload: (counts, open) => log.warn({ ...counts, open }, 'connections short'),
   });
   return { clock, node, mesh, server };
 }
@@ -80,12 +80,12 @@
   const services = new HttpClient(clock, {
     maxSockets: sockets.services,
     // A cloud that trickles must not keep a lease from renewal.
-    mostTo: (addr) => (addr === settings.cloud ? Math.ceil(sockets.services / 4) : sockets.services),
+    maxSocketsTo: (addr) => (addr === settings.cloud ? Math.ceil(sockets.services / 4) : sockets.services),
     bodyBytes: MAX_SERVICE_ANSWER_BYTES,
   });
   const workers = new HttpClient(clock, {
     maxSockets: sockets.workers,
-    mostTo: () => SOCKETS_PER_WORKER,
+    maxSocketsTo: () => SOCKETS_PER_WORKER,
     bodyBytes: MAX_WORKER_ANSWER_BYTES,
   });
   const names = new NameTables();
--- a/tests/http/server.test.ts
+++ b/tests/http/server.test.ts
@@ -68,7 +68,7 @@
     (r) => ({ status: 200, body: {}, from: r.path === '/report' ? 'worker' : 'health' }),
     {
       maxConnections: 480,
-      claims: (path) => (path === '/report' ? 'worker' : 'health'),
+      classify: (path) => (path === '/report' ? 'worker' : 'health'),
     },
   );
   const port = await server.listen('127.0.0.1', 0);
@@ -197,9 +197,9 @@
   const at = (s: net.Server) => `127.0.0.1:${(s.address() as net.AddressInfo).port}`;
   const client = new HttpClient(clock, {
     maxSockets: 8,
-    mostTo: () => 2,
+    maxSocketsTo: () => 2,
     bodyBytes: 10_000,
-    heldBytes: 20_000,
+    maxHeldBytes: 20_000,
   });
   const failures: string[] = [];
   const asked = (addr: string) =>
@@ -212,7 +212,7 @@
   const big = [1, 2].map(() => asked(at(long)));
   const strict = new HttpClient(clock, { maxSockets: 8, bodyBytes: 8999 });
   await assert.rejects(strict.request(at(long), 'GET', '/', null, 1000), /body too large/);
-  const tight = new HttpClient(clock, { maxSockets: 8, bodyBytes: 10_000, heldBytes: 7000 });
+  const tight = new HttpClient(clock, { maxSockets: 8, bodyBytes: 10_000, maxHeldBytes: 7000 });
   await assert.rejects(tight.request(at(long), 'GET', '/', null, 1000), /too much at once/);
   await clock.advance(1100);
   await Promise.all([...waits, ...big]);
