--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -1,4 +1,4 @@
-// This package: what users and workers ask over HTTP, and how it is answered.
+/** The HTTP interface for users and workers: which path does what, and the replies. */
 
 import type { ControllerContext } from '../context/context.js';
 import type { ControllerNode } from '../controller/controllernode.js';
@@ -22,15 +22,15 @@
 
 const JOB_PATH = /^\/api\/jobs\/([^/]+)(?:\/([^/]+))?$/;
 
-/** Whom a request seems to come from, before anything of it has been checked. */
+/** The kind of client that a request seems to come from, by its path, before anything of it has been checked. */
 export function classifyRequest(path: string): ClientKind {
   if (path === WORKER_PATHS.heartbeat) return 'worker';
   return path === USER_PATHS.health ? 'health' : 'user';
 }
 
-/** What users and workers ask over HTTP. */
+/** Serves the requests of users and workers. */
 export class Api {
-  /** What optional parts answer, by the beginning of the path. */
+  /** Handlers of optional parts, by the prefix of the path. */
   readonly mounts = new Map<string, (r: HttpRequest) => Promise<HttpReply>>();
 
   constructor(
@@ -38,12 +38,13 @@
     private readonly node: ControllerNode,
   ) {}
 
+  /** Replies to one request; 503 when it cannot be served now. */
   async handle(request: HttpRequest): Promise<HttpReply> {
     try {
       return await this.route(request);
     } catch (error) {
       if (error instanceof UnavailableError || error instanceof StateStoreError) {
-        this.context.log.debug({ path: request.path, err: error }, 'not now');
+        this.context.log.debug({ path: request.path, err: error }, 'request failed: unavailable');
         return later(503, 1, error.message);
       }
       throw error;
@@ -58,7 +59,8 @@
         : later(503, 1, 'starting');
       return { ...health, from: 'health' };
     }
-    if (r.path === WORKER_PATHS.heartbeat) return r.method === 'POST' ? this.report(r) : wrongMethod('POST');
+    if (r.path === WORKER_PATHS.heartbeat)
+      return r.method === 'POST' ? this.heartbeat(r) : wrongMethod('POST');
     if (r.path === USER_PATHS.jobs) {
       if (r.method === 'GET') return this.list(r);
       return r.method === 'POST' ? this.submit(r) : wrongMethod('GET, POST');
@@ -72,14 +74,14 @@
     return r.method === 'POST' ? this.cancel(id) : wrongMethod('POST');
   }
 
-  private report(r: HttpRequest): HttpReply {
+  private heartbeat(r: HttpRequest): HttpReply {
     const report = readHeartbeat(parseBody(r.body));
     if (!report) {
-      this.context.log.info('a report that cannot be read');
+      this.context.log.info('malformed heartbeat received');
       return { status: 400, body: { error: 'not a report' } };
     }
     const answer = this.node.onHeartbeat(report);
-    // Who names a machine that is nobody's has shown nothing.
+    // A client that names a machine of no shard is not identified as a worker.
     if (answer.kind === 'orders') return { status: 200, body: answer.body, from: 'worker' };
     if (answer.kind === 'redirect') return { status: 421, body: writeRedirect(answer.node), from: 'worker' };
     return { status: 503, body: { error: 'not now' }, ...(answer.known && { from: 'worker' }) };
@@ -91,11 +93,11 @@
     const spec = readJob(body);
     if (typeof spec === 'string') return bad(spec);
     if (!this.context.catalog.known) return later(503, 1, 'machine types are not known yet');
-    const never = this.neverRuns(spec);
-    if (never !== null) {
-      // A job that was accepted once is never refused, whatever the machine types are now.
+    const reason = this.whyNeverRuns(spec);
+    if (reason !== null) {
+      // A job that was accepted once is not rejected later, whatever the machine types are now.
       const entry = await this.node.locate(spec.id);
-      if (!entry) return { status: 422, body: { error: never } };
+      if (!entry) return { status: 422, body: { error: reason } };
     }
     const answer = await this.node.submit(spec);
     if (answer.kind === 'refused') return later(429, answer.retryS, 'no plan meets the deadline');
@@ -107,7 +109,8 @@
     return { status: 200, body: writeAccepted(spec.id, answer.status) };
   }
 
-  private neverRuns(spec: JobSpec): string | null {
+  /** Why a job can never run here; null when it can. */
+  private whyNeverRuns(spec: JobSpec): string | null {
     const { teams } = this.context.settings;
     const team = teams.find((t) => t.name === spec.team);
     if (teams.length > 0 && !team) return `unknown team ${spec.team}`;
@@ -121,9 +124,11 @@
       );
     if (!fits) return 'a task fits no allowed machine type';
     if (!team) return null;
-    const n = spec.kind === 'array' ? 1 : spec.tasks;
-    if (team.cpusMax > 0 && n * spec.cpus > team.cpusMax + 1e-6) return 'more CPUs than the team may use';
-    if (team.gpusMax > 0 && n * spec.gpus > team.gpusMax + 1e-6) return 'more GPUs than the team may use';
+    const atOnce = spec.kind === 'array' ? 1 : spec.tasks;
+    if (team.cpusMax > 0 && atOnce * spec.cpus > team.cpusMax + 1e-6)
+      return 'more CPUs than the team may use';
+    if (team.gpusMax > 0 && atOnce * spec.gpus > team.gpusMax + 1e-6)
+      return 'more GPUs than the team may use';
     return null;
   }
 
--- a/src/autoscaler/autoscaler.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -3,7 +3,7 @@
 import { pause } from '../clock/clock.js';
 import { CloudError } from '../cloud/cloud.js';
 import type { Log } from '../config/log.js';
-import { mostMachines } from '../config/settings.js';
+import { maxMachinesPerShard } from '../config/settings.js';
 import type { ControllerContext } from '../context/context.js';
 import { NotOwnerError } from '../errors/errors.js';
 import { type Amounts, fitCount } from '../plan/capacityprofile.js';
@@ -97,7 +97,7 @@
     return (
       this.rentals.size < MAX_PENDING_RENTALS &&
       now >= this.cloudPause.until &&
-      this.registry.machines.size < mostMachines(this.context.settings.limits.maxSockets) &&
+      this.registry.machines.size < maxMachinesPerShard(this.context.settings.limits.maxSockets) &&
       this.options(now).length > 0
     );
   }
@@ -107,7 +107,7 @@
     const places = MAX_PENDING_RENTALS - this.rentals.size;
     if (short.length === 0 || places <= 0 || now < this.cloudPause.until) return;
     // A shard has no more machines than its owner has connections for.
-    let room = mostMachines(this.context.settings.limits.maxSockets) - this.registry.machines.size;
+    let room = maxMachinesPerShard(this.context.settings.limits.maxSockets) - this.registry.machines.size;
     for (const r of this.rentals) room -= r.count;
     const wanted = [];
     for (const w of chooseRentals(short, this.options(now), RENT_LIMIT).slice(0, places)) {
--- a/src/clock/clock.ts
+++ b/src/clock/clock.ts
@@ -1,17 +1,22 @@
-// This package: time, and nothing that uses it.
-/** Time as the service sees it; tests put a fake one in its place. */
+/** Time, as the program sees it. */
+
+/** A clock with timers; tests put a fake one in its place. */
 export interface Clock {
-  /** Steady milliseconds since an arbitrary start. */
+  /** Monotonic time: milliseconds since an arbitrary start. */
   now(): number;
-  /** Time of day in milliseconds, within the platform's skew. */
+  /** Time of day in milliseconds since 1970, within the platform's skew of that of other machines. */
   wall(): number;
+  /** Calls `run` once after `ms` milliseconds, at the next turn of the event loop if that is not positive. */
   after(ms: number, run: () => void): Timer;
 }
 
+/** A call that is due. */
 export interface Timer {
+  /** Prevents the call; without effect once it was made. */
   cancel(): void;
 }
 
+/** The clock of the machine. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
@@ -21,28 +26,28 @@
   },
 };
 
-/** Where the time of day of quick clocks begins to run away, so that all of one speed agree on it. */
-const QUICK_EPOCH = Date.UTC(2026, 0, 1);
+/** The moment from which the time of day of fast clocks runs ahead, so that all of one speed agree on it. */
+const FAST_CLOCK_EPOCH = Date.UTC(2026, 0, 1);
 
 /**
- * A clock on which everything takes a share of its time, for trials on one machine: all processes of a cluster have to
+ * A clock that runs `speed` times as fast as the machine's, for trials on one machine: all processes of a cluster have to
  * run at the same speed.
  */
-export function quickClock(speed: number): Clock {
+export function fastClock(speed: number): Clock {
   if (speed === 1) return systemClock;
   return {
     now: () => performance.now() * speed,
-    wall: () => QUICK_EPOCH + (Date.now() - QUICK_EPOCH) * speed,
+    wall: () => FAST_CLOCK_EPOCH + (Date.now() - FAST_CLOCK_EPOCH) * speed,
     after: (ms, run) => systemClock.after(ms / speed, run),
   };
 }
 
-/** Resolves after `ms`. */
+/** Resolves after `ms` milliseconds. */
 export function pause(clock: Clock, ms: number): Promise<void> {
   return new Promise((resolve) => {
     clock.after(ms, resolve);
   });
 }
 
-/** The steady clocks of two machines drift apart by no more than this share. */
-export const DRIFT = 0.0005;
+/** The monotonic clocks of two machines drift apart by no more than this share of the time. */
+export const MAX_CLOCK_DRIFT = 0.0005;
--- a/src/clock/periodictask.ts
+++ b/src/clock/periodictask.ts
@@ -1,3 +1,5 @@
+/** Loops that run in the background until they are stopped. */
+
 import type { Clock, Timer } from './clock.js';
 
 /** Ends what `startPeriodicTask` or `startPacedTask` has started; a run under way is not interrupted. */
--- a/src/cloud/cloud.ts
+++ b/src/cloud/cloud.ts
@@ -1,4 +1,4 @@
-// This package: dealings with the cloud: its requests, within its rate.
+/** Requests to the cloud, within this node's share of its rate. */
 
 import type { Clock } from '../clock/clock.js';
 import { RemoteServiceError } from '../errors/errors.js';
@@ -10,6 +10,7 @@
   listPath,
   type MachineType,
   RELEASE_LIMIT,
+  type Rental,
   readList,
   readRented,
   readTypes,
@@ -20,19 +21,14 @@
 /** The cloud refused a request, or did not answer it. */
 export class CloudError extends RemoteServiceError {}
 
-export interface RentalRequest {
-  request: string;
-  type: string;
-  zone: string;
-  spot: boolean;
-  count: number;
-}
-
-const TIMEOUT_MS = 5000;
-/** The most that one node takes of the rate while the others need less. */
-const MOST_OF_ALL = 0.6;
+const REQUEST_TIMEOUT_MS = 5000;
+/** How long a request waits for its turn within the rate. */
+const RATE_WAIT_MS = 3000;
+const LIST_PAGE = 500;
+/** The largest share of the rate that one node takes while the others need less. */
+const MAX_RATE_SHARE = 0.6;
 
-/** The cloud, within this node's part of its rate. */
+/** A client of the cloud; its methods throw `CloudError`. */
 export class Cloud {
   private readonly limiter: RateLimiter;
 
@@ -43,10 +39,16 @@
     rps: number,
     nodes: number,
   ) {
-    const part = (0.85 * rps) / nodes;
-    this.limiter = new RateLimiter(clock, part, Math.max(1, part * 2), Math.max(part, MOST_OF_ALL * rps));
+    const share = (0.85 * rps) / nodes;
+    this.limiter = new RateLimiter(
+      clock,
+      share,
+      Math.max(1, share * 2),
+      Math.max(share, MAX_RATE_SHARE * rps),
+    );
   }
 
+  /** The machine types on offer. */
   async types(): Promise<MachineType[]> {
     const answer = await this.send('GET', CLOUD_PATHS.types, null);
     const types = answer.status === 200 ? readTypes(answer.body) : null;
@@ -54,11 +56,12 @@
     return types;
   }
 
+  /** All machines that are rented, in as many pages as it takes. */
   async list(): Promise<ListedMachine[]> {
     const all: ListedMachine[] = [];
     let after: string | null = null;
     for (;;) {
-      const answer = await this.send('GET', listPath(after, 500), null);
+      const answer = await this.send('GET', listPath(after, LIST_PAGE), null);
       const page = answer.status === 200 ? readList(answer.body) : null;
       if (!page) throw new CloudError(`list: ${answer.status}`, false);
       all.push(...page.machines);
@@ -68,8 +71,8 @@
     }
   }
 
-  /** The machines rented; null when there is no capacity. The same request may be sent again until it is answered. */
-  async rent(r: RentalRequest): Promise<string[] | null> {
+  /** The ids of the machines rented; null when there is no capacity. The same request may be repeated until it is answered. */
+  async rent(r: Rental): Promise<string[] | null> {
     const answer = await this.send(
       'POST',
       CLOUD_PATHS.machines,
@@ -82,6 +85,7 @@
     return rented;
   }
 
+  /** Returns machines to the cloud, in as many requests as it takes; those before one that fails are returned. */
   async release(machines: string[]): Promise<void> {
     for (let i = 0; i < machines.length; i += RELEASE_LIMIT) {
       const answer = await this.send(
@@ -95,9 +99,9 @@
 
   private async send(method: string, path: string, body: object | null) {
     try {
-      // Lists and returns come before rentals: probing for capacity must not keep a node from seeing what it has.
-      await this.limiter.acquire(1, method === 'GET' || path === CLOUD_PATHS.release, 3000);
-      const answer = await this.http.request(this.addr, method, path, body, TIMEOUT_MS);
+      // Lists and releases take precedence over rentals: probing for capacity must not keep a node from seeing what it has.
+      await this.limiter.acquire(1, method === 'GET' || path === CLOUD_PATHS.release, RATE_WAIT_MS);
+      const answer = await this.http.request(this.addr, method, path, body, REQUEST_TIMEOUT_MS);
       if (answer.status === 429) this.limiter.onRejected();
       return answer;
     } catch (error) {
--- a/src/config/bounds.ts
+++ b/src/config/bounds.ts
@@ -1,11 +1,13 @@
-import { DRIFT } from '../clock/clock.js';
+/** Bounds that follow from the settings and the safety argument of docs/design.md. */
 
-/** A node's lease in the state service where nothing asks for a shorter one. */
-const LEASE_MS = 8000;
-/** A shorter one would be lost to a state service that is merely slow. */
-const LEASE_LEAST_MS = 3000;
-/** What a stop may take beside: an order that gets no answer, and the margin after which a machine's lease counts as over. */
-const STOP_MS = 3500;
+import { MAX_CLOCK_DRIFT } from '../clock/clock.js';
+
+/** A node's lease in the state service where nothing requires a shorter one. */
+const DEFAULT_LEASE_MS = 8000;
+/** A shorter one would expire while the state service is merely slow. */
+const MIN_LEASE_MS = 3000;
+/** What a stop may take in addition: a command that gets no response, and the margin after which a machine's lease counts as expired. */
+const STOP_MARGIN_MS = 3500;
 
 /**
  * How long a node's lease in the state service may last, in milliseconds. An owner that the service does not reach acts on for as
@@ -17,7 +19,9 @@
   leaseMs: number;
   missingMs: number;
 } {
-  const most = Math.floor(workers.cancelS * 1000 - workers.leaseS * 1000 * (1 + 2 * DRIFT) - STOP_MS);
-  const leaseMs = Math.min(LEASE_MS, Math.max(LEASE_LEAST_MS, most));
+  const most = Math.floor(
+    workers.cancelS * 1000 - workers.leaseS * 1000 * (1 + 2 * MAX_CLOCK_DRIFT) - STOP_MARGIN_MS,
+  );
+  const leaseMs = Math.min(DEFAULT_LEASE_MS, Math.max(MIN_LEASE_MS, most));
   return { leaseMs, missingMs: Math.max(0, leaseMs - most) };
 }
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,10 +1,12 @@
-// This package: what operators and the platform set, validated, and logging.
+/** What operators and the platform set, validated. */
 
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
 import * as v from 'valibot';
 import { InvalidInputError } from '../errors/errors.js';
+import { type SettingsFile, settingsFile } from './settingsfile.js';
 
+/** A team and its share of the cluster: what it is entitled to, and what it may use at most (0: no bound). */
 export interface Team {
   name: string;
   cpus: number;
@@ -13,140 +15,90 @@
   gpusMax: number;
 }
 
+/** A service-level objective; what is null is not part of it. */
 export interface Objective {
   kind: string;
+  /** The class of jobs that it is for. */
   class: string | null;
   withinS: number | null;
   share: number | null;
 }
 
+/** An address to listen at. */
 export interface Endpoint {
   host: string;
   port: number;
 }
 
+/** Another controller, as the settings name it. */
 export interface Peer {
   node: string;
   zone: string;
+  /** `host:port`. */
   addr: string;
 }
 
+/** The settings of one controller. Names end with the unit: `S` seconds, `Ms` milliseconds, `Kb` kilobytes of 1000 bytes, `Mb` megabytes. */
 export interface Settings {
+  /** The name of this node. */
   node: string;
   zone: string;
+  /** Where users and workers connect. */
   listen: Endpoint;
+  /** Where the other controllers connect. */
   peerListen: Endpoint;
   peers: Peer[];
+  /** `host:port` of the cloud. */
   cloud: string;
+  /** `host:port` of the state service. */
   state: string;
+  /** Number of controllers. */
   nodes: number;
   zones: string[];
   /** Zones of each region; none where all are in one. */
   regions: Record<string, string[]>;
+  /** By how much the times of day of two machines may differ. */
   skewMs: number;
   teams: Team[];
   objectives: Objective[];
+  /** Times of the protocol with the workers: heartbeat interval, lease, gang start and loss, and cancellation. */
   workers: { reportS: number; leaseS: number; gangWaitS: number; gangPeerS: number; cancelS: number };
   /** What the state service allows now and, where that is less, from some later moment on (`state.next`). */
   stateLimits: { rps: number; writeRps: number; valueKb: number; txnOps: number };
   /** The size of values that the former layout of done tasks depends on: the one of now, whatever comes. */
   layoutKb: number;
   cloudLimits: { rps: number; listLagS: number };
+  /** What the process itself may use. */
   limits: { cores: number; memoryMb: number; maxSockets: number };
 }
 
+type Params = SettingsFile['params'];
+
 /** A settings file that cannot be used; the message names the field. */
 export class SettingsError extends InvalidInputError {}
 
-const text = v.pipe(v.string(), v.minLength(1));
-const address = v.pipe(v.string(), v.regex(/^[^\s:]+:\d{1,5}$/, 'must be host:port'));
-const positive = v.pipe(v.number(), v.finite(), v.gtValue(0, 'must be above 0'));
-const amount = v.pipe(v.number(), v.finite(), v.minValue(0, 'must not be negative'));
-
-const file = v.object({
-  node: text,
-  zone: text,
-  bind: address,
-  peer_bind: address,
-  seeds: v.optional(v.array(v.object({ node: text, zone: text, endpoint: address })), []),
-  external: v.object({ cloud: address, state: address }),
-  params: v.object({
-    initial_size: v.pipe(v.number(), v.integer(), v.minValue(1)),
-    zones: v.optional(v.array(text), []),
-    regions: v.optional(v.record(text, v.array(text)), {}),
-    skew_ms: v.optional(amount, 1000),
-    teams: v.optional(
-      v.array(
-        v.object({
-          name: text,
-          cpus: v.optional(amount, 0),
-          cpus_max: v.optional(amount, 0),
-          gpus: v.optional(amount, 0),
-          gpus_max: v.optional(amount, 0),
-        }),
-      ),
-      [],
-    ),
-    objectives: v.optional(
-      v.array(
-        v.object({
-          kind: text,
-          class: v.nullish(text),
-          within_s: v.nullish(amount),
-          share: v.nullish(amount),
-        }),
-      ),
-      [],
-    ),
-    workers: v.object({
-      report_s: positive,
-      lease_s: positive,
-      gang_wait_s: positive,
-      gang_peer_s: positive,
-      cancel_s: positive,
-    }),
-    state: v.object({
-      rps: positive,
-      write_rps: positive,
-      value_kb: positive,
-      txn_ops: v.pipe(v.number(), v.integer(), v.minValue(1)),
-      next: v.optional(
-        v.object({
-          rps: v.optional(positive),
-          write_rps: v.optional(positive),
-          value_kb: v.optional(positive),
-          txn_ops: v.optional(v.pipe(v.number(), v.integer(), v.minValue(1))),
-        }),
-        {},
-      ),
-    }),
-    cloud: v.object({ rps: positive, list_lag_s: amount }),
-    limits: v.object({ cores: positive, memory_mb: positive, max_sockets: positive }),
-  }),
-});
-
 function endpoint(addr: string): Endpoint {
   const colon = addr.lastIndexOf(':');
   return { host: addr.slice(0, colon), port: Number(addr.slice(colon + 1)) };
 }
 
 /**
- * How a process parts its sockets: most are for users and workers, some for the other controllers, the rest for what it
- * opens itself. State service and cloud have connections of their own: asking hundreds of machines at once must not keep
- * a lease from renewal.
+ * How many of its `sockets` a process uses for what: most for connections of users and workers (`incoming`), some for the
+ * other controllers, the rest for those that it opens itself. State service and cloud (`services`) have connections of
+ * their own: requests to hundreds of machines at once (`workers`) must not keep a lease from renewal.
  */
-export function partSockets(sockets: number): { incoming: number; services: number; workers: number } {
+export function allocateSockets(sockets: number): { incoming: number; services: number; workers: number } {
   const outgoing = Math.max(8, Math.floor(sockets * 0.3));
   const services = Math.max(4, Math.min(48, Math.floor(outgoing / 4)));
   return { incoming: Math.max(16, sockets - outgoing - 80), services, workers: outgoing - services };
 }
 
 /**
- * How many machines a shard may have: each keeps a connection to the shard's owner, beside those of its users. More of
- * them than that shut each other out, and lose their leases.
+ * How many machines a shard may have: each keeps a connection to the shard's owner, beside those of its users. More than
+ * that would evict each other's connections, and lose their leases.
  */
-export function mostMachines(sockets: number): number {
-  return Math.floor(partSockets(sockets).incoming * 0.75);
+export function maxMachinesPerShard(sockets: number): number {
+  return Math.floor(allocateSockets(sockets).incoming * 0.75);
 }
 
 /** The region that a node is in; the same for all where no regions are set. */
@@ -156,69 +108,92 @@
   return region?.[0] ?? '';
 }
 
+/**
+ * Reads the text of a settings file. Throws `SettingsError` when it is not TOML, when a field is missing or has a wrong
+ * value, or when two nodes have the same name.
+ */
 export function parseSettings(content: string): Settings {
-  let raw: unknown;
+  const file = validate(parseToml(content));
+  checkNodeNames(file);
+  const { params } = file;
+  return {
+    node: file.node,
+    zone: file.zone,
+    listen: endpoint(file.bind),
+    peerListen: endpoint(file.peer_bind),
+    peers: file.seeds.map((s) => ({ node: s.node, zone: s.zone, addr: s.endpoint })),
+    cloud: file.external.cloud,
+    state: file.external.state,
+    nodes: params.initial_size,
+    zones: params.zones,
+    regions: params.regions,
+    skewMs: params.skew_ms,
+    teams: params.teams.map(team),
+    objectives: params.objectives.map(objective),
+    workers: workerTimes(params.workers),
+    stateLimits: stateLimits(params.state),
+    layoutKb: params.state.value_kb,
+    cloudLimits: { rps: params.cloud.rps, listLagS: params.cloud.list_lag_s },
+    limits: {
+      cores: params.limits.cores,
+      memoryMb: params.limits.memory_mb,
+      maxSockets: params.limits.max_sockets,
+    },
+  };
+}
+
+function parseToml(content: string): unknown {
   try {
-    raw = parse(content);
+    return parse(content);
   } catch (error) {
     throw new SettingsError(`not TOML: ${error instanceof Error ? error.message.split('\n')[0] : error}`);
   }
-  const parsed = v.safeParse(file, raw);
-  if (!parsed.success) {
-    const issue = parsed.issues[0];
-    throw new SettingsError(`${v.getDotPath(issue) ?? 'settings'}: ${issue.message}`);
-  }
-  const f = parsed.output;
-  const p = f.params;
-  const names = new Set<string>([f.node]);
-  for (const [i, s] of f.seeds.entries()) {
-    if (names.has(s.node)) throw new SettingsError(`seeds.${i}.node: ${s.node} is named twice`);
-    names.add(s.node);
+}
+
+function validate(raw: unknown): SettingsFile {
+  const parsed = v.safeParse(settingsFile, raw);
+  if (parsed.success) return parsed.output;
+  const issue = parsed.issues[0];
+  throw new SettingsError(`${v.getDotPath(issue) ?? 'settings'}: ${issue.message}`);
+}
+
+function checkNodeNames(file: SettingsFile): void {
+  const names = new Set<string>([file.node]);
+  for (const [i, seed] of file.seeds.entries()) {
+    if (names.has(seed.node)) throw new SettingsError(`seeds.${i}.node: ${seed.node} is named twice`);
+    names.add(seed.node);
   }
+}
+
+function team(t: Params['teams'][number]): Team {
+  return { name: t.name, cpus: t.cpus, cpusMax: t.cpus_max, gpus: t.gpus, gpusMax: t.gpus_max };
+}
+
+function objective(o: Params['objectives'][number]): Objective {
+  return { kind: o.kind, class: o.class ?? null, withinS: o.within_s ?? null, share: o.share ?? null };
+}
+
+function workerTimes(w: Params['workers']): Settings['workers'] {
   return {
-    node: f.node,
-    zone: f.zone,
-    listen: endpoint(f.bind),
-    peerListen: endpoint(f.peer_bind),
-    peers: f.seeds.map((s) => ({ node: s.node, zone: s.zone, addr: s.endpoint })),
-    cloud: f.external.cloud,
-    state: f.external.state,
-    nodes: p.initial_size,
-    zones: p.zones,
-    regions: p.regions,
-    skewMs: p.skew_ms,
-    teams: p.teams.map((t) => ({
-      name: t.name,
-      cpus: t.cpus,
-      cpusMax: t.cpus_max,
-      gpus: t.gpus,
-      gpusMax: t.gpus_max,
-    })),
-    objectives: p.objectives.map((o) => ({
-      kind: o.kind,
-      class: o.class ?? null,
-      withinS: o.within_s ?? null,
-      share: o.share ?? null,
-    })),
-    workers: {
-      reportS: p.workers.report_s,
-      leaseS: p.workers.lease_s,
-      gangWaitS: p.workers.gang_wait_s,
-      gangPeerS: p.workers.gang_peer_s,
-      cancelS: p.workers.cancel_s,
-    },
-    stateLimits: {
-      rps: Math.min(p.state.rps, p.state.next.rps ?? p.state.rps),
-      writeRps: Math.min(p.state.write_rps, p.state.next.write_rps ?? p.state.write_rps),
-      valueKb: Math.min(p.state.value_kb, p.state.next.value_kb ?? p.state.value_kb),
-      txnOps: Math.min(p.state.txn_ops, p.state.next.txn_ops ?? p.state.txn_ops),
-    },
-    layoutKb: p.state.value_kb,
-    cloudLimits: { rps: p.cloud.rps, listLagS: p.cloud.list_lag_s },
-    limits: { cores: p.limits.cores, memoryMb: p.limits.memory_mb, maxSockets: p.limits.max_sockets },
+    reportS: w.report_s,
+    leaseS: w.lease_s,
+    gangWaitS: w.gang_wait_s,
+    gangPeerS: w.gang_peer_s,
+    cancelS: w.cancel_s,
+  };
+}
+
+/** The lesser of each limit as it is now and as it will be. */
+function stateLimits({ next, ...now }: Params['state']): Settings['stateLimits'] {
+  return {
+    rps: Math.min(now.rps, next.rps ?? now.rps),
+    writeRps: Math.min(now.write_rps, next.write_rps ?? now.write_rps),
+    valueKb: Math.min(now.value_kb, next.value_kb ?? now.value_kb),
+    txnOps: Math.min(now.txn_ops, next.txn_ops ?? now.txn_ops),
   };
 }
 
+/** Reads a settings file; throws `SettingsError` as `parseSettings` does, and when the file cannot be read. */
 export function loadSettings(path: string): Settings {
   let content: string;
   try {
--- a/src/config/version.ts
+++ b/src/config/version.ts
@@ -1,3 +1,5 @@
+/** The version of the program. */
+
 import { readFileSync } from 'node:fs';
 
 /** The version of this program, as its package says. */
--- a/src/controller/leader.ts
+++ b/src/controller/leader.ts
@@ -1,6 +1,6 @@
 import { chooseEviction, chooseReservation, chooseTransfers, shardFor } from '../autoscaler/rebalancing.js';
 import type { ResourceDemand, ShardStatus } from '../autoscaler/shardstatus.js';
-import { mostMachines } from '../config/settings.js';
+import { maxMachinesPerShard } from '../config/settings.js';
 import type { ControllerContext } from '../context/context.js';
 import { valueBytes } from '../jobs/records.js';
 import { KEYS, type MachineRecord, readTeamAssignment } from '../schema/schema.js';
@@ -298,7 +298,7 @@
   private maxMachinesPerShard(counts: readonly number[]): number {
     const all = counts.reduce((sum, n) => sum + n, this.pendingMachines.size);
     return Math.max(
-      mostMachines(this.context.settings.limits.maxSockets),
+      maxMachinesPerShard(this.context.settings.limits.maxSockets),
       Math.ceil((all * 1.1) / this.shardCount),
     );
   }
--- a/src/controller/membership.ts
+++ b/src/controller/membership.ts
@@ -1,6 +1,6 @@
 import { ChangeFeed } from '../changefeed/changefeed.js';
 import type { PresentNode } from '../changefeed/sourceorder.js';
-import { type Clock, DRIFT, pause } from '../clock/clock.js';
+import { type Clock, MAX_CLOCK_DRIFT, pause } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
 import { KEYS, type LeaseHolder, readLeaseHolder, writeLeaseHolder } from '../schema/schema.js';
 import { type StateStore, StateStoreError } from '../state/statestore.js';
@@ -281,7 +281,7 @@
   private extendLease(sent: number): void {
     this.leaseValidUntil = Math.max(
       this.leaseValidUntil,
-      sent + this.leaseMs * (1 - 2 * DRIFT) - LEASE_MARGIN_MS,
+      sent + this.leaseMs * (1 - 2 * MAX_CLOCK_DRIFT) - LEASE_MARGIN_MS,
     );
     this.leaseRenewedAt = Math.max(this.leaseRenewedAt, sent);
     this.renewalFailingSince = null;
--- a/src/emulator/local.ts
+++ b/src/emulator/local.ts
@@ -3,7 +3,7 @@
 import { join } from 'node:path';
 import { Packr } from 'msgpackr';
 import * as v from 'valibot';
-import { type Clock, pause, quickClock } from '../clock/clock.js';
+import { type Clock, fastClock, pause } from '../clock/clock.js';
 import { UnavailableError } from '../errors/errors.js';
 import { HttpClient } from '../http/client.js';
 import { HttpServer } from '../http/server.js';
@@ -96,7 +96,7 @@
 
   constructor(private readonly options: LocalOptions) {
     const { platform, port } = options;
-    this.clock = quickClock(options.speed);
+    this.clock = fastClock(options.speed);
     this.random = new Random(options.seed);
     this.network = new Network(platform);
     this.http = new HttpClient(this.clock, { maxSockets: 8000, bodyBytes: 1024 * 1024 });
--- a/src/modelcheck/standbylease.ts
+++ b/src/modelcheck/standbylease.ts
@@ -1,4 +1,4 @@
-import { DRIFT } from '../clock/clock.js';
+import { MAX_CLOCK_DRIFT } from '../clock/clock.js';
 import type { OwnerLease, ReplicaState } from '../standby/standbylease.js';
 import * as promise from '../standby/standbylease.js';
 import * as checks from '../standby/takeoverchecks.js';
@@ -121,8 +121,8 @@
  * clocks drift apart as far as they may: the owner's is slow, the standby's fast.
  */
 export function promiseModel(f: Transitions, b: Bounds): Model<State> {
-  const ownerClock = (s: State) => s.t * TICK_MS * (1 - DRIFT);
-  const standbyClock = (s: State) => s.t * TICK_MS * (1 + DRIFT);
+  const ownerClock = (s: State) => s.t * TICK_MS * (1 - MAX_CLOCK_DRIFT);
+  const standbyClock = (s: State) => s.t * TICK_MS * (1 + MAX_CLOCK_DRIFT);
   const acts = (s: State) => !s.stopped && f.leaseCovers(s.ownerLease, ownerClock(s));
   const copy = (s: State, change: Partial<State>): State => ({
     ...s,
--- a/src/program/compose.ts
+++ b/src/program/compose.ts
@@ -2,10 +2,10 @@
 
 import { randomUUID } from 'node:crypto';
 import { Api, classifyRequest } from '../api/routes.js';
-import { type Clock, quickClock } from '../clock/clock.js';
+import { type Clock, fastClock } from '../clock/clock.js';
 import { Cloud } from '../cloud/cloud.js';
 import type { Log } from '../config/log.js';
-import { partSockets, type Settings } from '../config/settings.js';
+import { allocateSockets, type Settings } from '../config/settings.js';
 import { type ControllerContext, MachineTypeCatalog, NameTables } from '../context/context.js';
 import { ControllerNode } from '../controller/controllernode.js';
 import { HttpClient } from '../http/client.js';
@@ -41,7 +41,7 @@
   options: ControllerOptions,
   log: Log,
 ): Promise<Controller> {
-  const clock = quickClock(options.clockSpeed);
+  const clock = fastClock(options.clockSpeed);
   const context = composeContext(settings, clock, log);
   const condor = options.condor ? await loadCondor() : null;
   if (condor) context.matchCompiler = new condor.ClassAdMatcher(context.names, context.catalog);
@@ -63,7 +63,7 @@
     log.debug({ why }, 'connection to the peer address refused'),
   );
   const server = new HttpServer(clock, (request) => api.handle(request), {
-    maxConnections: partSockets(settings.limits.maxSockets).incoming,
+    maxConnections: allocateSockets(settings.limits.maxSockets).incoming,
     classify: classifyRequest,
     bodyBytes: MAX_REQUEST_BYTES,
     requestMs: REQUEST_TIMEOUT_MS,
@@ -76,7 +76,7 @@
 
 /** What the parts of the node share: clients of the services around it, and the tables of names. */
 function composeContext(settings: Settings, clock: Clock, log: Log): ControllerContext {
-  const sockets = partSockets(settings.limits.maxSockets);
+  const sockets = allocateSockets(settings.limits.maxSockets);
   const services = new HttpClient(clock, {
     maxSockets: sockets.services,
     // A cloud that trickles must not keep a lease from renewal.
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -4,7 +4,7 @@
 import type { ResourceDemand, ShardStatus } from '../autoscaler/shardstatus.js';
 import { pause } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
-import { partSockets } from '../config/settings.js';
+import { allocateSockets } from '../config/settings.js';
 import type { ControllerContext } from '../context/context.js';
 import { NotOwnerError } from '../errors/errors.js';
 import { type Job, unplacedCount } from '../jobs/job.js';
@@ -314,7 +314,7 @@
 
   /** Half of the sockets for workers: answers and orders need some meanwhile. */
   private get maxConcurrentReconciliations(): number {
-    return Math.max(4, Math.floor(partSockets(this.context.settings.limits.maxSockets).workers / 2));
+    return Math.max(4, Math.floor(allocateSockets(this.context.settings.limits.maxSockets).workers / 2));
   }
 
   private loop(): void {
--- a/src/standby/standbylease.ts
+++ b/src/standby/standbylease.ts
@@ -1,5 +1,5 @@
 // This package: who stands by for a shard, what it follows, and when it may take over; nothing of how a shard is run.
-import { DRIFT } from '../clock/clock.js';
+import { MAX_CLOCK_DRIFT } from '../clock/clock.js';
 
 /**
  * The promise between the owner of a shard and its standby (docs/standby.md): pure steps, taken alike by the nodes and by
@@ -46,7 +46,7 @@
 }
 
 function leaseDurationMs(): number {
-  return STANDBY_LEASE_MS * (1 - 2 * DRIFT) - MARGIN_MS;
+  return STANDBY_LEASE_MS * (1 - 2 * MAX_CLOCK_DRIFT) - MARGIN_MS;
 }
 
 /** The standby's side, for one term and one revision of the key that names it. */
@@ -83,7 +83,7 @@
 /** Whether the owner's promise is surely over. */
 export function mayClaim(v: ReplicaState, now: number): boolean {
   if (v.claimed) return false;
-  return v.released || now > v.answeredAt + STANDBY_LEASE_MS * (1 + 2 * DRIFT) + MARGIN_MS;
+  return v.released || now > v.answeredAt + STANDBY_LEASE_MS * (1 + 2 * MAX_CLOCK_DRIFT) + MARGIN_MS;
 }
 
 /** A claim is sent now. */
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -44,7 +44,7 @@
 const JOB_ID = /^wk-[A-Za-z0-9_-]{1,64}$/;
 const name = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
 /** No submission has room for more of them. */
-const MOST_AFTER = 16_384;
+const MAX_AFTER = 16_384;
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(1e9));
 /** Kinds and priorities by the wire's words. */
 export const KINDS = { sweep: 'array', ensemble: 'gang', standing: 'service' } as const;
@@ -76,7 +76,7 @@
   saveEveryS: amount,
   savingS: amount,
   dueS: v.nullish(v.pipe(v.number(), v.finite(), v.gtValue(0))),
-  waitsOn: v.nullish(v.pipe(v.array(v.pipe(v.string(), v.regex(JOB_ID))), v.maxLength(MOST_AFTER))),
+  waitsOn: v.nullish(v.pipe(v.array(v.pipe(v.string(), v.regex(JOB_ID))), v.maxLength(MAX_AFTER))),
 });
 
 /** Reads a submission; a string says what is wrong with it. */
--- a/src/workers/machineregistry.ts
+++ b/src/workers/machineregistry.ts
@@ -1,6 +1,6 @@
 // This package: the machines of a shard as they report, and the orders to them.
 import type { Clock } from '../clock/clock.js';
-import { DRIFT } from '../clock/clock.js';
+import { MAX_CLOCK_DRIFT } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
 import { HttpRequestError, type Requester } from '../http/client.js';
 import {
@@ -224,7 +224,7 @@
   }
 
   private leaseFrom(at: number): number {
-    return at + this.times.leaseS * 1000 * (1 + 2 * DRIFT) + LEASE_MARGIN_MS;
+    return at + this.times.leaseS * 1000 * (1 + 2 * MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS;
   }
 
   /** The machine is no more. */
--- a/tests/upgrade/check.ts
+++ b/tests/upgrade/check.ts
@@ -15,7 +15,7 @@
 import { join, resolve } from 'node:path';
 import { parseArgs } from 'node:util';
 import { EXIT } from '../../src/cli/output.js';
-import { quickClock } from '../../src/clock/clock.js';
+import { fastClock } from '../../src/clock/clock.js';
 import { loadPlatform, type Platform } from '../../src/emulator/platform.js';
 import { MORE_TEAMS } from './jobs.js';
 import type { Build } from './owners.js';
@@ -152,7 +152,7 @@
   const { speed, port } = options;
   const say = (line: string) => (options.json ? process.stderr : process.stdout).write(`${line}\n`);
   const data = options.data ?? mkdtempSync(join(tmpdir(), 'spartray-upgrade-'));
-  const clock = quickClock(speed);
+  const clock = fastClock(speed);
   const host = '127.0.0.1';
   const users = new Users(clock, { users: `${host}:${port}`, depot: `${host}:${port + 1}` });
   const stage: Stage = {
