--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -1,19 +1,31 @@
+/**
+ * Requests to the state service and its responses. Its words: `path` is a key, `stamp` the version of an entry, `ledgerRev`
+ * the revision of the whole store, `permit` a lease, `set` and `drop` a put and a delete.
+ */
+
 import * as v from 'valibot';
 
-/** Requests to and answers of the state service. */
+/** A stored value. */
 export interface Entry {
+  /** `path`. */
   key: string;
   value: unknown;
+  /** `stamp`: changes with each write of the key. */
   version: number;
 }
 
+/** What must hold for a transaction to be applied. */
 export interface Condition {
+  /** `path`. */
   key: string;
+  /** `stamp`: the version that the key must have; 0 when there must be no entry. */
   version: number;
 }
 
+/** One write of a transaction: `set`, with the lease (`permit`) that the entry ends with, or `drop`. */
 export type Write = { put: string; value: unknown; lease?: number } | { delete: string };
 
+/** A change that a watch reports: `set` or `drop`. */
 export type Change =
   | { key: string; value: unknown; version: number }
   | { key: string; gone: true; version: number };
@@ -36,11 +48,13 @@
 const txnBody = v.object({ ledgerRev: v.number(), failed: v.optional(v.array(v.string())) });
 const leaseBody = v.object({ permit: v.number() });
 
+/** The response to a GET of `STATE_PATHS.key`; null when it is malformed. */
 export function readEntry(body: unknown): Entry | null {
   const p = v.safeParse(entry, body);
   return p.success ? { key: p.output.path, value: p.output.value, version: p.output.stamp } : null;
 }
 
+/** One page of a list (`more`: not the last) and the store's revision (`ledgerRev`); null when it is malformed. */
 export function readEntries(body: unknown): { entries: Entry[]; more: boolean; revision: number } | null {
   const p = v.safeParse(listBody, body);
   if (!p.success) return null;
@@ -51,6 +65,7 @@
   };
 }
 
+/** The response to a watch: changes (`events`) up to a revision (`ledgerRev`); null when it is malformed. */
 export function readChanges(body: unknown): { revision: number; changes: Change[] } | null {
   const p = v.safeParse(watchBody, body);
   if (!p.success) return null;
@@ -64,16 +79,19 @@
   };
 }
 
+/** The response to a transaction: the revision, and the keys whose conditions `failed`; null when it is malformed. */
 export function readTxn(body: unknown): { revision: number; failed: string[] } | null {
   const p = v.safeParse(txnBody, body);
   return p.success ? { revision: p.output.ledgerRev, failed: p.output.failed ?? [] } : null;
 }
 
+/** The response to a request for a lease: its id (`permit`); null when it is malformed. */
 export function readLease(body: unknown): number | null {
   const p = v.safeParse(leaseBody, body);
   return p.success ? p.output.permit : null;
 }
 
+/** The body of a transaction: all of `writes`, if all of `when` hold. */
 export function writeTxn(when: Condition[], writes: Write[]): object {
   return {
     when: when.map((c) => ({ path: c.key, stamp: c.version })),
@@ -86,6 +104,7 @@
   };
 }
 
+/** The paths of the state service; `most` bounds a page, `under` is a prefix of keys. */
 export const STATE_PATHS = {
   key: (key: string) => `/keys/${key}`,
   list: (prefix: string, after: string | null, limit: number) =>
@@ -98,6 +117,7 @@
     `/watch?under=${encodeURIComponent(prefix)}&since=${since}&waitMs=${waitMs}`,
 };
 
+/** The body of a request for a lease of `ttlMs` milliseconds. */
 export function writeLeaseRequest(ttlMs: number): object {
   return { ttlMs };
 }
@@ -117,6 +137,7 @@
   ),
 });
 
+/** The state service's side of `writeTxn`; null when it is malformed. */
 export function readTxnRequest(body: unknown): { when: Condition[]; writes: Write[] } | null {
   const p = v.safeParse(txnRequest, body);
   if (!p.success) return null;
@@ -129,6 +150,7 @@
   };
 }
 
+/** The state service's side of `readEntry`; `lease` (`permit`) is the one that the entry ends with. */
 export function writeEntry(e: Entry, lease: number | null): object {
   return {
     path: e.key,
@@ -138,22 +160,27 @@
   };
 }
 
+/** The state service's side of `readEntries`. */
 export function writeEntries(entries: Entry[], more: boolean, revision: number): object {
   return { entries: entries.map((e) => writeEntry(e, null)), more, ledgerRev: revision };
 }
 
+/** One of the `events` of a watch. */
 export function writeChange(c: Change): object {
   return 'gone' in c ? { drop: c.key, stamp: c.version } : { set: c.key, value: c.value, stamp: c.version };
 }
 
+/** The state service's side of `readChanges`. */
 export function writeChanges(changes: Change[], revision: number): object {
   return { ledgerRev: revision, events: changes.map(writeChange) };
 }
 
+/** The state service's side of `readTxn`; `failed` is null when the transaction was applied. */
 export function writeTxnAnswer(revision: number, failed: string[] | null): object {
   return { ...(failed && { failed }), ledgerRev: revision };
 }
 
+/** The state service's side of `readLease`. */
 export function writeLease(lease: number): object {
   return { permit: lease };
 }
@@ -162,6 +189,7 @@
   ttlMs: v.pipe(v.number(), v.minValue(100), v.maxValue(600_000)),
 });
 
+/** The state service's side of `writeLeaseRequest`: the milliseconds; null when it is malformed. */
 export function readLeaseRequest(body: unknown): number | null {
   const p = v.safeParse(leaseRequest, body);
   return p.success ? p.output.ttlMs : null;
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,37 +1,63 @@
-// This package: formats of all interfaces, and the mapping of their names to the ones used inside.
+/**
+ * Submissions, job lists and other requests of users, and the responses. The words of the wire stop in this package: the
+ * fields of the types below have the term, and their comments the word where it is another one.
+ */
+
 import * as v from 'valibot';
 
-/** What users send and are told. The wire's own words for things stop in this package. */
+/**
+ * `shape`: independent tasks (`sweep`), tasks that run only together (`ensemble`), or tasks that run until they are cancelled
+ * (`standing`).
+ */
 export type JobKind = 'array' | 'gang' | 'service';
+/** `status`, in which a cancelled job is `aborted`. */
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** Priorities, larger before smaller. */
+/** Priorities, higher before lower. */
 export const PRIORITY = { low: 0, normal: 1, high: 2, production: 3 } as const;
 
+/** A job as it was submitted; amounts are for one task, times in seconds. */
 export interface JobSpec {
   id: string;
+  /** `jobClass`: jobs of a class resemble each other. */
   class: string;
+  /** `owner`. */
   team: string;
+  /** `shape`. */
   kind: JobKind;
+  /** `urgency`, as one of `PRIORITY`. */
   priority: number;
+  /** `pieces`: the number of tasks. */
   tasks: number;
   cpus: number;
+  /** `cards`. */
   gpus: number;
   memoryGb: number;
+  /** `flavors`: the machine types it may run on; null allows all. */
   types: string[] | null;
+  /** `yard`: the only zone that it may run in. */
   zone: string | null;
+  /** All tasks run in one zone, whichever. */
   oneZone: boolean;
+  /** At most half of the tasks run in one zone at once. */
   spread: boolean;
+  /** `loaner`: it may run on spot machines. */
   spot: boolean;
+  /** `bundle`. */
   image: string;
+  /** `pullGb`: size of the image. */
   imageGb: number;
+  /** `expectedS`: how long a task is expected to run. */
   estimateS: number;
+  /** `saveEveryS`: interval of checkpoints; 0: it has none. */
   checkpointS: number;
+  /** `savingS`: how long a checkpoint takes. */
   saveS: number;
+  /** `dueS`: the job is to be done within this time of its submission. */
   deadlineS: number | null;
-  /** Jobs that have to be done before any task of this one starts. */
+  /** `waitsOn`: jobs that have to be done before any task of this one starts. */
   after: string[];
-  /** What it asks of machines beyond the above, as match expressions; not part of a submission. */
+  /** Further requirements on machines, as match expressions; not part of a submission. */
   match?: MatchSpec;
 }
 
@@ -43,11 +69,12 @@
 
 const JOB_ID = /^wk-[A-Za-z0-9_-]{1,64}$/;
 const name = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
-/** No submission has room for more of them. */
+/** The longest body of a submission does not hold more of them. */
 const MAX_AFTER = 16_384;
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(1e9));
-/** Kinds and priorities by the wire's words. */
+/** Kinds of jobs by the words of `shape`. */
 export const KINDS = { sweep: 'array', ensemble: 'gang', standing: 'service' } as const;
+/** Priorities by the words of `urgency`. */
 export const PRIORITIES = {
   production: PRIORITY.production,
   urgent: PRIORITY.high,
@@ -112,6 +139,7 @@
   };
 }
 
+/** Whether a text has the form of a job's id. */
 export function isJobId(id: string): boolean {
   return JOB_ID.test(id);
 }
@@ -120,14 +148,17 @@
   return status === 'cancelled' ? 'aborted' : status;
 }
 
+/** The response to a submission or a cancellation. */
 export function writeAccepted(id: string, status: JobStatus): object {
   return { id, status: statusWord(status) };
 }
 
+/** The response to a status request: number of tasks `done` and `running`. */
 export function writeStatus(id: string, status: JobStatus, done: number, running: number): object {
   return { id, status: statusWord(status), done, running };
 }
 
+/** The paths of a controller for users: `jobs`, `jobs/ID` and `jobs/ID/cancel`. */
 export const USER_PATHS = { jobs: '/api/jobs', cancel: 'abort', health: '/healthz' } as const;
 
 // --- the users' side
@@ -169,9 +200,11 @@
   running: v.optional(v.number(), 0),
 });
 
+/** The status of a job, as users see it. */
 export interface JobView {
   id: string;
   status: JobStatus;
+  /** Number of tasks that are done, and of those that are running. */
   done: number;
   running: number;
 }
@@ -180,7 +213,7 @@
   return word === 'aborted' ? 'cancelled' : word;
 }
 
-/** How a job stands, as a user is told; null when it cannot be read. */
+/** The users' side of `writeStatus`; null when it is malformed. */
 export function readStatus(body: unknown): JobView | null {
   const parsed = v.safeParse(statusBody, body);
   if (!parsed.success) return null;
@@ -189,8 +222,11 @@
 
 /** One unfinished job of a list. */
 export interface ListedJob extends JobView {
+  /** `owner`. */
   team: string;
+  /** `jobClass`. */
   class: string;
+  /** `pieces`. */
   tasks: number;
 }
 
@@ -201,6 +237,7 @@
   more: v.boolean(),
 });
 
+/** The users' side of `writeJobList`; null when it is malformed. */
 export function readJobList(body: unknown): { jobs: ListedJob[]; more: boolean } | null {
   const parsed = v.safeParse(listBody, body);
   if (!parsed.success) return null;
@@ -214,6 +251,7 @@
   return { jobs, more: parsed.output.more };
 }
 
+/** One page of the unfinished jobs; `more`: it is not the last. */
 export function writeJobList(jobs: readonly ListedJob[], more: boolean): object {
   return {
     jobs: jobs.map(({ team, class: jobClass, tasks, ...view }) => ({
@@ -228,12 +266,12 @@
 
 const healthBody = v.object({ revision: v.number() });
 
-/** The answer of a healthy controller: up to which revision of the state service it knows the cluster's records. */
+/** The response of a healthy controller: up to which revision of the state service it knows the cluster's records. */
 export function writeHealth(revision: number): object {
   return { ok: true, revision };
 }
 
-/** The revision that a controller's health tells; null where it tells none. */
+/** The revision in the response to a health check; null when there is none. */
 export function readHealth(body: unknown): number | null {
   const p = v.safeParse(healthBody, body);
   return p.success ? p.output.revision : null;
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,31 +1,56 @@
+/**
+ * Heartbeats of the workers, and the commands to them. Their words: `piece` is a task (`JOB/INDEX`), `try` an attempt, `shift`
+ * the incarnation of a worker, `tally` the sequence number of a heartbeat, `baton` the fencing token of a machine's owner.
+ */
+
 import * as v from 'valibot';
 
-/** What workers report and are told. */
+/** `status` of a task; `pulling` is fetching, `ended` is exited. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
+/** Why a task exited, or did not start: `cause`, whose words are in `CAUSES`. */
 export type ExitCause = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
 
+/** A task on a machine, as its heartbeats report it (`pieces[]`). */
 export interface TaskStatus {
+  /** `piece` up to the last slash. */
   job: string;
+  /** `piece` after the last slash. */
   index: number;
+  /** `try`: the number of the attempt. */
   attempt: number;
+  /** `status`. */
   state: TaskState;
+  /** Null unless it has exited. */
   cause: ExitCause | null;
+  /** `kept`: its checkpoint was saved when it exited. */
   saved: boolean;
 }
 
+/** What a worker reports of itself and of all its tasks. */
 export interface Heartbeat {
+  /** `worker`. */
   machine: string;
+  /** `host:port` at which the worker takes commands. */
   addr: string;
+  /** `flavor`. */
   type: string;
+  /** `yard`. */
   zone: string;
+  /** `loaner`. */
   spot: boolean;
+  /** `shift`: grows whenever the worker starts anew, without tasks. */
   incarnation: number;
+  /** `tally`: grows with each heartbeat of an incarnation. */
   sequence: number;
+  /** `baton`: the highest token that the worker has received. */
   fencingToken: number;
+  /** `recallS`: seconds until the cloud takes the (spot) machine back; null if it has not announced that. */
   reclaimInS: number | null;
+  /** `pieces`. */
   tasks: TaskStatus[];
 }
 
+/** A command to a worker: `run` (start), `kill` (stop; `windDownS` is the grace), or `clear` (forget an exited task). */
 export type WorkerCommand =
   | { op: 'start'; job: string; index: number; attempt: number }
   | { op: 'stop'; job: string; index: number; attempt: number; graceS: number }
@@ -72,11 +97,12 @@
   ),
 });
 
+/** The name of a task on the wire: `piece`. */
 export function taskName(job: string, index: number): string {
   return `${job}/${index}`;
 }
 
-/** Reads a worker's report; null when it is not one. */
+/** A heartbeat; null when it is malformed. */
 export function readHeartbeat(body: unknown): Heartbeat | null {
   const parsed = v.safeParse(reportBody, body);
   if (!parsed.success) return null;
@@ -114,20 +140,22 @@
   return o.op === 'stop' ? { ...base, windDownS: o.graceS } : base;
 }
 
-/** The answer to a report. */
+/** The response to a heartbeat. */
 export function writeHeartbeatResponse(token: number, orders: WorkerCommand[]): object {
   return { baton: token, orders: orders.map(writeCommand) };
 }
 
-/** A command sent straight to a worker. */
+/** Commands that are sent to a worker between its heartbeats. */
 export function writeCommands(token: number, session: number, orders: WorkerCommand[]): object {
   return { baton: token, shift: session, orders: orders.map(writeCommand) };
 }
 
+/** The response to a heartbeat for another node (`foreman`); null when it is not known which. */
 export function writeRedirect(node: string | null): object {
   return node === null ? {} : { foreman: node };
 }
 
+/** The path of a controller for workers (`heartbeat`), and those of a worker. */
 export const WORKER_PATHS = { heartbeat: '/v1/report', commands: '/do', status: '/show' } as const;
 
 // --- the worker's side
@@ -140,7 +168,7 @@
   return Object.fromEntries(Object.entries(words).map(([word, term]) => [term, word])) as Record<T, string>;
 }
 
-/** A report, as a worker sends it. */
+/** The worker's side of `readHeartbeat`. */
 export function writeHeartbeat(r: Heartbeat): object {
   return {
     worker: r.machine,
@@ -178,7 +206,7 @@
   ),
 });
 
-/** What a worker is told, in the answer to a report or straight; null when it cannot be read. */
+/** The worker's side of `writeHeartbeatResponse` and `writeCommands`; null when it is malformed. */
 export function readCommands(
   body: unknown,
 ): { token: number | null; session: number | null; orders: WorkerCommand[] } | null {
@@ -199,6 +227,7 @@
 
 const redirectBody = v.object({ foreman: v.nullish(v.string()) });
 
+/** The worker's side of `writeRedirect`; null when it is malformed too. */
 export function readRedirect(body: unknown): string | null {
   const parsed = v.safeParse(redirectBody, body);
   return parsed.success ? (parsed.output.foreman ?? null) : null;
