--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -52,13 +52,7 @@
   }
 
   private async route(r: HttpRequest): Promise<HttpReply> {
-    if (r.path === USER_PATHS.health) {
-      if (r.method !== 'GET') return wrongMethod('GET');
-      const health = this.node.healthy
-        ? { status: 200, body: writeHealth(this.node.membership.stateCache.revision) }
-        : later(503, 1, 'starting');
-      return { ...health, from: 'health' };
-    }
+    if (r.path === USER_PATHS.health) return r.method === 'GET' ? this.health() : wrongMethod('GET');
     if (r.path === WORKER_PATHS.heartbeat)
       return r.method === 'POST' ? this.heartbeat(r) : wrongMethod('POST');
     if (r.path === USER_PATHS.jobs) {
@@ -66,6 +60,10 @@
       return r.method === 'POST' ? this.submit(r) : wrongMethod('GET, POST');
     }
     for (const [under, answer] of this.mounts) if (r.path.startsWith(under)) return answer(r);
+    return this.routeJob(r);
+  }
+
+  private async routeJob(r: HttpRequest): Promise<HttpReply> {
     const job = JOB_PATH.exec(r.path);
     if (!job) return { status: 404, body: { error: 'no such path' } };
     const id = decode(job[1]!);
@@ -74,6 +72,13 @@
     return r.method === 'POST' ? this.cancel(id) : wrongMethod('POST');
   }
 
+  private health(): HttpReply {
+    const reply = this.node.healthy
+      ? { status: 200, body: writeHealth(this.node.membership.stateCache.revision) }
+      : later(503, 1, 'starting');
+    return { ...reply, from: 'health' };
+  }
+
   private heartbeat(r: HttpRequest): HttpReply {
     const report = readHeartbeat(parseBody(r.body));
     if (!report) {
--- a/src/http/connectionadmission.ts
+++ b/src/http/connectionadmission.ts
@@ -184,13 +184,7 @@
    * all of these, since a machine that is kept out loses its tasks.
    */
   private evictFor(newAddress: string): boolean {
-    let largestRead: Set<ConnectionSlot> | null = null;
-    let largestOther: Set<ConnectionSlot> | null = null;
-    for (const [address, set] of this.unidentified) {
-      const first = set.values().next().value!;
-      if (first.initialDataRead && (!largestRead || set.size > largestRead.size)) largestRead = set;
-      if (address !== newAddress && (!largestOther || set.size > largestOther.size)) largestOther = set;
-    }
+    const { largestRead, largestOther } = this.largestUnidentified(newAddress);
     if (largestRead && this.evictOldest(largestRead)) return true;
     if (this.evictIdle(this.identified.user) || this.evictUnanswered(this.identified.user)) return true;
     const own = this.unidentified.get(newAddress)?.size ?? 0;
@@ -201,6 +195,18 @@
     return this.evictIdle(this.identified.worker);
   }
 
+  /** The largest sets of one address: of those whose oldest's initial data have been read, and of the other addresses. */
+  private largestUnidentified(newAddress: string) {
+    let largestRead: Set<ConnectionSlot> | null = null;
+    let largestOther: Set<ConnectionSlot> | null = null;
+    for (const [address, set] of this.unidentified) {
+      const oldest = set.values().next().value!;
+      if (oldest.initialDataRead && (!largestRead || set.size > largestRead.size)) largestRead = set;
+      if (address !== newAddress && (!largestOther || set.size > largestOther.size)) largestOther = set;
+    }
+    return { largestRead, largestOther };
+  }
+
   /** A user that has sent part of a request keeps its slot no longer than an unidentified connection that has. */
   private evictUnanswered(slots: ReadonlySet<ConnectionSlot>): boolean {
     for (const slot of slots) if (!slot.answeringUser) return this.evict(slot);
--- a/tests/changefeed/changefeed.test.ts
+++ b/tests/changefeed/changefeed.test.ts
@@ -381,7 +381,7 @@
   c.sent.length = 0;
   for (let i = 0; i < 6; i++) {
     assert.ok(await c.submit(nodes[i]!, job(`wk-${i}`)), nodes[i]);
-    c.state.serve('POST', '/txn', { when: [], writes: [{ set: 'c/record', value: i }] });
+    void c.state.serve('POST', '/txn', { when: [], writes: [{ set: 'c/record', value: i }] });
     await c.clock.advance(1000);
     for (const n of nodes)
       assert.equal(c.nodes.get(n)!.node.membership.stateCache.entries.get('c/record')?.value, i, n);
--- a/tests/emulator/emulator.test.ts
+++ b/tests/emulator/emulator.test.ts
@@ -158,7 +158,7 @@
   const clock = new FakeClock();
   const state = new StateService(clock);
   const put = (n: number) => state.serve('POST', '/txn', { when: [], writes: [{ set: `k/${n}`, value: n }] });
-  for (let i = 0; i < 12_000; i++) put(i);
+  for (let i = 0; i < 12_000; i++) void put(i);
   const old = await state.serve('GET', '/watch?under=k/&since=5&waitMs=10', null);
   assert.equal(old.status, 410);
   state.refusing.add('n0');
--- a/tests/faults/undecidedwrites.test.ts
+++ b/tests/faults/undecidedwrites.test.ts
@@ -12,9 +12,10 @@
   c: FakeCluster,
   id: string,
   forMs: number,
-  toldAt: number | null = null,
+  cancelToldAt: number | null = null,
 ): Promise<number> {
   const end = c.clock.now() + forMs;
+  let toldAt = cancelToldAt;
   for (let i = 0; c.clock.now() < end; i++) {
     const node = NODES[i % 3]!;
     if (c.nodes.has(node)) {
--- a/tests/schema/versions.test.ts
+++ b/tests/schema/versions.test.ts
@@ -237,7 +237,7 @@
   await c.clock.advance(12_000);
   assert.equal((await wait()).status, 201, 'one that has said so and is away');
   // It comes back as it was before: its presence does not say so.
-  c.state.serve('POST', '/txn', {
+  void c.state.serve('POST', '/txn', {
     when: [],
     writes: [{ set: 'c/node/n1', value: { node: 'n1', run: 'old', lease: 99 } }],
   });
