--- a/src/classad/evaluate.ts
+++ b/src/classad/evaluate.ts
@@ -34,11 +34,6 @@
   }
 }
 
-/** An attribute of an ad, evaluated. */
-export function evaluateAttribute(ad: Ad, name: string, target: Ad | null = null, now = 0): Value {
-  return evaluate({ node: 'name', scope: 'my', name }, { my: ad, target, now });
-}
-
 /** What a function is given. */
 export interface Call {
   args: Expr[];
--- a/src/classad/print.ts
+++ b/src/classad/print.ts
@@ -22,7 +22,7 @@
   return printLiteral(value);
 }
 
-export function quote(text: string): string {
+function quote(text: string): string {
   return `"${escapeText(text, '"')}"`;
 }
 
--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -198,7 +198,7 @@
 }
 
 /** What an answer says is wrong. */
-export function errorOf(answer: HttpAnswer): string {
+function errorOf(answer: HttpAnswer): string {
   const error = (answer.body as { error?: unknown } | null)?.error;
   return typeof error === 'string' ? error : 'no reason given';
 }
--- a/src/condor/analyze.ts
+++ b/src/condor/analyze.ts
@@ -27,7 +27,7 @@
 }
 
 /** The parts of a requirement that must all hold. */
-export function clausesOf(e: Expr): Expr[] {
+function clausesOf(e: Expr): Expr[] {
   return e.node === 'binary' && e.op === '&&' ? [...clausesOf(e.left), ...clausesOf(e.right)] : [e];
 }
 
--- a/src/condor/cluster.ts
+++ b/src/condor/cluster.ts
@@ -7,7 +7,7 @@
 import { CHUNK, type ClusterRecord, type Exception } from './records.js';
 
 /** The numbers that the language has for states. */
-export const STATUS: Record<ProcState, bigint> = {
+const STATUS: Record<ProcState, bigint> = {
   idle: 1n,
   running: 2n,
   removed: 3n,
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -20,7 +20,7 @@
 }
 
 /** A message that cannot be accepted, with the status that a server replies with. */
-export class ParseError extends ProtocolViolationError {
+class ParseError extends ProtocolViolationError {
   constructor(
     readonly status: number,
     message: string,
--- a/src/peer/mesh.ts
+++ b/src/peer/mesh.ts
@@ -10,7 +10,6 @@
 import { type PeerHandler, PeerServer } from './peerserver.js';
 
 export { PeerRejectedError } from './peerlink.js';
-export type { PeerHandler } from './peerserver.js';
 
 /** The other controllers, by the names of their nodes. */
 export interface Mesh {
--- a/src/tls/links.ts
+++ b/src/tls/links.ts
@@ -31,7 +31,7 @@
 };
 
 /** The version of what partners say to each other. A partner of another one is answered so, and not understood by guess. */
-export const PARTNER_VERSION = 1;
+const PARTNER_VERSION = 1;
 export const WRONG_VERSION = 'another version';
 
 export interface ServerHooks {
