--- a/src/controller/standbycoordinator.ts
+++ b/src/controller/standbycoordinator.ts
@@ -1,10 +1,10 @@
 import type { ControllerContext } from '../context/context.js';
 import type { Mesh } from '../peer/mesh.js';
 import { KEYS, readMachineRecord } from '../schema/schema.js';
+import { readStandbyRecord } from '../schema/standbyrecord.js';
 import { JobRecordReplica } from '../standby/jobrecordreplica.js';
-import { readStandbyRecord } from '../standby/messages.js';
 import { StandbyReplicas, type TakeoverState } from '../standby/standbyreplicas.js';
-import { StandbyReplicator } from '../standby/standbyreplicator.js';
+import { StandbyReplicator, type StandbyReplicatorHooks } from '../standby/standbyreplicator.js';
 import { chooseStandby, EvictionBackoff } from '../standby/standbyselection.js';
 import type { Membership } from './membership.js';
 
@@ -46,8 +46,7 @@
     const { clock, log } = context;
     this.jobRecords = new JobRecordReplica(context, log);
     this.replicas = new StandbyReplicas(this.jobRecords, log, {
-      now: () => clock.now(),
-      after: (ms, run) => void clock.after(ms, run),
+      clock,
       incarnation: context.incarnation,
       mayTakeOver: () => members.holdsLease && members.stateCache.isLoaded && !hooks.isCordoned(),
       refused: (node) => mesh.refused(node),
@@ -78,7 +77,7 @@
   /** The owner's side of a shard that is this node's now. */
   createReplicator(shard: number, term: number, lease: number): StandbyReplicator {
     const log = this.context.log.child({ shard, term });
-    return new StandbyReplicator(this.context, this.mesh, shard, term, this.evictionBackoff, log, {
+    const hooks: StandbyReplicatorHooks = {
       holdsLease: () => this.members.holdsLeaseId(lease),
       lease: () => (this.members.holdsLeaseId(lease) ? lease : null),
       chooseStandby: () => this.chooseStandby(shard),
@@ -90,7 +89,9 @@
       presenceOf: (node) => this.members.presenceOf(node),
       onShardLost: () => this.hooks.onShardLost(shard, term),
       requestPlan: () => this.hooks.requestPlan(shard),
-    });
+    };
+    const { context, mesh, evictionBackoff } = this;
+    return new StandbyReplicator({ context, mesh, shard, term, evictionBackoff, log, hooks });
   }
 
   /** Whether a node stands by for shards. */
--- a/src/scheduler/replicationsource.ts
+++ b/src/scheduler/replicationsource.ts
@@ -1,6 +1,6 @@
 import type { ControllerContext } from '../context/context.js';
 import type { Job } from '../jobs/job.js';
-import type { ReplicationRecord } from '../standby/messages.js';
+import type { ReplicationRecord } from '../standby/replicationrecord.js';
 import type { ReplicationSource } from '../standby/replicationstream.js';
 import type { StandbyReplicator } from '../standby/standbyreplicator.js';
 import type { Machine, TaskAttempt } from '../workers/machine.js';
@@ -24,7 +24,7 @@
   ) {}
 
   *snapshot(): Iterator<ReplicationRecord> {
-    for (const [name, r] of this.estimates.classes()) yield { t: 'class', name, ...r };
+    for (const [jobClass, r] of this.estimates.classes()) yield { kind: 'runtimeEstimate', jobClass, ...r };
     for (const m of this.registry.machines.values()) if (m.incarnation > 0) yield this.recordOf(m);
     for (const job of this.jobs.values()) {
       const sure = this.hooks.placementsKnown(job);
@@ -32,7 +32,7 @@
       // Of a job that is nowhere and never was, nothing need be said.
       if (!sure || places.length > 0) {
         const machines = sure ? [...new Set(places.map((h) => h.machine.id))] : null;
-        yield { t: 'only', job: job.spec.id, machines };
+        yield { kind: 'runsOnlyOn', job: job.spec.id, machines };
       }
       for (const h of places) if (h.runningAt !== null) yield this.runs(h, h.runningAt);
       if (job.quarantined) yield this.suspectOf(job);
@@ -46,23 +46,21 @@
   }
 
   private recordOf(m: Machine): ReplicationRecord {
-    const images = [...m.images].map(([image, gb]): [string, number] => [
-      this.context.names.images.name(image),
-      gb,
-    ]);
-    return { t: 'machine', id: m.id, session: m.incarnation, images };
+    const { images: names } = this.context.names;
+    const images = [...m.images].map(([image, gb]) => ({ image: names.name(image), gb }));
+    return { kind: 'machine', id: m.id, incarnation: m.incarnation, images };
   }
 
   private runs(h: TaskAttempt, runningAt: number): ReplicationRecord {
-    const since = Math.round(this.context.clock.wall() - (this.context.clock.now() - runningAt));
-    return { t: 'runs', task: `${h.job}/${h.index}`, attempt: h.attempt, since };
+    const runningSince = Math.round(this.context.clock.wall() - (this.context.clock.now() - runningAt));
+    return { kind: 'attemptRunning', task: `${h.job}/${h.index}`, attempt: h.attempt, runningSince };
   }
 
   private suspectOf(job: Job): ReplicationRecord {
     const until = this.context.clock.wall() + Math.max(0, job.notBefore - this.context.clock.now());
     // A cancellation under way closes a job for good; the next owner finds that by itself.
     return {
-      t: 'suspect',
+      kind: 'quarantined',
       job: job.spec.id,
       failures: job.failures,
       until: Number.isFinite(until) ? Math.round(until) : 0,
@@ -72,7 +70,7 @@
   /** An attempt is surely no longer on its machine, and nothing of it is still to be stored. */
   onAttemptLeft(job: Job, h: TaskAttempt): void {
     for (const other of this.placesOf(job)) if (other !== h && other.machine === h.machine) return;
-    this.replicator.replicate({ t: 'off', job: job.spec.id, machine: h.machine.id });
+    this.replicator.replicate({ kind: 'leftMachine', job: job.spec.id, machine: h.machine.id });
   }
 
   onRunning(h: TaskAttempt): void {
@@ -85,14 +83,16 @@
 
   onRuntimeLearnt(jobClass: string): void {
     const r = this.estimates.classOf(jobClass);
-    if (r) this.replicator.replicate({ t: 'class', name: jobClass, ...r });
+    if (r) this.replicator.replicate({ kind: 'runtimeEstimate', jobClass, ...r });
   }
 
   onQuarantineChanged(job: Job): void {
-    this.replicator.replicate(job.quarantined ? this.suspectOf(job) : { t: 'trusted', job: job.spec.id });
+    this.replicator.replicate(
+      job.quarantined ? this.suspectOf(job) : { kind: 'quarantineLifted', job: job.spec.id },
+    );
   }
 
   onJobEnded(job: Job): void {
-    this.replicator.replicate({ t: 'over', job: job.spec.id });
+    this.replicator.replicate({ kind: 'jobEnded', job: job.spec.id });
   }
 }
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -292,8 +292,7 @@
           this.maxConcurrentReconciliations,
         );
         if (this.replicator && this.replicationSource) {
-          this.replicator.source = this.replicationSource;
-          this.replicator.start();
+          this.replicator.start(this.replicationSource);
         }
         this.loop();
         return;
--- a/src/scheduler/warmstart.ts
+++ b/src/scheduler/warmstart.ts
@@ -22,7 +22,7 @@
     estimates.restore(this.snapshot.classes());
     for (const m of machines) {
       const cache = catalog.get(m.type)?.cacheGb ?? 0;
-      for (const [image, gb] of this.snapshot.machine(m.id)?.images ?? [])
+      for (const { image, gb } of this.snapshot.machine(m.id)?.images ?? [])
         noteImage(m, names.images.index(image), gb, cache);
     }
     for (const job of jobs) {
@@ -35,7 +35,7 @@
   }
 
   incarnationOf(m: Machine): number | null {
-    return this.snapshot?.machine(m.id)?.session ?? null;
+    return this.snapshot?.machine(m.id)?.incarnation ?? null;
   }
 
   runningSince(h: TaskAttempt): number | null {
--- a/src/standby/jobrecordreplica.ts
+++ b/src/standby/jobrecordreplica.ts
@@ -7,7 +7,7 @@
 import { recordsComplete } from './takeoverchecks.js';
 
 /** Changes are read no more often than this while there are some, and not at all while there are none. */
-const READ_EVERY_MS = 5000;
+const MIN_READ_INTERVAL_MS = 5000;
 
 /**
  * The unfinished jobs of the shards that this node stands by for, as the state service has them: read once, and from then on
@@ -30,6 +30,7 @@
     private readonly log: Log,
   ) {}
 
+  /** How many jobs are kept. */
   get size(): number {
     return this.jobs.size;
   }
@@ -43,20 +44,21 @@
         this.revision = 0;
         await this.read();
       })
-      .catch((error) => this.log.debug({ err: error }, 'records not read yet'));
+      .catch((error) => this.log.debug({ err: error }, 'job records not read yet'));
   }
 
+  /** The shard is no longer followed; its jobs are dropped. */
   leave(shard: number): void {
     if (!this.shards.delete(shard)) return;
     for (const [id, j] of this.jobs) if (j.shard === shard) this.jobs.delete(id);
   }
 
-  /** The owner has changed something since. */
+  /** An owner has changed something since: it is read, unless that was done just now. */
   changed(): void {
-    if (this.mutex.isLocked() || this.context.clock.now() - this.readAt < READ_EVERY_MS) return;
+    if (this.mutex.isLocked() || this.context.clock.now() - this.readAt < MIN_READ_INTERVAL_MS) return;
     void this.mutex
       .runExclusive(() => this.read())
-      .catch((error) => this.log.debug({ err: error }, 'changes not read yet'));
+      .catch((error) => this.log.debug({ err: error }, 'job record changes not read yet'));
   }
 
   /**
--- a/src/standby/messages.ts
+++ b/src/standby/messages.ts
@@ -1,34 +1,18 @@
 import * as v from 'valibot';
+import {
+  type ReplicationRecord,
+  readReplicationRecord,
+  wireRecord,
+  writeReplicationRecord,
+} from './replicationrecord.js';
 
-/** Names of the messages between an owner and its standby: to follow, and to take the shard over. */
-export const STANDBY_OPS = { replicate: 'stand', handOver: 'assume' } as const;
+/**
+ * The messages between an owner and its standby. `read…` checks what has come and returns it by the names of the code,
+ * null when it is none; `write…` returns what is sent.
+ */
 
-/** What an owner tells its standby of its shard, one by one and in order. Times of day in milliseconds, images by name. */
-const name = v.pipe(v.string(), v.maxLength(300));
-const record = v.variant('t', [
-  /** All that came before is forgotten: a snapshot begins. */
-  v.object({ t: v.literal('begin') }),
-  /** The snapshot is complete; from here on nothing is started that was not announced. */
-  v.object({ t: v.literal('level') }),
-  /** A task of the job may be started on the machine from now on. */
-  v.object({ t: v.literal('at'), job: name, machine: name }),
-  /** Tasks of the job may be on these machines and on no others; null: on any. */
-  v.object({ t: v.literal('only'), job: name, machines: v.nullable(v.array(name)) }),
-  /** No task of the job is on the machine any more. */
-  v.object({ t: v.literal('off'), job: name, machine: name }),
-  v.object({ t: v.literal('over'), job: name }),
-  v.object({ t: v.literal('runs'), task: name, attempt: v.number(), since: v.number() }),
-  v.object({
-    t: v.literal('machine'),
-    id: name,
-    session: v.number(),
-    images: v.array(v.tuple([name, v.number()])),
-  }),
-  v.object({ t: v.literal('class'), name, log: v.number(), count: v.number() }),
-  v.object({ t: v.literal('suspect'), job: name, failures: v.number(), until: v.number() }),
-  v.object({ t: v.literal('trusted'), job: name }),
-]);
-export type ReplicationRecord = v.InferOutput<typeof record>;
+/** Names of the messages between an owner and its standby: to replicate, and to hand the shard over. */
+export const STANDBY_OPS = { replicate: 'stand', handOver: 'assume' } as const;
 
 /** The most records of one message. */
 export const MAX_BATCH_RECORDS = 300;
@@ -36,52 +20,100 @@
 const term = v.pipe(v.number(), v.integer(), v.minValue(1));
 const shard = v.pipe(v.number(), v.integer(), v.minValue(0));
 
-const standMessage = v.object({
+/** Which owner speaks to which standby. */
+export interface StandbyAddress {
+  readonly shard: number;
+  /** Revision of the owner's key. */
+  readonly term: number;
+  /** Revision of the key that names the standby. */
+  readonly revision: number;
+  /** The incarnation of the node that this key names: another one of the same node is not meant. */
+  readonly incarnation: string;
+}
+
+/** Some records of the stream, in order. */
+export interface ReplicationBatch {
+  /** Sequence number of the first record. */
+  readonly from: number;
+  readonly records: readonly ReplicationRecord[];
+}
+
+/** What an owner sends its standby at least each heartbeat interval: the records that are not acknowledged yet. */
+export interface ReplicationMessage extends StandbyAddress, ReplicationBatch {
+  /** Changes of job records that the owner has made, counted. */
+  readonly recordChanges: number;
+}
+
+const wireReplicationMessage = v.object({
   shard,
   term,
-  /** Of the key that names the standby, and the run that it names: another run of the same node is not meant. */
   revision: term,
   run: v.string(),
-  /** Sequence number of the first record. */
   from: v.pipe(v.number(), v.integer(), v.minValue(0)),
-  records: v.pipe(v.array(record), v.maxLength(MAX_BATCH_RECORDS)),
-  /** Changes of job records that the owner has made, counted. */
+  records: v.pipe(v.array(wireRecord), v.maxLength(MAX_BATCH_RECORDS)),
   changes: v.number(),
 });
-export type ReplicationMessage = v.InferOutput<typeof standMessage>;
 
+/** A replication message that has come; null when it is none. */
 export function readReplicationMessage(value: unknown): ReplicationMessage | null {
-  const p = v.safeParse(standMessage, value);
-  return p.success ? p.output : null;
+  const p = v.safeParse(wireReplicationMessage, value);
+  if (!p.success) return null;
+  const { run, records, changes, ...rest } = p.output;
+  return {
+    ...rest,
+    incarnation: run,
+    records: records.map(readReplicationRecord),
+    recordChanges: changes,
+  };
 }
 
-const standAnswer = v.object({
-  /** All records before this one have been taken. */
-  next: v.number(),
-  /** How long ago the state service last renewed the standby's lease. */
-  stateAgoMs: v.number(),
-});
-export type ReplicationResponse = v.InferOutput<typeof standAnswer>;
+/** A replication message as it is sent. */
+export function writeReplicationMessage(m: ReplicationMessage): v.InferOutput<typeof wireReplicationMessage> {
+  return {
+    shard: m.shard,
+    term: m.term,
+    revision: m.revision,
+    run: m.incarnation,
+    from: m.from,
+    records: m.records.map(writeReplicationRecord),
+    changes: m.recordChanges,
+  };
+}
 
-export function readReplicationResponse(value: unknown): ReplicationResponse | null {
-  const p = v.safeParse(standAnswer, value);
-  return p.success ? p.output : null;
+/** The standby's answer to a replication message. */
+export interface ReplicationResponse {
+  /** All records before this sequence number have been applied. */
+  readonly nextSequence: number;
+  /** How long ago the state service last renewed the lease of the standby's node, in milliseconds. */
+  readonly leaseRenewedAgoMs: number;
 }
 
-const assumeMessage = v.object({ shard, term, revision: term, run: v.string() });
-/** The owner acts no more: the standby may claim at once. */
-export type HandoverMessage = v.InferOutput<typeof assumeMessage>;
+const wireReplicationResponse = v.object({ next: v.number(), stateAgoMs: v.number() });
+/** The answer as it is sent. */
+export type WireReplicationResponse = v.InferOutput<typeof wireReplicationResponse>;
 
-export function readHandoverMessage(value: unknown): HandoverMessage | null {
-  const p = v.safeParse(assumeMessage, value);
-  return p.success ? p.output : null;
+/** A standby's answer that has come; null when it is none. */
+export function readReplicationResponse(value: unknown): ReplicationResponse | null {
+  const p = v.safeParse(wireReplicationResponse, value);
+  return p.success ? { nextSequence: p.output.next, leaseRenewedAgoMs: p.output.stateAgoMs } : null;
+}
+
+/** A standby's answer as it is sent. */
+export function writeReplicationResponse(r: ReplicationResponse): WireReplicationResponse {
+  return { next: r.nextSequence, stateAgoMs: r.leaseRenewedAgoMs };
 }
 
-const standKey = v.object({ node: v.string(), run: v.string(), term: v.number(), tag: v.string() });
-/** What `c/stand/K` holds; `tag` tells apart writes of which the answer was lost. */
-export type StandbyRecord = v.InferOutput<typeof standKey>;
+const wireHandoverMessage = v.object({ shard, term, revision: term, run: v.string() });
+
+/** The owner has ceased to act: the standby may claim at once. Null when it is no such message. */
+export function readHandoverMessage(value: unknown): StandbyAddress | null {
+  const p = v.safeParse(wireHandoverMessage, value);
+  if (!p.success) return null;
+  const { run, ...rest } = p.output;
+  return { ...rest, incarnation: run };
+}
 
-export function readStandbyRecord(value: unknown): StandbyRecord | null {
-  const p = v.safeParse(standKey, value);
-  return p.success ? p.output : null;
+/** A handover message as it is sent. */
+export function writeHandoverMessage(to: StandbyAddress): v.InferOutput<typeof wireHandoverMessage> {
+  return { shard: to.shard, term: to.term, revision: to.revision, run: to.incarnation };
 }
--- a/src/standby/standbylease.ts
+++ b/src/standby/standbylease.ts
@@ -1,8 +1,8 @@
-// This package: who stands by for a shard, what it follows, and when it may take over; nothing of how a shard is run.
+// This package: who stands by for a shard, what it replicates, and when it may take over; nothing of how a shard is run.
 import { DRIFT } from '../clock/clock.js';
 
 /**
- * The promise between the owner of a shard and its standby (docs/standby.md): pure steps, taken alike by the nodes and by
+ * The lease between the owner of a shard and its standby (the promise of docs/standby.md): pure steps, taken alike by the nodes and by
  * the model check. All times are steady milliseconds of the node that takes the step.
  */
 
@@ -13,38 +13,42 @@
 
 /** The owner's side, for one term. */
 export interface OwnerLease {
-  /** Revision of the key that names the standby whose promise binds; null when none does. */
+  /** Revision of the key that names the standby whose lease binds; null when none does. */
   readonly boundRevision: number | null;
   /** While it is bound, it acts until then. */
   readonly until: number;
 }
 
+/** The owner is bound by no standby. */
 export const NO_STANDBY: OwnerLease = { boundRevision: null, until: Number.POSITIVE_INFINITY };
 
 /**
- * A message under this revision is sent now. The first one binds: the standby may claim from `PROMISE_MS` after it has
+ * A message under this revision is sent now. The first one binds: the standby may claim from `STANDBY_LEASE_MS` after it has
  * answered, and it answers no sooner than this.
  */
-export function onSend(p: OwnerLease, revision: number, now: number): OwnerLease {
-  return p.boundRevision === revision ? p : { boundRevision: revision, until: now + leaseDurationMs() };
+export function onSend(lease: OwnerLease, revision: number, now: number): OwnerLease {
+  return lease.boundRevision === revision
+    ? lease
+    : { boundRevision: revision, until: now + leaseDurationMs() };
 }
 
 /** The standby has answered a message that was sent at `sentAt`. */
-export function onAcknowledged(p: OwnerLease, revision: number, sentAt: number): OwnerLease {
-  if (p.boundRevision !== revision) return p;
-  return { boundRevision: revision, until: Math.max(p.until, sentAt + leaseDurationMs()) };
+export function onAcknowledged(lease: OwnerLease, revision: number, sentAt: number): OwnerLease {
+  if (lease.boundRevision !== revision) return lease;
+  return { boundRevision: revision, until: Math.max(lease.until, sentAt + leaseDurationMs()) };
 }
 
-/** The standby is known to be struck off, or never to have been named: no claim of it can be applied any more. */
-export function onEvicted(p: OwnerLease, revision: number): OwnerLease {
-  return p.boundRevision === revision ? NO_STANDBY : p;
+/** The standby is known to be evicted, or never to have been named: no claim of it can be applied any more. */
+export function onEvicted(lease: OwnerLease, revision: number): OwnerLease {
+  return lease.boundRevision === revision ? NO_STANDBY : lease;
 }
 
 /** Whether the owner may act, as far as its standby goes; its state lease has to last as well. */
-export function leaseCovers(p: OwnerLease, now: number): boolean {
-  return now < p.until;
+export function leaseCovers(lease: OwnerLease, now: number): boolean {
+  return now < lease.until;
 }
 
+/** How long the owner may act after it sent a message: less than the standby waits, by drift and a margin on both sides. */
 function leaseDurationMs(): number {
   return STANDBY_LEASE_MS * (1 - 2 * DRIFT) - MARGIN_MS;
 }
@@ -63,30 +67,30 @@
 
 /** A message of the owner has come; null when it must not be answered. */
 export function onMessage(
-  v: ReplicaState | null,
+  state: ReplicaState | null,
   term: number,
   revision: number,
   now: number,
 ): ReplicaState | null {
-  if (!v || v.term < term || (v.term === term && v.revision < revision))
+  if (!state || state.term < term || (state.term === term && state.revision < revision))
     return { term, revision, answeredAt: now, released: false, claimed: false };
   // From before: delivered late, by a connection that has broken since.
-  if (v.term !== term || v.revision !== revision) return null;
-  return v.claimed ? null : { ...v, answeredAt: now };
+  if (state.term !== term || state.revision !== revision) return null;
+  return state.claimed ? null : { ...state, answeredAt: now };
 }
 
 /** The owner says that it acts no more under this term. */
-export function onRelease(v: ReplicaState | null, term: number, revision: number): ReplicaState | null {
-  return v && v.term === term && v.revision === revision ? { ...v, released: true } : null;
+export function onRelease(state: ReplicaState | null, term: number, revision: number): ReplicaState | null {
+  return state && state.term === term && state.revision === revision ? { ...state, released: true } : null;
 }
 
-/** Whether the owner's promise is surely over. */
-export function mayClaim(v: ReplicaState, now: number): boolean {
-  if (v.claimed) return false;
-  return v.released || now > v.answeredAt + STANDBY_LEASE_MS * (1 + 2 * DRIFT) + MARGIN_MS;
+/** Whether the owner's lease with the standby is surely over. */
+export function mayClaim(state: ReplicaState, now: number): boolean {
+  if (state.claimed) return false;
+  return state.released || now > state.answeredAt + STANDBY_LEASE_MS * (1 + 2 * DRIFT) + MARGIN_MS;
 }
 
 /** A claim is sent now. */
-export function onClaim(v: ReplicaState): ReplicaState {
-  return { ...v, claimed: true };
+export function onClaim(state: ReplicaState): ReplicaState {
+  return { ...state, claimed: true };
 }
--- a/src/standby/standbyreplicas.ts
+++ b/src/standby/standbyreplicas.ts
@@ -1,7 +1,15 @@
+import type { Clock } from '../clock/clock.js';
+import { type PeriodicTask, startPacedTask } from '../clock/periodictask.js';
 import type { Log } from '../config/log.js';
 import type { LoadedJob } from '../jobs/records.js';
 import type { JobRecordReplica } from './jobrecordreplica.js';
-import { type ReplicationResponse, readHandoverMessage, readReplicationMessage } from './messages.js';
+import {
+  type ReplicationMessage,
+  readHandoverMessage,
+  readReplicationMessage,
+  type WireReplicationResponse,
+  writeReplicationResponse,
+} from './messages.js';
 import { type ReplicaSnapshot, ShardReplica } from './shardreplica.js';
 import {
   mayClaim,
@@ -15,22 +23,23 @@
 const MIN_CHECK_INTERVAL_MS = 125;
 /**
  * An owner that answers nothing may only be slow, or stand still for a moment, and to take its shard over costs more than to
- * wait a little longer; one whose connections are refused is over as soon as its promise is.
+ * wait a little longer; one whose connections are refused is over as soon as its lease with the standby is.
  */
 const OWNER_SILENT_MS = 3500;
 const CLAIM_RETRY_MS = 200;
 
+/** What the node knows and does for the replicas that it keeps. */
 export interface StandbyReplicasHooks {
-  now(): number;
-  after(ms: number, run: () => void): void;
-  incarnation: string;
+  readonly clock: Clock;
+  /** This run of this node's process. */
+  readonly incarnation: string;
   /** Whether this node may take shards: its lease lasts, it knows the keys, the workers reach it. */
   mayTakeOver(): boolean;
   /** Whether connections to a node are refused. */
   refused(node: string): boolean;
   /** Versions of a shard's owner key and standby key as this node's copy shows them, and how new that copy is. */
   cachedVersions(shard: number): { owner: number; standby: number; revision: number };
-  /** How long ago the state service last renewed this node's lease. */
+  /** How long ago the state service last renewed this node's lease, in milliseconds. */
   leaseRenewedAgoMs(): number;
   /** Replaces the owner's key: the new term; null when that surely failed for good; throws when it may be tried again. */
   claim(shard: number, term: number, revision: number): Promise<number | null>;
@@ -40,26 +49,44 @@
 
 /** What comes with a shard that was taken over. */
 export interface TakeoverState {
-  snapshot: ReplicaSnapshot;
+  readonly snapshot: ReplicaSnapshot;
   /** Its unfinished jobs with all changes up to a revision; null when they are to be read anew. */
   jobs(revision: number): Promise<{ jobs: LoadedJob[]; changes: number } | null>;
   /** The former owner has said that it acts no more. */
-  released: boolean;
-  owner: string;
+  readonly released: boolean;
+  /** The former owner's node. */
+  readonly owner: string;
 }
 
+/** A shard that this node stands by for. */
 interface ReplicatedShard {
   state: ReplicaState;
-  owner: string;
-  replica: ShardReplica;
-  changes: number;
+  readonly owner: string;
+  readonly replica: ShardReplica;
+  /** The owner's count of changes of job records, as it was last said. */
+  recordChanges: number;
+  /** A claim has been sent and not been answered yet. */
   claiming: boolean;
-  claimAt: number;
+  /** When the last claim was sent. */
+  claimSentAt: number;
+}
+
+/** One shard that this node stands by for, as it is logged. */
+export interface StandbyReplicaStatus {
+  readonly shard: number;
+  readonly owner: string;
+  readonly inSync: boolean;
+  /** Entries kept. */
+  readonly entries: number;
 }
 
-/** The standby's side, for all shards that this node stands by for: follows them, and claims when a promise is over. */
+/**
+ * The standby's side, for all shards that this node stands by for: follows them, and claims when an owner's lease with it is
+ * over.
+ */
 export class StandbyReplicas {
   private readonly shards = new Map<number, ReplicatedShard>();
+  private checks: PeriodicTask | null = null;
 
   constructor(
     private readonly records: JobRecordReplica,
@@ -67,8 +94,14 @@
     private readonly hooks: StandbyReplicasHooks,
   ) {}
 
+  /** Begins to watch the owners. */
   start(): void {
-    this.loop();
+    this.checks ??= startPacedTask(this.hooks.clock, () => this.checkOwners());
+  }
+
+  /** Claims no shard any more by itself. */
+  stop(): void {
+    this.checks?.stop();
   }
 
   /** How many shards this node stands by for. */
@@ -76,134 +109,152 @@
     return this.shards.size;
   }
 
-  /** A message of an owner; null when it is not answered. */
-  onReplicationMessage(args: unknown, from: string): ReplicationResponse | null {
+  /** The answer to a replication message of the owner `from`; null when it must not be answered. */
+  onReplicationMessage(args: unknown, from: string): WireReplicationResponse | null {
     const m = readReplicationMessage(args);
     // A run of this node before this one may have sent a claim that is still under way: it is not this one's to answer for.
-    if (!m || m.run !== this.hooks.incarnation) return null;
+    if (!m || m.incarnation !== this.hooks.incarnation) return null;
     const known = this.shards.get(m.shard);
     // A former owner that does not know yet that it is none.
     if (!known && this.isOver(m.shard, m.term, m.revision)) return null;
-    const replicaState = onMessage(known?.state ?? null, m.term, m.revision, this.hooks.now());
-    if (!replicaState) return null;
-    let f = known;
-    if (!f || f.state.term !== m.term || f.state.revision !== m.revision) {
-      f = {
-        state: replicaState,
-        owner: from,
-        replica: new ShardReplica(),
-        changes: m.changes,
-        claiming: false,
-        claimAt: Number.NEGATIVE_INFINITY,
-      };
-      this.shards.set(m.shard, f);
-      this.records.follow(m.shard);
-      this.log.info({ shard: m.shard, term: m.term, owner: from }, 'standing by');
-    }
-    f.state = replicaState;
-    f.replica.applyBatch(m.from, m.records);
-    if (m.changes !== f.changes) {
-      f.changes = m.changes;
+    const state = onMessage(known?.state ?? null, m.term, m.revision, this.hooks.clock.now());
+    if (!state) return null;
+    const isKnown = known?.state.term === m.term && known.state.revision === m.revision;
+    const s = isKnown ? known : this.follow(m, from, state);
+    s.state = state;
+    s.replica.applyBatch(m.from, m.records);
+    if (m.recordChanges !== s.recordChanges) {
+      s.recordChanges = m.recordChanges;
       this.records.changed();
     }
-    return { next: f.replica.nextSequence, stateAgoMs: this.hooks.leaseRenewedAgoMs() };
+    return writeReplicationResponse({
+      nextSequence: s.replica.nextSequence,
+      leaseRenewedAgoMs: this.hooks.leaseRenewedAgoMs(),
+    });
   }
 
   /** The owner hands a shard over: true once it is this node's. */
   async onHandover(args: unknown): Promise<boolean> {
     const m = readHandoverMessage(args);
-    const f = m && this.shards.get(m.shard);
-    const replicaState = f ? onRelease(f.state, m.term, m.revision) : null;
-    if (!f || !replicaState || m.run !== this.hooks.incarnation || !this.hooks.mayTakeOver()) return false;
-    f.state = replicaState;
-    return this.claim(m.shard, f);
+    const s = m && this.shards.get(m.shard);
+    const released = s ? onRelease(s.state, m.term, m.revision) : null;
+    if (!s || !released || m.incarnation !== this.hooks.incarnation || !this.hooks.mayTakeOver())
+      return false;
+    s.state = released;
+    return this.claim(m.shard, s);
   }
 
-  /** Looks again when the first promise may be over, and more often once one is: mostly the next answer comes before. */
-  private loop(): void {
-    for (const [shard, f] of this.shards) this.checkOwner(shard, f);
+  /** For those on call: what this node stands by for, and how much it keeps. */
+  status(): StandbyReplicaStatus[] {
+    return [...this.shards].map(([shard, { owner, replica }]) => ({
+      shard,
+      owner,
+      inSync: replica.inSync,
+      entries: replica.size,
+    }));
+  }
+
+  /** Begins with an empty replica, for an owner or a naming that is new here. */
+  private follow(m: ReplicationMessage, owner: string, state: ReplicaState): ReplicatedShard {
+    const s = {
+      state,
+      owner,
+      replica: new ShardReplica(),
+      recordChanges: m.recordChanges,
+      claiming: false,
+      claimSentAt: Number.NEGATIVE_INFINITY,
+    };
+    this.shards.set(m.shard, s);
+    this.records.follow(m.shard);
+    this.log.info({ shard: m.shard, term: m.term, owner }, 'standby replication started');
+    return s;
+  }
+
+  /**
+   * Checks all owners; returns after how many milliseconds to check again: when the first lease may be over, and more often
+   * once one is. Mostly the next message comes before.
+   */
+  private checkOwners(): number {
+    for (const [shard, s] of this.shards) this.checkOwner(shard, s);
     let next = STANDBY_LEASE_MS;
-    for (const { state: replicaState } of this.shards.values())
-      next = Math.min(next, replicaState.answeredAt + STANDBY_LEASE_MS * 1.05 - this.hooks.now());
-    this.hooks.after(Math.max(MIN_CHECK_INTERVAL_MS, next), () => this.loop());
+    for (const { state } of this.shards.values())
+      next = Math.min(next, state.answeredAt + STANDBY_LEASE_MS * 1.05 - this.hooks.clock.now());
+    return Math.max(MIN_CHECK_INTERVAL_MS, next);
   }
 
-  private checkOwner(shard: number, f: ReplicatedShard): void {
-    const now = this.hooks.now();
-    if (!f.claiming && this.isOver(shard, f.state.term, f.state.revision)) {
-      this.stopReplicating(shard, f);
+  private checkOwner(shard: number, s: ReplicatedShard): void {
+    const now = this.hooks.clock.now();
+    if (!s.claiming && this.isOver(shard, s.state.term, s.state.revision)) {
+      this.stopFollowing(shard, s);
       return;
     }
-    if (f.claiming || !this.hooks.mayTakeOver()) return;
-    if (f.state.claimed) {
+    if (s.claiming || !this.hooks.mayTakeOver()) return;
+    if (s.state.claimed) {
       // Not executed the first time: nothing has been answered since, so that it stands as it did.
-      if (now - f.claimAt > CLAIM_RETRY_MS) void this.claim(shard, f);
+      if (now - s.claimSentAt > CLAIM_RETRY_MS) void this.claim(shard, s);
       return;
     }
-    if (!mayClaim(f.state, now)) return;
-    const silentMs = now - f.state.answeredAt;
-    const refused = this.hooks.refused(f.owner);
-    if (!f.state.released && !refused && silentMs < OWNER_SILENT_MS) return;
-    const why = { shard, owner: f.owner, silentMs: Math.round(silentMs), refused };
-    this.log.info(why, 'owner is silent: taking over');
-    void this.claim(shard, f);
+    if (!mayClaim(s.state, now)) return;
+    const silentMs = now - s.state.answeredAt;
+    const refused = this.hooks.refused(s.owner);
+    if (!s.state.released && !refused && silentMs < OWNER_SILENT_MS) return;
+    this.log.info(
+      { shard, owner: s.owner, silentMs: Math.round(silentMs), refused },
+      'owner is silent: taking over',
+    );
+    void this.claim(shard, s);
   }
 
-  /** Struck off, or a later owner's: what this node's copy of the keys shows is newer than the vigil. */
+  /** Evicted, or a later owner's: what this node's copy of the keys shows is newer than the replica. */
   private isOver(shard: number, term: number, revision: number): boolean {
-    const seen = this.hooks.cachedVersions(shard);
-    const over = (version: number, mine: number) =>
-      version > mine || (version === 0 && seen.revision >= revision);
-    return over(seen.owner, term) || over(seen.standby, revision);
+    const cached = this.hooks.cachedVersions(shard);
+    const superseded = (version: number, mine: number) =>
+      version > mine || (version === 0 && cached.revision >= revision);
+    return superseded(cached.owner, term) || superseded(cached.standby, revision);
   }
 
-  private stopReplicating(shard: number, f: ReplicatedShard): void {
-    if (this.shards.get(shard) !== f) return;
+  private stopFollowing(shard: number, s: ReplicatedShard): void {
+    if (this.shards.get(shard) !== s) return;
     this.shards.delete(shard);
     this.records.leave(shard);
   }
 
-  private async claim(shard: number, f: ReplicatedShard): Promise<boolean> {
-    if (f.claiming) return false;
-    f.state = onClaim(f.state);
-    f.claiming = true;
-    f.claimAt = this.hooks.now();
-    const { term, revision, released } = f.state;
+  /** Claims the shard: true once it is this node's, false when it is not or that is not known. */
+  private async claim(shard: number, s: ReplicatedShard): Promise<boolean> {
+    if (s.claiming) return false;
+    s.state = onClaim(s.state);
+    s.claiming = true;
+    s.claimSentAt = this.hooks.clock.now();
+    const { term, revision, released } = s.state;
     try {
-      const taken = await this.hooks.claim(shard, term, revision);
-      if (this.shards.get(shard) === f) this.shards.delete(shard);
-      if (taken === null) {
+      const newTerm = await this.hooks.claim(shard, term, revision);
+      if (this.shards.get(shard) === s) this.shards.delete(shard);
+      if (newTerm === null) {
         this.records.leave(shard);
         return false;
       }
-      this.hooks.onTakeover(shard, taken, {
-        snapshot: f.replica,
-        jobs: async (upTo) => {
-          try {
-            return await this.records.upTo(upTo, shard);
-          } finally {
-            this.records.leave(shard);
-          }
-        },
-        released,
-        owner: f.owner,
-      });
+      this.hooks.onTakeover(shard, newTerm, this.takeoverState(shard, s, released));
       return true;
     } catch (error) {
-      this.log.info({ shard, err: error }, 'taking over is tried again');
+      this.log.info({ shard, err: error }, 'takeover claim failed, to be retried');
       return false;
     } finally {
-      f.claiming = false;
+      s.claiming = false;
     }
   }
 
-  /** For those on call: what this node stands by for, and how much it keeps. */
-  status(): { shard: number; owner: string; level: boolean; kept: number }[] {
-    return [...this.shards].map(([shard, f]) => ({
-      shard,
-      owner: f.owner,
-      level: f.replica.inSync,
-      kept: f.replica.size,
-    }));
+  private takeoverState(shard: number, s: ReplicatedShard, released: boolean): TakeoverState {
+    return {
+      snapshot: s.replica,
+      jobs: async (revision) => {
+        try {
+          return await this.records.upTo(revision, shard);
+        } finally {
+          this.records.leave(shard);
+        }
+      },
+      released,
+      owner: s.owner,
+    };
   }
 }
--- a/src/standby/standbyselection.ts
+++ b/src/standby/standbyselection.ts
@@ -5,10 +5,11 @@
   home: string;
   /** All nodes, in the order of their names: a roll restarts them in it. */
   order: readonly string[];
-  /** Whether a node is there, follows shards and takes them. */
+  /** Whether a node is present, replicates shards and takes them. */
   isEligible(node: string): boolean;
   /** How many machines the shards have that a node owns and stands by for. */
   load(node: string): number;
+  /** The zone of a node. */
   zoneOf(node: string): string;
   /** Machines of the shard by zone. */
   machines: ReadonlyMap<string, number>;
@@ -21,46 +22,50 @@
  */
 export function chooseStandby(c: StandbyCandidates): string | null {
   if (c.home !== c.owner && c.isEligible(c.home)) return c.home;
-  const n = c.order.length;
-  const at = c.order.indexOf(c.owner);
-  const back = (node: string) => (at - c.order.indexOf(node) + n) % n;
+  const nodeCount = c.order.length;
+  const ownerIndex = c.order.indexOf(c.owner);
+  /** How many places before the owner a node comes in a roll. */
+  const placesBefore = (node: string) => (ownerIndex - c.order.indexOf(node) + nodeCount) % nodeCount;
   let best: string | null = null;
   const rank = (node: string) => [
     // The next in a roll shares the owner's fate where another is there.
-    n > 2 && back(node) === n - 1 ? 1 : 0,
+    nodeCount > 2 && placesBefore(node) === nodeCount - 1 ? 1 : 0,
     -(c.machines.get(c.zoneOf(node)) ?? 0),
     c.load(node),
-    back(node),
+    placesBefore(node),
   ];
   for (const node of c.order) {
     if (node === c.owner || !c.isEligible(node)) continue;
-    if (best === null || before(rank(node), rank(best))) best = node;
+    if (best === null || ranksBefore(rank(node), rank(best))) best = node;
   }
   return best;
 }
 
-function before(a: readonly number[], b: readonly number[]): boolean {
+/** Whether a rank comes first: lower numbers do, the earlier ones count more. */
+function ranksBefore(a: readonly number[], b: readonly number[]): boolean {
   for (let i = 0; i < a.length; i++) if (a[i] !== b[i]) return a[i]! < b[i]!;
   return false;
 }
 
-/** A node that was struck off is left alone for a while, longer each time it happens again soon. */
 const BACKOFF_MS = 5000;
 const MAX_BACKOFF_MS = 60_000;
 const BACKOFF_RESET_MS = 120_000;
 
+/** A node that was evicted is left alone for a while, longer each time it happens again soon. */
 export class EvictionBackoff {
   private readonly nodes = new Map<string, { at: number; pauseMs: number }>();
 
+  /** A node was evicted at `now`, in steady milliseconds. */
   onEvicted(node: string, now: number): void {
     const last = this.nodes.get(node);
-    const soon = last && now - last.at < BACKOFF_RESET_MS;
+    const again = last && now - last.at < BACKOFF_RESET_MS;
     this.nodes.set(node, {
       at: now,
-      pauseMs: soon ? Math.min(MAX_BACKOFF_MS, last.pauseMs * 2) : BACKOFF_MS,
+      pauseMs: again ? Math.min(MAX_BACKOFF_MS, last.pauseMs * 2) : BACKOFF_MS,
     });
   }
 
+  /** Whether a node is not to be named yet. */
   isBackingOff(node: string, now: number): boolean {
     const last = this.nodes.get(node);
     return last !== undefined && now - last.at < last.pauseMs;
--- a/src/standby/takeoverchecks.ts
+++ b/src/standby/takeoverchecks.ts
@@ -6,16 +6,16 @@
  */
 
 /** A key of a former ownership, or a claim thought lost, must not be taken up: its tokens and attempts have been used. */
-export function isFreshTerm(term: number, spent: ReadonlySet<number>): boolean {
-  return !spent.has(term);
+export function isFreshTerm(term: number, retiredTerms: ReadonlySet<number>): boolean {
+  return !retiredTerms.has(term);
 }
 
 /**
  * Records are complete only when all changes up to the claim's revision are in them: until then an end or a cancellation that
  * the former owner told its user may be missing. After it no write of the former owner is applied any more.
  */
-export function recordsComplete(readTo: number, term: number): boolean {
-  return readTo >= term;
+export function recordsComplete(readUpTo: number, term: number): boolean {
+  return readUpTo >= term;
 }
 
 /** Asked just before each step, so that a freeze or a drifting clock between two steps is found. */
@@ -23,6 +23,7 @@
   return !facts.stopped && facts.leased && facts.promised;
 }
 
+/** What counts of a machine for whether tasks may be started on it. */
 export interface MachineFacts {
   reconciled: boolean;
   decommissioning: boolean;
@@ -62,13 +63,13 @@
  */
 export function surelyNotRunning(
   job: { fresh: boolean; id: string },
-  warmth: ReplicaSnapshot | null,
+  snapshot: ReplicaSnapshot | null,
   adopted: boolean,
-  unseen: (machine: string) => boolean,
+  mayHoldTasks: (machine: string) => boolean,
 ): boolean {
   if (job.fresh || adopted) return true;
-  const machines = warmth?.machinesOf(job.id) ?? null;
+  const machines = snapshot?.machinesOf(job.id) ?? null;
   if (machines === null) return false;
-  for (const m of machines) if (unseen(m)) return false;
+  for (const m of machines) if (mayHoldTasks(m)) return false;
   return true;
 }
--- a/tests/compatibility/encoders.test.ts
+++ b/tests/compatibility/encoders.test.ts
@@ -34,12 +34,16 @@
   readTeamAssignment,
   writeLeaseHolder,
 } from '../../src/schema/schema.js';
+import { readStandbyRecord, writeStandbyRecord } from '../../src/schema/standbyrecord.js';
 import {
   readHandoverMessage,
   readReplicationMessage,
   readReplicationResponse,
-  readStandbyRecord,
+  writeHandoverMessage,
+  writeReplicationMessage,
+  writeReplicationResponse,
 } from '../../src/standby/messages.js';
+import { writeReplicationRecord } from '../../src/standby/replicationrecord.js';
 import { ShardReplica } from '../../src/standby/shardreplica.js';
 import { StateStore } from '../../src/state/statestore.js';
 import * as cloud from '../../src/wire/cloud.js';
@@ -198,7 +202,7 @@
   'c/own/SHARD': holderAsStored,
   'c/node/NAME': holderAsStored,
   'c/m/ID': unchanged(readMachineRecord),
-  'c/stand/SHARD': unchanged(readStandbyRecord),
+  'c/stand/SHARD': (value: unknown) => writeStandbyRecord(read(readStandbyRecord(value))),
   'c/teams': assignment(KEYS.teams),
   'c/teams/N': assignment(KEYS.moreTeams(1)),
   'c/types': (value: cloud.MachineType[]) => {
@@ -293,9 +297,9 @@
   'changes asked': unchanged(readChangesRequest),
   'changes answered': unchanged(readChangesResponse),
   'changesHead answered': unchanged(readLatestRevisionResponse),
-  'stand asked': unchanged(readReplicationMessage),
-  'stand answered': unchanged(readReplicationResponse),
-  'assume asked': unchanged(readHandoverMessage),
+  'stand asked': (value: unknown) => writeReplicationMessage(read(readReplicationMessage(value))),
+  'stand answered': (value: unknown) => writeReplicationResponse(read(readReplicationResponse(value))),
+  'assume asked': (value: unknown) => writeHandoverMessage(read(readHandoverMessage(value))),
 };
 /** Members that are taken one by one where they are read, and answers of which only the type counts. */
 const PEERS_PLAIN =
@@ -329,21 +333,27 @@
   assert.equal(readDependentClaims(asked('needed').claims).length, 1);
   for (const op of ['submit', 'submitAfter']) assert.deepEqual(readSpec(asked(op).spec), fullSpec());
   const stand = decoded(fixture<Produced>('standby-frames').stand!) as { a: { records: unknown[] } };
-  assert.deepEqual(readReplicationMessage(stand.a), stand.a);
-  const said = new Set(stand.a.records.map((record) => (record as { t: string }).t));
-  assert.deepEqual([...said].sort(), Object.keys(STREAM).sort(), 'every kind of record is in the stream');
+  const message = read(readReplicationMessage(stand.a));
+  assert.deepEqual(writeReplicationMessage(message), stand.a);
+  const kinds = new Set(message.records.map((record) => record.kind));
+  assert.deepEqual([...kinds].sort(), Object.keys(STREAM).sort(), 'every kind of record is in the stream');
+  const tags = new Set(stand.a.records.map((record) => (record as { t: string }).t));
+  const written = Object.values(STREAM).map((record) => writeReplicationRecord(record).t);
+  assert.deepEqual([...tags].sort(), written.sort(), 'every kind of record is sent by a tag of its own');
 });
 
 test('a standby takes the recorded stream as versions before this one sent it', () => {
   const batch = JSON.parse(fixture<Produced>('standby-frames').batch!);
+  const sender = { shard: 1, term: 9, revision: 11, run: 'n1-7', changes: 5 };
+  const { from, records } = read(readReplicationMessage({ ...sender, ...batch }));
   const copy = new ShardReplica();
-  copy.applyBatch(batch.from, batch.records);
+  copy.applyBatch(from, records);
   assert.ok(copy.inSync);
   assert.equal(copy.machinesOf('wk-2'), null);
   assert.equal(copy.runningSince('wk-1/3', 7), 1_700_000_000_000);
-  assert.deepEqual(copy.machine('m-1'), { session: 2, images: [['img', 1.5]] });
+  assert.deepEqual(copy.machine('m-1'), { incarnation: 2, images: [{ image: 'img', gb: 1.5 }] });
   assert.deepEqual([...copy.classes()], [['train', { log: 0.25, count: 3 }]]);
-  const only = batch.records.filter((r: { t: string }) => ['begin', 'suspect', 'level'].includes(r.t));
+  const only = records.filter((r) => ['snapshotBegin', 'quarantined', 'inSync'].includes(r.kind));
   const suspecting = new ShardReplica();
   suspecting.applyBatch(0, only);
   assert.deepEqual(suspecting.quarantine('wk-1'), { failures: 2, until: 1_700_000_001_000 });
--- a/tests/standby/replicationstream.test.ts
+++ b/tests/standby/replicationstream.test.ts
@@ -1,15 +1,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import {
-  MAX_BATCH_RECORDS,
-  type ReplicationRecord,
-  readReplicationMessage,
-} from '../../src/standby/messages.js';
+import { MAX_BATCH_RECORDS, readReplicationMessage } from '../../src/standby/messages.js';
+import { type ReplicationRecord, writeReplicationRecord } from '../../src/standby/replicationrecord.js';
 import { ReplicationStream } from '../../src/standby/replicationstream.js';
 import { ShardReplica } from '../../src/standby/shardreplica.js';
 import { chooseStandby, EvictionBackoff } from '../../src/standby/standbyselection.js';
 
-const only = (job: string, machines: string[] | null): ReplicationRecord => ({ t: 'only', job, machines });
+const only = (job: string, machines: string[] | null): ReplicationRecord => ({
+  kind: 'runsOnlyOn',
+  job,
+  machines,
+});
 const at = (job: string, machine: string) => ({ job, machine });
 
 /** One message and its answer. */
@@ -36,7 +37,7 @@
     assert.equal(copy.machinesOf('wk-7'), null, 'nothing is sure before');
     const { records } = feed.batch();
     assert.ok(records.length <= MAX_BATCH_RECORDS);
-    assert.ok(JSON.stringify(records).length < 64 * 1024);
+    assert.ok(JSON.stringify(records.map(writeReplicationRecord)).length < 64 * 1024);
     exchange(feed, copy);
     messages++;
   }
@@ -73,22 +74,22 @@
 
 test('messages that come twice, late or after a gap leave the copy as it should be', () => {
   const { feed, copy } = levelled([]);
-  feed.add({ t: 'at', job: 'wk-1', machine: 'm-1' });
+  feed.add({ kind: 'mayRunOn', job: 'wk-1', machine: 'm-1' });
   const first = feed.batch();
   copy.applyBatch(first.from, first.records);
-  feed.add({ t: 'off', job: 'wk-1', machine: 'm-1' });
+  feed.add({ kind: 'leftMachine', job: 'wk-1', machine: 'm-1' });
   const both = feed.batch();
   copy.applyBatch(both.from, both.records);
   copy.applyBatch(first.from, first.records);
   assert.deepEqual([...copy.machinesOf('wk-1')!], [], 'the older word does not count again');
   const before = copy.nextSequence;
-  copy.applyBatch(before + 3, [{ t: 'at', job: 'wk-2', machine: 'm-2' }]);
+  copy.applyBatch(before + 3, [{ kind: 'mayRunOn', job: 'wk-2', machine: 'm-2' }]);
   assert.equal(copy.nextSequence, before, 'nothing is taken beyond a gap');
   feed.acknowledge(copy.nextSequence);
   assert.ok(feed.inSync);
   // A standby that has lost its copy says that it lacks all of it.
   const anew = new ShardReplica();
-  feed.add({ t: 'at', job: 'wk-5', machine: 'm-5' });
+  feed.add({ kind: 'mayRunOn', job: 'wk-5', machine: 'm-5' });
   const { from, records } = feed.batch();
   anew.applyBatch(from, records);
   assert.equal(anew.nextSequence, 0);
@@ -111,7 +112,7 @@
   void feed.announce([at('wk-1', 'm-9')])!.then((ok) => {
     clear = ok;
   });
-  for (let i = 0; i < 20_000; i++) feed.add({ t: 'at', job: `wk-${i}`, machine: 'm-3' });
+  for (let i = 0; i < 20_000; i++) feed.add({ kind: 'mayRunOn', job: `wk-${i}`, machine: 'm-3' });
   assert.ok(feed.unacknowledged <= 6000);
   assert.ok(feed.streams > 1);
   await Promise.resolve();
@@ -128,16 +129,16 @@
 
 test('what the copy cannot keep apart it does not claim to know', () => {
   const { feed, copy } = levelled([]);
-  for (let i = 0; i < 80; i++) feed.add({ t: 'at', job: 'wk-wide', machine: `m-${i}` });
+  for (let i = 0; i < 80; i++) feed.add({ kind: 'mayRunOn', job: 'wk-wide', machine: `m-${i}` });
   feed.add(only('wk-sure', ['m-1']));
-  feed.add({ t: 'at', job: 'wk-over', machine: 'm-1' });
-  feed.add({ t: 'over', job: 'wk-over' });
+  feed.add({ kind: 'mayRunOn', job: 'wk-over', machine: 'm-1' });
+  feed.add({ kind: 'jobEnded', job: 'wk-over' });
   while (!feed.inSync) exchange(feed, copy);
   assert.equal(copy.machinesOf('wk-wide'), null);
   assert.deepEqual([...copy.machinesOf('wk-sure')!], ['m-1']);
   assert.ok(copy.size < 10);
   for (let j = 0; j < 2000; j++)
-    for (let i = 0; i < 20; i++) feed.add({ t: 'at', job: `wk-${j}`, machine: `m-${i}` });
+    for (let i = 0; i < 20; i++) feed.add({ kind: 'mayRunOn', job: `wk-${j}`, machine: `m-${i}` });
   for (let i = 0; i < 400 && !feed.inSync; i++) exchange(feed, copy);
   assert.ok(copy.size < 45_000, `${copy.size} entries`);
 });
--- a/tests/support/produced.ts
+++ b/tests/support/produced.ts
@@ -18,7 +18,8 @@
 import type { Mesh } from '../../src/peer/mesh.js';
 import { NOT_READY } from '../../src/scheduler/responses.js';
 import { KEYS } from '../../src/schema/schema.js';
-import type { ReplicationMessage, ReplicationRecord } from '../../src/standby/messages.js';
+import { writeReplicationMessage } from '../../src/standby/messages.js';
+import { type ReplicationRecord, writeReplicationRecord } from '../../src/standby/replicationrecord.js';
 import { ReplicationStream } from '../../src/standby/replicationstream.js';
 import { StateStore } from '../../src/state/statestore.js';
 import { type ListedMachine, writeList, writeTypes } from '../../src/wire/cloud.js';
@@ -73,18 +74,18 @@
 }
 
 /** Every kind of record of the stream to a standby; one that is missing here does not compile. */
-export const STREAM: { [K in ReplicationRecord['t']]: Extract<ReplicationRecord, { t: K }> } = {
-  begin: { t: 'begin' },
-  level: { t: 'level' },
-  at: { t: 'at', job: 'wk-1', machine: 'm-1' },
-  only: { t: 'only', job: 'wk-1', machines: ['m-1', 'm-2'] },
-  off: { t: 'off', job: 'wk-1', machine: 'm-1' },
-  over: { t: 'over', job: 'wk-1' },
-  runs: { t: 'runs', task: 'wk-1/3', attempt: 7, since: 1_700_000_000_000 },
-  machine: { t: 'machine', id: 'm-1', session: 2, images: [['img', 1.5]] },
-  class: { t: 'class', name: 'train', log: 0.25, count: 3 },
-  suspect: { t: 'suspect', job: 'wk-1', failures: 2, until: 1_700_000_001_000 },
-  trusted: { t: 'trusted', job: 'wk-1' },
+export const STREAM: { [K in ReplicationRecord['kind']]: Extract<ReplicationRecord, { kind: K }> } = {
+  snapshotBegin: { kind: 'snapshotBegin' },
+  inSync: { kind: 'inSync' },
+  mayRunOn: { kind: 'mayRunOn', job: 'wk-1', machine: 'm-1' },
+  runsOnlyOn: { kind: 'runsOnlyOn', job: 'wk-1', machines: ['m-1', 'm-2'] },
+  leftMachine: { kind: 'leftMachine', job: 'wk-1', machine: 'm-1' },
+  jobEnded: { kind: 'jobEnded', job: 'wk-1' },
+  attemptRunning: { kind: 'attemptRunning', task: 'wk-1/3', attempt: 7, runningSince: 1_700_000_000_000 },
+  machine: { kind: 'machine', id: 'm-1', incarnation: 2, images: [{ image: 'img', gb: 1.5 }] },
+  runtimeEstimate: { kind: 'runtimeEstimate', jobClass: 'train', log: 0.25, count: 3 },
+  quarantined: { kind: 'quarantined', job: 'wk-1', failures: 2, until: 1_700_000_001_000 },
+  quarantineLifted: { kind: 'quarantineLifted', job: 'wk-1' },
 };
 
 interface Recorded {
@@ -306,22 +307,24 @@
 
 /** The stream to a standby: a snapshot, what happens meanwhile, and a message of it. */
 export function standbyFrames(): Produced {
-  const { begin: _begin, level: _level, at: _at, ...drawn } = STREAM;
+  const { snapshotBegin: _begin, inSync: _inSync, mayRunOn: _mayRunOn, ...drawn } = STREAM;
   const feed = new ReplicationStream({ snapshot: () => Object.values(drawn).values() });
-  feed.add({ t: 'only', job: 'wk-2', machines: null });
+  feed.add({ kind: 'runsOnlyOn', job: 'wk-2', machines: null });
   void feed.announce([{ job: 'wk-1', machine: 'm-1' }]);
-  const { from, records } = feed.batch();
-  const message: ReplicationMessage = {
+  const message = writeReplicationMessage({
     shard: 1,
     term: 9,
     revision: 11,
-    run: 'n1-7',
-    from,
-    records,
-    changes: 5,
-  };
+    incarnation: 'n1-7',
+    ...feed.batch(),
+    recordChanges: 5,
+  });
+  const { from, records } = message;
   const produced: Produced = { batch: JSON.stringify({ from, records }) };
-  for (const [kind, record] of Object.entries(STREAM)) produced[`record ${kind}`] = JSON.stringify(record);
+  for (const record of Object.values(STREAM)) {
+    const written = writeReplicationRecord(record);
+    produced[`record ${written.t}`] = JSON.stringify(written);
+  }
   produced.stand = frame({ q: 2, op: 'stand', a: message });
   return produced;
 }
--- a/tests/upgrade/owners.ts
+++ b/tests/upgrade/owners.ts
@@ -1,7 +1,7 @@
 import { pause } from '../../src/clock/clock.js';
 import type { LocalCluster } from '../../src/emulator/local.js';
 import { KEYS, readLeaseHolder, readTeamAssignment } from '../../src/schema/schema.js';
-import { readStandbyRecord } from '../../src/standby/messages.js';
+import { readStandbyRecord } from '../../src/schema/standbyrecord.js';
 
 /** The build that a controller runs. */
 export type Build = 'old' | 'new';
