--- a/src/cloud/cloud.ts
+++ b/src/cloud/cloud.ts
@@ -96,7 +96,8 @@
   private async send(method: string, path: string, body: object | null) {
     try {
       // Lists and returns come before rentals: probing for capacity must not keep a node from seeing what it has.
-      await this.limiter.acquire(1, method === 'GET' || path === CLOUD_PATHS.release, 3000);
+      const urgent = method === 'GET' || path === CLOUD_PATHS.release;
+      await this.limiter.acquire(1, { urgent, maxWaitMs: 3000 });
       const answer = await this.http.request(this.addr, method, path, body, TIMEOUT_MS);
       if (answer.status === 429) this.limiter.onRejected();
       return answer;
--- a/src/controller/membership.ts
+++ b/src/controller/membership.ts
@@ -235,7 +235,9 @@
     const value = writeLeaseHolder({ ...this.presence, leaseId: lease });
     const version = (await this.store.get(key))?.version ?? 0;
     try {
-      const written = await this.store.compareAndSwap([{ key, version }], [{ put: key, value, lease }], true);
+      const written = await this.store.compareAndSwap([{ key, version }], [{ put: key, value, lease }], {
+        urgent: true,
+      });
       this.presencePublished = written.ok;
     } catch (error) {
       if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
@@ -359,11 +361,9 @@
     const lease = this.leaseIdOrNull;
     try {
       const own = { put: key, value: writeLeaseHolder(this.holder), lease };
-      const result = await this.store.compareAndSwap(
-        [{ key, version }, ...when],
-        [own, ...writes],
-        version > 0,
-      );
+      const result = await this.store.compareAndSwap([{ key, version }, ...when], [own, ...writes], {
+        urgent: version > 0,
+      });
       if (result.ok) {
         this.stateCache.apply({
           key,
--- a/src/controller/standbycoordinator.ts
+++ b/src/controller/standbycoordinator.ts
@@ -1,7 +1,6 @@
 import type { ControllerContext } from '../context/context.js';
 import type { Mesh } from '../peer/mesh.js';
-import { KEYS, readMachineRecord } from '../schema/schema.js';
-import { readStandbyRecord } from '../schema/standbyrecord.js';
+import { KEYS, readMachineRecord, readStandbyRecord } from '../schema/schema.js';
 import { JobRecordReplica } from '../standby/jobrecordreplica.js';
 import { StandbyReplicas, type TakeoverState } from '../standby/standbyreplicas.js';
 import { StandbyReplicator, type StandbyReplicatorHooks } from '../standby/standbyreplicator.js';
--- /dev/null
+++ b/src/schema/teamassignment.ts
@@ -0,0 +1,20 @@
+import * as v from 'valibot';
+import { KEYS } from './keys.js';
+
+const teamsRecord = v.record(v.string(), v.number());
+
+function readTeams(value: unknown): Record<string, number> | null {
+  const p = v.safeParse(teamsRecord, value);
+  return p.success ? p.output : null;
+}
+
+/** Which shard each team belongs to, from all records that hold it; null when teams have not been assigned yet. */
+export function readTeamAssignment(
+  entries: ReadonlyMap<string, { value: unknown }>,
+): Record<string, number> | null {
+  const first = entries.get(KEYS.teams);
+  let assignment = first ? readTeams(first.value) : null;
+  for (let n = 1; assignment && entries.has(KEYS.moreTeams(n)); n++)
+    assignment = { ...readTeams(entries.get(KEYS.moreTeams(n))!.value), ...assignment };
+  return assignment;
+}
--- a/src/standby/standbynaming.ts
+++ b/src/standby/standbynaming.ts
@@ -1,6 +1,5 @@
 import type { ControllerContext } from '../context/context.js';
-import { KEYS, type LeaseHolder } from '../schema/schema.js';
-import { readStandbyRecord, writeStandbyRecord } from '../schema/standbyrecord.js';
+import { KEYS, type LeaseHolder, readStandbyRecord, writeStandbyRecord } from '../schema/schema.js';
 import { StateStoreError } from '../state/statestore.js';
 import type { Condition } from '../wire/state.js';
 
@@ -47,7 +46,7 @@
       const r = await store.compareAndSwap(
         [this.ownerCondition, { key: this.key, version: before }],
         [write],
-        true,
+        { urgent: true },
       );
       if (r.ok) return r.revision;
       this.reportIfLost(r.failed);
@@ -69,14 +68,18 @@
     const { store } = this.options.context;
     const named = { key: this.key, version: revision };
     try {
-      const r = await store.compareAndSwap([this.ownerCondition, named], [{ delete: this.key }], true);
+      const r = await store.compareAndSwap([this.ownerCondition, named], [{ delete: this.key }], {
+        urgent: true,
+      });
       if (r.ok) return true;
       if (this.reportIfLost(r.failed)) return false;
     } catch (error) {
       if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
     }
     // An earlier try may have been applied late: what counts is that the key is gone while the term still stands.
-    const r = await store.compareAndSwap([this.ownerCondition, { key: this.key, version: 0 }], [], true);
+    const r = await store.compareAndSwap([this.ownerCondition, { key: this.key, version: 0 }], [], {
+      urgent: true,
+    });
     if (!r.ok) this.reportIfLost(r.failed);
     return r.ok;
   }
--- a/src/state/ratelimiter.ts
+++ b/src/state/ratelimiter.ts
@@ -1,41 +1,53 @@
 import type { Clock } from '../clock/clock.js';
 import { SpartrayError } from '../errors/errors.js';
 
-interface Waiter {
-  amount: number;
-  go: () => void;
-  refuse: (error: Error) => void;
-  until: number;
+/** How a request waits for its turn. */
+export interface AcquireOptions {
+  /** Goes at once, whatever waits. */
+  readonly urgent?: boolean;
+  /** How long it waits at most; after that it fails with `RateLimitExceededError`. */
+  readonly maxWaitMs: number;
 }
 
-/** A request that waited too long for its turn; it was not sent. */
+/** A request that waits for its turn. */
+interface QueuedRequest {
+  readonly amount: number;
+  readonly proceed: () => void;
+  readonly reject: (error: Error) => void;
+  readonly expiresAt: number;
+}
+
+/** A request waited too long for its turn; it was not sent. */
 export class RateLimitExceededError extends SpartrayError {}
 
-/** While requests wait and none is refused, a node uses more of what the others leave, in steps of this. */
-const GROWTH = 1.25;
-const GROW_EVERY_MS = 500;
-/** After a refusal a node keeps to its own part for so long. */
-const HUMBLE_MS = 5000;
+/** While requests wait and none is rejected, a node uses more of what the others leave, in steps of this. */
+const GROWTH_FACTOR = 1.25;
+const GROWTH_INTERVAL_MS = 500;
+/** After a rejection a node keeps to its even share for so long. */
+const NO_GROWTH_MS = 5000;
 /** Over which time the use of the last moments is averaged. */
-const USE_MS = 1000;
+const USAGE_WINDOW_MS = 1000;
+/** How often requests that wait are looked at. */
+const DRAIN_INTERVAL_MS = 20;
 
 /**
  * A token bucket. Urgent requests go at once and put the bucket into debt, so that renewing a lease never waits
  * behind ordinary work. The rate is shared with other nodes, which mostly are not all busy at once: a node with
- * requests waiting goes beyond its part, up to `most`, until the service refuses one. Where somebody deals the rate to
- * all nodes by what they want, the share that a node was given goes before that.
+ * requests waiting goes beyond its even share, up to `maxRate`, until the service rejects one. Where the leader allocates
+ * the rate to all nodes by their demands, the share that a node was allocated goes before that. All rates are a second.
  */
 export class RateLimiter {
   private tokens: number;
   private refilledAt: number;
-  private perSecond: number;
+  private currentRate: number;
+  /** When the rate was last raised; in the future while it must not be. */
   private grownAt = 0;
   private allocatedUntil = Number.NEGATIVE_INFINITY;
   /** Tokens taken lately, fading. */
   private used = 0;
   private usedAt: number;
-  private readonly waiting: Waiter[] = [];
-  private armed = false;
+  private readonly queue: QueuedRequest[] = [];
+  private drainScheduled = false;
 
   constructor(
     private readonly clock: Clock,
@@ -43,23 +55,23 @@
     private readonly ownBurst: number,
     private readonly maxRate = evenShare,
   ) {
-    this.perSecond = evenShare;
+    this.currentRate = evenShare;
     this.tokens = ownBurst;
     this.refilledAt = clock.now();
     this.usedAt = this.refilledAt;
   }
 
-  /** Sets this node's share of the rate, a second, for so long; after that it keeps to its own part again. */
-  allocate(perSecond: number, validMs: number): void {
+  /** Sets this node's share of the rate for so many milliseconds; after that it keeps to its even share again. */
+  allocate(rate: number, validMs: number): void {
     this.refill();
-    this.perSecond = perSecond;
+    this.currentRate = rate;
     this.allocatedUntil = this.clock.now() + validMs;
   }
 
   /** What this node takes and would take a second: its use of late, and all that waits. */
   get demand(): number {
     this.decayUsage();
-    return this.used / (USE_MS / 1000) + this.queuedAmount;
+    return this.used / (USAGE_WINDOW_MS / 1000) + this.queuedAmount;
   }
 
   private get isAllocated(): boolean {
@@ -68,16 +80,16 @@
 
   /** A burst is what comes in together in a second. */
   private get burst(): number {
-    return this.isAllocated ? Math.max(1, this.perSecond) : this.ownBurst;
+    return this.isAllocated ? Math.max(1, this.currentRate) : this.ownBurst;
   }
 
   private get queuedAmount(): number {
-    return this.waiting.reduce((sum, w) => sum + w.amount, 0);
+    return this.queue.reduce((sum, w) => sum + w.amount, 0);
   }
 
   private decayUsage(): void {
     const now = this.clock.now();
-    this.used *= Math.exp((this.usedAt - now) / USE_MS);
+    this.used *= Math.exp((this.usedAt - now) / USAGE_WINDOW_MS);
     this.usedAt = now;
   }
 
@@ -87,48 +99,50 @@
     this.tokens -= amount;
   }
 
-  /** The service has refused a request for its rate. */
+  /** The service has rejected a request for its rate. */
   onRejected(): void {
     this.refill();
     this.tokens = Math.min(this.tokens, 0);
     if (this.isAllocated) return;
-    this.perSecond = this.evenShare;
-    this.grownAt = this.clock.now() + HUMBLE_MS;
+    this.currentRate = this.evenShare;
+    this.grownAt = this.clock.now() + NO_GROWTH_MS;
   }
 
   private grow(): void {
     const now = this.clock.now();
-    if (this.isAllocated || now - this.grownAt < GROW_EVERY_MS) return;
+    if (this.isAllocated || now - this.grownAt < GROWTH_INTERVAL_MS) return;
     this.grownAt = now;
-    this.perSecond = Math.min(this.maxRate, this.perSecond * GROWTH);
+    this.currentRate = Math.min(this.maxRate, this.currentRate * GROWTH_FACTOR);
   }
 
+  /** How many this node may send a second at present. */
   get rate(): number {
     this.refill();
-    return this.perSecond;
+    return this.currentRate;
   }
 
-  /** How long a request that comes now would wait for its turn. */
+  /** How long a request that comes now would wait for its turn, in milliseconds. */
   get delayMs(): number {
     this.refill();
-    return Math.max(0, ((this.queuedAmount - this.tokens) * 1000) / this.perSecond);
+    return Math.max(0, ((this.queuedAmount - this.tokens) * 1000) / this.currentRate);
   }
 
-  /** True when nothing waits and there is room for `amount` now. */
+  /** True when nothing waits and `amount` may be sent now. */
   hasTokens(amount: number): boolean {
     this.refill();
-    return this.waiting.length === 0 && this.tokens >= amount;
+    return this.queue.length === 0 && this.tokens >= amount;
   }
 
-  acquire(amount: number, urgent: boolean, waitMs: number): Promise<void> {
+  /** Resolves when `amount` may be sent; counted as sent from then on. */
+  acquire(amount: number, { urgent = false, maxWaitMs }: AcquireOptions): Promise<void> {
     this.refill();
-    if (urgent || (this.waiting.length === 0 && this.tokens >= Math.min(amount, this.burst))) {
+    if (urgent || (this.queue.length === 0 && this.tokens >= Math.min(amount, this.burst))) {
       this.consume(amount);
       return Promise.resolve();
     }
-    return new Promise((go, refuse) => {
-      this.waiting.push({ amount, go, refuse, until: this.clock.now() + waitMs });
-      this.arm();
+    return new Promise((proceed, reject) => {
+      this.queue.push({ amount, proceed, reject, expiresAt: this.clock.now() + maxWaitMs });
+      this.scheduleDrain();
     });
   }
 
@@ -136,17 +150,17 @@
     const now = this.clock.now();
     if (this.allocatedUntil !== Number.NEGATIVE_INFINITY && !this.isAllocated) {
       this.allocatedUntil = Number.NEGATIVE_INFINITY;
-      this.perSecond = this.evenShare;
+      this.currentRate = this.evenShare;
     }
-    this.tokens = Math.min(this.burst, this.tokens + ((now - this.refilledAt) * this.perSecond) / 1000);
+    this.tokens = Math.min(this.burst, this.tokens + ((now - this.refilledAt) * this.currentRate) / 1000);
     this.refilledAt = now;
   }
 
-  private arm(): void {
-    if (this.armed) return;
-    this.armed = true;
-    this.clock.after(20, () => {
-      this.armed = false;
+  private scheduleDrain(): void {
+    if (this.drainScheduled) return;
+    this.drainScheduled = true;
+    this.clock.after(DRAIN_INTERVAL_MS, () => {
+      this.drainScheduled = false;
       this.drain();
     });
   }
@@ -155,18 +169,18 @@
     this.refill();
     this.grow();
     const now = this.clock.now();
-    while (this.waiting.length > 0) {
-      const first = this.waiting[0]!;
-      if (now > first.until) {
-        this.waiting.shift();
-        first.refuse(new RateLimitExceededError('rate limit'));
+    while (this.queue.length > 0) {
+      const first = this.queue[0]!;
+      if (now > first.expiresAt) {
+        this.queue.shift();
+        first.reject(new RateLimitExceededError('rate limit'));
         continue;
       }
       if (this.tokens < Math.min(first.amount, this.burst)) break;
-      this.waiting.shift();
+      this.queue.shift();
       this.consume(first.amount);
-      first.go();
+      first.proceed();
     }
-    if (this.waiting.length > 0) this.arm();
+    if (this.queue.length > 0) this.scheduleDrain();
   }
 }
--- a/tests/compatibility/encoders.test.ts
+++ b/tests/compatibility/encoders.test.ts
@@ -31,10 +31,11 @@
   KEYS,
   readLeaseHolder,
   readMachineRecord,
+  readStandbyRecord,
   readTeamAssignment,
   writeLeaseHolder,
+  writeStandbyRecord,
 } from '../../src/schema/schema.js';
-import { readStandbyRecord, writeStandbyRecord } from '../../src/schema/standbyrecord.js';
 import {
   readHandoverMessage,
   readReplicationMessage,
--- a/tests/plan/size.test.ts
+++ b/tests/plan/size.test.ts
@@ -100,7 +100,7 @@
   let served = 0;
   const load = async () => {
     for (;;) {
-      await limiter.acquire(1, false, 1e9);
+      await limiter.acquire(1, { maxWaitMs: 1e9 });
       served++;
     }
   };
--- a/tests/state/rateallocation.test.ts
+++ b/tests/state/rateallocation.test.ts
@@ -29,7 +29,7 @@
   limiter.allocate(30, 2000);
   let went = 0;
   for (let i = 0; i < 200; i++)
-    void limiter.acquire(1, false, 60_000).then(() => {
+    void limiter.acquire(1, { maxWaitMs: 60_000 }).then(() => {
       went++;
     });
   await clock.advance(1900);
--- a/tests/upgrade/owners.ts
+++ b/tests/upgrade/owners.ts
@@ -1,7 +1,6 @@
 import { pause } from '../../src/clock/clock.js';
 import type { LocalCluster } from '../../src/emulator/local.js';
-import { KEYS, readLeaseHolder, readTeamAssignment } from '../../src/schema/schema.js';
-import { readStandbyRecord } from '../../src/schema/standbyrecord.js';
+import { KEYS, readLeaseHolder, readStandbyRecord, readTeamAssignment } from '../../src/schema/schema.js';
 
 /** The build that a controller runs. */
 export type Build = 'old' | 'new';
