--- a/src/changefeed/changefeed.ts
+++ b/src/changefeed/changefeed.ts
@@ -1,6 +1,7 @@
-// Every change under a prefix of the state service, at every controller: a few watch, the others follow them.
+// This package: every change under a prefix of the state service, at every controller: a few watch, the others follow them.
 
 import { type Clock, pause } from '../clock/clock.js';
+import { type PeriodicTask, startPeriodicTask } from '../clock/periodictask.js';
 import type { Log } from '../config/log.js';
 import { ProtocolViolationError } from '../errors/errors.js';
 import type { Mesh } from '../peer/mesh.js';
@@ -9,6 +10,7 @@
 import { ChangeLog } from './changelog.js';
 import {
   CHANGE_FEED_OPS,
+  type ChangesRequest,
   readChangesRequest,
   readChangesResponse,
   readLatestRevisionResponse,
@@ -18,49 +20,66 @@
 import { Subscribers } from './subscribers.js';
 import { watchPaceMs } from './watchpacing.js';
 
-/** What a copy of the keys reads from; the state service itself serves as well. */
+/** What a cache of the keys reads from; the state service itself serves as well. */
 export type ChangeSource = Pick<StateStore, 'list' | 'watch'>;
 
+/** What a `ChangeFeed` goes by. */
 export interface ChangeFeedOptions {
   /** This node's name. */
-  node: string;
-  prefix: string;
-  regionOf: (node: string) => string;
-  /** This node's even part of the state service's requests, a second. */
-  requestsPerSecond: number;
-  /** Nodes that are present and pass changes on, as this node's copy of the keys shows them. */
-  presentNodes: () => PresentNode[];
+  readonly node: string;
+  /** The prefix of the keys whose changes are passed on. */
+  readonly prefix: string;
+  readonly regionOf: (node: string) => string;
+  /** This node's even share of the state service's requests, a second. */
+  readonly requestsPerSecond: number;
+  /** Nodes that are present and pass changes on, as this node's cache of the keys shows them. */
+  readonly presentNodes: () => PresentNode[];
   /** Whether the state service serves this node at present, as far as it knows by other requests. */
-  isStateStoreReachable: () => boolean;
+  readonly isStateStoreReachable: () => boolean;
 }
 
 /** A source answers after this at the latest, with changes or without; so much longer is waited for the answer. */
 const IDLE_WAIT_MS = 500;
 const ANSWER_MARGIN_MS = 400;
-/** How often another source is asked how far it is, and how long its answer is waited for. */
-const HEAD_EVERY_MS = 150;
-const HEAD_MS = 900;
+/** How often another source is asked for its latest revision, and how long its answer is waited for. */
+const PROGRESS_CHECK_INTERVAL_MS = 150;
+const PROGRESS_TIMEOUT_MS = 900;
 /**
  * This node lacks a change that another one had so long ago, beside the time between two watches of its source: the
  * source is behind.
  */
-const CONFIRM_MS = 100;
+const BEHIND_CONFIRM_MS = 100;
 /** Without any source, nodes watch the state service one after the other, so far apart; meanwhile they look again. */
-const STAGGER_MS = 150;
-const LOOK_AGAIN_MS = 100;
+const DIRECT_STAGGER_MS = 150;
+const UNDECIDED_RETRY_MS = 100;
 /** A node that had to watch the state service itself does so for this long. */
-const STAY_DIRECT_MS = 3000;
+const MIN_DIRECT_MS = 3000;
 
-const INTERRUPTED = Symbol('interrupted');
+/** What the state service tells of the changes after a revision; null when it no longer keeps changes that old. */
+type WatchResult = Awaited<ReturnType<ChangeSource['watch']>>;
 
-type WatchResult = { revision: number; changes: Change[] } | null;
-type FollowResult = { revision: number; changes: Change[] } | 'failed';
-/** The node to follow, null for the state service itself, `later` when it cannot be decided yet. */
-type SourceChoice = string | null | 'later';
+/** Where the next changes are to come from. */
+type SourceChoice =
+  | { readonly kind: 'stateService' }
+  | { readonly kind: 'node'; readonly node: string }
+  /** It cannot be decided yet. */
+  | { readonly kind: 'undecided' };
+
+/** How one request for changes ended. */
+type RequestOutcome =
+  | { readonly kind: 'changes'; readonly revision: number; readonly changes: Change[] }
+  /** The state service no longer keeps changes that old. */
+  | { readonly kind: 'compacted' }
+  /** It came to nothing, and the source is chosen anew. */
+  | { readonly kind: 'failed' }
+  /** Another source turned out to be better meanwhile. */
+  | { readonly kind: 'interrupted' };
+
+const FAILED: RequestOutcome = { kind: 'failed' };
 
 /**
- * Gives a copy of the keys the changes under its prefix, by way of a source or from the state service itself. All of it
- * is a hint, as the copy is: what comes late, twice or not at all never decides anything.
+ * Gives a cache of the keys the changes under its prefix, by way of a source or from the state service itself. All of it
+ * is a hint, as the cache is: what comes late, twice or not at all never decides anything.
  */
 export class ChangeFeed implements ChangeSource {
   private readonly log = new ChangeLog();
@@ -68,13 +87,18 @@
   private readonly sourceHealth: SourceHealth;
   /** Whom this node follows; null while it watches the state service itself. */
   private following: string | null = null;
+  /** Since when there is no source to follow; null while there is one. */
   private sourcelessSince: number | null = null;
+  /** Until when this node watches the state service itself, since there was no source. */
   private directUntil = Number.NEGATIVE_INFINITY;
+  /** When the last watch of this node's own returned changes. */
   private watchedAt = Number.NEGATIVE_INFINITY;
+  /** Ends the wait for the request under way, if there is one. */
   private interrupt: (() => void) | null = null;
   /** A node whose progress this node's own is compared with, and whether it watches the state service itself. */
-  private witness: { node: string; watches: boolean } | null = null;
+  private witness: { readonly node: string; readonly watches: boolean } | null = null;
   private mesh: Mesh | null = null;
+  private progressChecks: PeriodicTask | null = null;
 
   constructor(
     private readonly clock: Clock,
@@ -89,7 +113,14 @@
   /** Connects the node to the others; before that it watches the state service itself. */
   start(mesh: Mesh): void {
     this.mesh = mesh;
-    this.compareProgress();
+    this.progressChecks ??= startPeriodicTask(this.clock, PROGRESS_CHECK_INTERVAL_MS, () =>
+      this.compareProgress(),
+    );
+  }
+
+  /** Compares its progress with others' no more. */
+  stop(): void {
+    this.progressChecks?.stop();
   }
 
   /** Whom this node follows at present; null while it watches the state service itself. */
@@ -97,14 +128,14 @@
     return this.following;
   }
 
-  /** Reads all entries from the state service itself. Fails with `StateFailure`. */
+  /** Reads all entries from the state service itself. Fails with `StateStoreError`. */
   list(prefix: string): ReturnType<ChangeSource['list']> {
     return this.store.list(prefix);
   }
 
   /**
    * Changes after a revision, as soon as there are some, or none after `waitMs`; null when the state service no longer
-   * keeps changes that old. Fails with `StateFailure` when the state service did not answer. One call at a time.
+   * keeps changes that old. Fails with `StateStoreError` when the state service did not answer. One call at a time.
    */
   async watch(prefix: string, since: number, waitMs: number): Promise<WatchResult> {
     this.log.startFrom(since);
@@ -112,40 +143,39 @@
     for (;;) {
       const order = this.order();
       const choice = this.chooseSource(order);
-      if (choice === 'later') {
-        await pause(this.clock, LOOK_AGAIN_MS);
+      if (choice.kind === 'undecided') {
+        await pause(this.clock, UNDECIDED_RETRY_MS);
         continue;
       }
-      const result = await this.interruptible(
-        choice === null
-          ? this.watchDirectly(order, prefix, since, waitMs)
-          : this.follow(choice, prefix, since),
+      const request = { prefix, since, waitMs };
+      const outcome = await this.interruptible(
+        choice.kind === 'node' ? this.follow(choice.node, request) : this.watchDirectly(order, request),
       );
-      if (result === null) return null;
-      if (typeof result !== 'object') continue;
-      if (result.changes.length > 0) {
-        this.log.append({ since, ...result });
+      if (outcome.kind === 'compacted') return null;
+      if (outcome.kind !== 'changes') continue;
+      const { revision, changes } = outcome;
+      if (changes.length > 0) {
+        this.log.append({ since, revision, changes });
         this.subscribers.onAppend();
-        return result;
-      }
-      if (this.clock.now() >= until) return result;
+      } else if (this.clock.now() < until) continue;
+      return { revision, changes };
     }
   }
 
-  /** What other nodes ask. Fails when it is no question of this feed's. */
+  /** Answers another node's request. Throws `ProtocolViolationError` when it is no request of this feed's. */
   async serve(op: string, args: unknown): Promise<unknown> {
     if (op === CHANGE_FEED_OPS.head) return this.subscribers.latestRevision();
-    const question = readChangesRequest(args);
-    if (!question || question.prefix !== this.options.prefix)
+    const request = readChangesRequest(args);
+    if (!request || request.prefix !== this.options.prefix)
       throw new ProtocolViolationError('not a question for changes');
-    return this.subscribers.changesAfter(question);
+    return this.subscribers.changesAfter(request);
   }
 
   // --- where changes come from
 
   private order(): SourceOrder {
-    const { node, presentNodes: present, regionOf } = this.options;
-    return sourceOrder(node, this.mesh ? present() : [], regionOf);
+    const { node, presentNodes, regionOf } = this.options;
+    return sourceOrder(node, this.mesh ? presentNodes() : [], regionOf);
   }
 
   private firstUsableSource(order: SourceOrder): string | null {
@@ -159,62 +189,63 @@
     if (usable !== null && now >= this.directUntil) return this.switchSource(usable);
     if (order.source || now < this.directUntil) return this.switchSource(null);
     this.sourcelessSince ??= now;
-    if (now - this.sourcelessSince < (order.position - SOURCES_PER_REGION) * STAGGER_MS) {
+    if (now - this.sourcelessSince < (order.position - SOURCES_PER_REGION) * DIRECT_STAGGER_MS) {
       // Those before this one may watch the state service by now.
       this.sourceHealth.retry(order.candidates);
-      return 'later';
+      return { kind: 'undecided' };
     }
-    this.directUntil = now + STAY_DIRECT_MS;
+    this.directUntil = now + MIN_DIRECT_MS;
     this.sourcelessSince = null;
     return this.switchSource(null);
   }
 
-  private switchSource(source: string | null): string | null {
+  /** Changes come from a node from now on, or from the state service itself (null). */
+  private switchSource(source: string | null): SourceChoice {
     if (source !== this.following) {
-      this.logger.info({ source: source ?? 'state service' }, 'changes now come from another source');
+      this.logger.info({ source: source ?? 'state service' }, 'change source switched');
       this.following = source;
     }
     this.subscribers.setOpen(source === null);
-    return source;
+    return source === null ? { kind: 'stateService' } : { kind: 'node', node: source };
   }
 
-  /** Waits for what is under way, unless another way turns out to be better meanwhile. */
-  private interruptible<T>(work: Promise<T>): Promise<T | typeof INTERRUPTED> {
-    const interrupted = new Promise<typeof INTERRUPTED>((resolve) => {
-      this.interrupt = () => resolve(INTERRUPTED);
+  /** Waits for a request under way, unless another source turns out to be better meanwhile. */
+  private interruptible(request: Promise<RequestOutcome>): Promise<RequestOutcome> {
+    const interrupted = new Promise<RequestOutcome>((resolve) => {
+      this.interrupt = () => resolve({ kind: 'interrupted' });
     });
     // What was given up may fail later, which concerns nobody.
-    work.catch(() => undefined);
-    return Promise.race([work, interrupted]).finally(() => {
+    request.catch(() => undefined);
+    return Promise.race([request, interrupted]).finally(() => {
       this.interrupt = null;
     });
   }
 
   private async watchDirectly(
     order: SourceOrder,
-    prefix: string,
-    since: number,
-    waitMs: number,
-  ): Promise<WatchResult | 'failed'> {
+    { prefix, since, waitMs }: ChangesRequest,
+  ): Promise<RequestOutcome> {
     const paceMs = this.paceMs(order, this.isFirst(order));
-    const wait = this.watchedAt + paceMs - this.clock.now();
-    if (wait > 0) await pause(this.clock, wait);
-    if (this.following !== null) return 'failed';
+    const remainingMs = this.watchedAt + paceMs - this.clock.now();
+    if (remainingMs > 0) await pause(this.clock, remainingMs);
+    if (this.following !== null) return FAILED;
     const result = await this.store.watch(prefix, since, waitMs);
+    if (result === null) return { kind: 'compacted' };
     // Only then the next one would come too soon.
-    if (result && result.changes.length > 0) this.watchedAt = this.clock.now();
-    return result;
+    if (result.changes.length > 0) this.watchedAt = this.clock.now();
+    return { kind: 'changes', revision: result.revision, changes: result.changes };
   }
 
+  /** The least time between two watches, in milliseconds. */
   private paceMs(order: SourceOrder, first: boolean): number {
     return watchPaceMs(first, order.firsts, this.options.requestsPerSecond);
   }
 
-  /** How long this node may lack what another one knows, while all is well. */
+  /** How long this node may lack what another one knows, while all is well, in milliseconds. */
   private lagMs(): number {
     const order = this.order();
     const first = this.following === null ? this.isFirst(order) : this.following === order.candidates[0];
-    return this.paceMs(order, first) + CONFIRM_MS;
+    return this.paceMs(order, first) + BEHIND_CONFIRM_MS;
   }
 
   /** The first source of a region, or its second while the first does not watch. */
@@ -224,36 +255,29 @@
     return order.position === 1 && !(this.witness?.node === first && this.witness?.watches);
   }
 
-  private async follow(source: string, prefix: string, since: number): Promise<FollowResult> {
-    const question = { prefix, since, waitMs: IDLE_WAIT_MS };
-    const answer = await this.mesh!.request(
-      source,
-      CHANGE_FEED_OPS.changes,
-      question,
-      IDLE_WAIT_MS + ANSWER_MARGIN_MS,
-    )
+  private async follow(source: string, { prefix, since }: ChangesRequest): Promise<RequestOutcome> {
+    const request: ChangesRequest = { prefix, since, waitMs: IDLE_WAIT_MS };
+    const timeoutMs = IDLE_WAIT_MS + ANSWER_MARGIN_MS;
+    const response = await this.mesh!.request(source, CHANGE_FEED_OPS.changes, request, timeoutMs)
       .then(readChangesResponse)
       .catch(() => null);
-    if (answer !== null && !('refused' in answer) && answer.since === since) {
+    if (response !== null && !('refused' in response) && response.since === since) {
       this.sourceHealth.onSuccess(source);
       this.sourcelessSince = null;
-      return answer;
+      return { kind: 'changes', revision: response.revision, changes: response.changes };
     }
     // Also where it does not keep what follows `since`: in the end the state service does.
     this.sourceHealth.onFailure(source);
-    return 'failed';
+    return FAILED;
   }
 
   // --- whether the others are further
 
-  /** Asks another source now and then how far it is: one that is refused or stands still does not show it itself. */
-  private compareProgress(): void {
-    void this.compareProgressOnce().finally(() =>
-      this.clock.after(HEAD_EVERY_MS, () => this.compareProgress()),
-    );
-  }
-
-  private async compareProgressOnce(): Promise<void> {
+  /**
+   * Asks another source for its latest revision: a source that the state service refuses, or that stands still, does not
+   * show that itself. Where this node's own source is behind, another one is chosen at once.
+   */
+  private async compareProgress(): Promise<void> {
     const { witnesses } = this.order();
     const others = witnesses.filter((c) => c !== this.following && this.mesh?.connected(c));
     const node = this.nextWitness(others);
@@ -261,11 +285,11 @@
       this.witness = null;
       return;
     }
-    const head = await this.mesh!.request(node, CHANGE_FEED_OPS.head, {}, HEAD_MS)
+    const response = await this.mesh!.request(node, CHANGE_FEED_OPS.head, {}, PROGRESS_TIMEOUT_MS)
       .then(readLatestRevisionResponse)
       .catch(() => null);
-    if (head === null) this.sourceHealth.onFailure(node);
-    const lastChange = head?.lastChange ?? null;
+    if (response === null) this.sourceHealth.onFailure(node);
+    const lastChange = response?.lastChange ?? null;
     this.witness = { node, watches: lastChange !== null };
     if (lastChange === null || lastChange <= this.log.revision) return;
     await pause(this.clock, this.lagMs());
--- a/src/changefeed/sourceorder.ts
+++ b/src/changefeed/sourceorder.ts
@@ -1,13 +1,14 @@
 /** A node that is present and passes changes on. */
 export interface PresentNode {
-  node: string;
+  readonly node: string;
   /** Revision at which its presence was written: the smaller, the longer it is there. */
-  version: number;
+  readonly version: number;
 }
 
 /** How many nodes of each region watch the state service. */
 export const SOURCES_PER_REGION = 2;
 
+/** Who watches and who follows whom, as one node sees it. */
 export interface SourceOrder {
   /** How many nodes of this node's region come before it; 0 and 1 watch the state service themselves. */
   position: number;
--- a/src/changefeed/subscribers.ts
+++ b/src/changefeed/subscribers.ts
@@ -2,18 +2,19 @@
 import type { ChangeLog } from './changelog.js';
 import type { ChangesRequest, ChangesResponse, LatestRevisionResponse } from './messages.js';
 
+/** A request that waits for a change. */
 interface PendingRequest {
-  since: number;
-  answer: (a: ChangesResponse) => void;
-  timer: Timer;
+  readonly since: number;
+  readonly answer: (response: ChangesResponse) => void;
+  readonly timer: Timer;
 }
 
-/** Questions that wait for a change at once; each ends within the time that it gives. */
-const MOST_WAITING = 256;
+/** The most requests that wait for a change at once; each ends within the time that it gives. */
+const MAX_PENDING_REQUESTS = 256;
 
 /** Answers followers from the log of a node that watches the state service itself. */
 export class Subscribers {
-  private readonly waiting = new Set<PendingRequest>();
+  private readonly pending = new Set<PendingRequest>();
   private open = false;
 
   constructor(
@@ -34,27 +35,28 @@
   setOpen(open: boolean): void {
     this.open = open;
     if (open) return;
-    for (const w of [...this.waiting]) this.settle(w);
+    for (const request of [...this.pending]) this.settle(request);
   }
 
   /** The log has grown. */
   onAppend(): void {
-    for (const w of [...this.waiting]) this.settle(w);
+    for (const request of [...this.pending]) this.settle(request);
   }
 
+  /** How far this node is. */
   latestRevision(): LatestRevisionResponse {
     return { lastChange: this.isServing ? this.log.lastChange : null };
   }
 
   /** Answers at once when there are changes, or when it waited as long as it was asked to. */
-  changesAfter(question: ChangesRequest): Promise<ChangesResponse> {
-    const now = this.answerNow(question.since);
-    if ('refused' in now || now.changes.length > 0 || question.waitMs === 0) return Promise.resolve(now);
-    if (this.waiting.size >= MOST_WAITING) return Promise.resolve({ refused: 'follows' });
+  changesAfter(request: ChangesRequest): Promise<ChangesResponse> {
+    const now = this.answerNow(request.since);
+    if ('refused' in now || now.changes.length > 0 || request.waitMs === 0) return Promise.resolve(now);
+    if (this.pending.size >= MAX_PENDING_REQUESTS) return Promise.resolve({ refused: 'follows' });
     return new Promise((answer) => {
-      const timer = this.clock.after(question.waitMs, () => this.settle(waiting));
-      const waiting: PendingRequest = { since: question.since, answer, timer };
-      this.waiting.add(waiting);
+      const timer = this.clock.after(request.waitMs, () => this.settle(pending));
+      const pending: PendingRequest = { since: request.since, answer, timer };
+      this.pending.add(pending);
     });
   }
 
@@ -63,9 +65,9 @@
     return this.log.after(since) ?? { refused: 'gap' };
   }
 
-  private settle(w: PendingRequest): void {
-    if (!this.waiting.delete(w)) return;
-    w.timer.cancel();
-    w.answer(this.answerNow(w.since));
+  private settle(request: PendingRequest): void {
+    if (!this.pending.delete(request)) return;
+    request.timer.cancel();
+    request.answer(this.answerNow(request.since));
   }
 }
