--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -6,34 +6,46 @@
 import type { TaskAttempt } from '../workers/machine.js';
 import { TaskSet } from './taskset.js';
 
-/** An accepted job as its owner holds it. */
+/** How a job ended. */
+export type FinalState = 'done' | 'cancelled';
+
+/** An accepted job as its owner holds it. Fields that end in `Wall` are times of day in milliseconds. */
 export interface Job {
   spec: JobSpec;
   /** Position in the order of acceptance. */
   order: number;
+  /** Index of its team; -1 for one that the settings do not name. */
   team: number;
+  /** What one task takes. */
   need: Amounts;
+  /** Indices of the machine types that it may use; null: all. */
   types: Set<number> | null;
+  /** Index of the zone that it is bound to; null: any. */
   zone: number | null;
+  /** Index of its image. */
   image: number;
+  /** What it demands of machines by an expression; null: nothing. */
   match: Match | null;
   acceptedWall: number;
+  /** Its own deadline, or the one that it was given on acceptance. */
   deadlineWall: number;
   /** Accepted under the present ownership, so that no task of it can be anywhere unseen. */
   acceptedUnderThisTerm: boolean;
-  /** Tasks known to be done; `stored` counts those that the state service knows of. */
+  /** Tasks known to be done. */
   done: TaskSet;
+  /** How many of them the state service knows of. */
   storedCount: number;
   /** Tasks that are, or may be, on a machine. */
   placements: Map<number, TaskAttempt>;
-  /** Further attempts of tasks that have a place already; they are being stopped. */
+  /** Further attempts of tasks that have a placement already; they are being stopped. */
   duplicateAttempts: Set<TaskAttempt>;
   /** Completed attempts that their machines may forget once the completion is stored. */
   unacknowledgedExits: TaskAttempt[];
   /** Versions of its chunks of done tasks, by their names in the state service. */
   chunkVersions: Map<string, number>;
+  /** Chunks that have changed since they were stored, by name. */
   dirtyChunks: Set<string>;
-  /** Where the rest of its description is stored, when that is too long for one value. */
+  /** The prefix of the parts of its description, when that is too long for one value; else null. */
   partsUnder: string | null;
   /** Jobs that are not known to be done yet and have to be before any task of this one starts. */
   pendingDependencies: Set<string>;
@@ -43,42 +55,53 @@
   cancelRequested: boolean;
   /** A write of its end was sent and may have been made: others may have read it there, and told its user. */
   endWriteSent: boolean;
-  /** Priority and deadline, its own or those of the most urgent job that needs it. */
+  /** Its own priority, or that of the most urgent job that needs it. */
   priority: number;
-  /** A task of it has run under this owner: told once. */
+  /** A task of it has run under this owner; logged once. */
   hasStarted: boolean;
-  /** Goes with more urgent work for now, since its last aim is near; it stops nothing. */
+  /** Goes with more urgent work for now, since its last service-level objective is near; it stops nothing. */
   aged: boolean;
-  /** Of one that has aged, only its first task goes before: it has not begun, and there is no room for more of it before urgent work. */
+  /** Of one that has aged, only its first task goes before: it has not begun, and there is no capacity for more of it before urgent work. */
   onlyFirstTaskAged: boolean;
+  /** Its own deadline, or that of the most urgent job that needs it, or an earlier one since it has aged. */
   dueWall: number;
+  /** Version of its record among the unfinished jobs. */
   version: number;
-  state: 'active' | 'done' | 'cancelled';
+  state: 'active' | FinalState;
+  /** Its completions are being stored. */
   storing: boolean;
-  /** Completed tasks are stored from then on, unless they are the last ones. */
+  /** Completed tasks are stored from then on (steady milliseconds), unless they are the last ones. */
   storeAfter: number;
-  /** Rounds of retries that have failed while it is under suspicion. */
+  /** Rounds of retries that have failed while it is quarantined. */
   failures: number;
   /** It fails on every machine: submitted with a mistake, as it seems. */
   quarantined: boolean;
+  /** Ids of machines on which tasks of it have failed. */
   failedOn: Set<string>;
+  /** No task of it is started before then, in steady milliseconds. */
   notBefore: number;
+  /** The largest attempt number that was used for a task of it. */
   attempt: number;
 }
 
+/** What is stored of an accepted job. Times of day in milliseconds. */
 export interface JobRecord {
-  spec: JobSpec;
-  accepted: number;
-  deadline: number;
+  readonly spec: JobSpec;
+  readonly accepted: number;
+  readonly deadline: number;
 }
 
 /** What stays of a job for as long as anybody may ask. */
 export interface JobEntry {
+  /** The shard that accepted it. */
   shard: number;
-  final?: 'done' | 'cancelled';
+  /** How it ended; absent while it is unfinished. */
+  final?: FinalState;
+  /** How many tasks it had; of one that has ended. */
   tasks?: number;
-  /** Of an unfinished job: the jobs that it names, or where to read them. */
+  /** Of an unfinished job: the jobs that it depends on. */
   after?: string[];
+  /** Of an unfinished job whose description is stored in parts: their prefix, in place of `after`. */
   partsUnder?: string;
 }
 
@@ -89,6 +112,7 @@
   return !job.match || job.match.kind(type, zone, spot);
 }
 
+/** What its owner tells of a job: how many of its tasks are done and how many run. */
 export function jobStatus(job: Job): { status: JobStatus; done: number; running: number } {
   let running = 0;
   for (const h of job.placements.values()) if (h.state === 'running' || h.state === 'saving') running++;
@@ -96,6 +120,7 @@
   return { status, done: job.done.count, running };
 }
 
+/** A job that nothing has been done of yet. */
 export function makeJob(
   spec: JobSpec,
   record: { accepted: number; deadline: number; order: number; fresh: boolean; version: number },
@@ -142,15 +167,16 @@
   };
 }
 
-/** Numbers of tasks that are neither done nor anywhere, up to `most`. */
-export function unplacedTasks(job: Job, most: number): number[] {
+/** Indices of tasks that are neither done nor on a machine, at most `max` of them. */
+export function unplacedTasks(job: Job, max: number): number[] {
   const out: number[] = [];
-  for (let i = 0; i < job.spec.tasks && out.length < most; i++) {
+  for (let i = 0; i < job.spec.tasks && out.length < max; i++) {
     if (!job.done.has(i) && !job.placements.has(i)) out.push(i);
   }
   return out;
 }
 
+/** How many tasks are neither done nor on a machine. */
 export function unplacedCount(job: Job): number {
   let placed = 0;
   for (const i of job.placements.keys()) if (!job.done.has(i)) placed++;
@@ -193,19 +219,29 @@
   return { whole, partly };
 }
 
+/** How many further tasks of a job may start in a zone. */
+export interface ZoneCapacity {
+  /** The zone's index. */
+  readonly zone: number;
+  readonly tasks: number;
+}
+
 /**
  * In which zones further tasks of a job may start beside those on machines, and how many in each; null when that is any number
  * anywhere. `zones` are those that it may use at all, the best first.
  */
-export function zoneCapacity(job: Job, zones: readonly number[]): [zone: number, tasks: number][] | null {
+export function zoneCapacity(job: Job, zones: readonly number[]): ZoneCapacity[] | null {
   const { oneZone, spread, tasks } = job.spec;
   if (!oneZone && !spread) return null;
-  const held = new Map<number, number>();
-  for (const h of job.placements.values()) held.set(h.machine.zone, (held.get(h.machine.zone) ?? 0) + 1);
-  if (oneZone && !spread && held.size === 0) return null;
-  const most = spread ? Math.ceil(tasks / 2) : tasks;
-  const allowed = oneZone ? (held.size > 0 ? [...held.keys()] : zones.slice(0, 1)) : zones;
-  return allowed.map((z): [number, number] => [z, most - (held.get(z) ?? 0)]).filter(([, room]) => room > 0);
+  const placed = new Map<number, number>();
+  for (const { machine } of job.placements.values())
+    placed.set(machine.zone, (placed.get(machine.zone) ?? 0) + 1);
+  if (oneZone && !spread && placed.size === 0) return null;
+  const maxPerZone = spread ? Math.ceil(tasks / 2) : tasks;
+  const allowed = oneZone ? (placed.size > 0 ? [...placed.keys()] : zones.slice(0, 1)) : zones;
+  return allowed
+    .map((zone) => ({ zone, tasks: maxPerZone - (placed.get(zone) ?? 0) }))
+    .filter((capacity) => capacity.tasks > 0);
 }
 
 /** The priority of a job's tasks, without the one that goes before more urgent work since the job has not begun in time. */
--- a/src/jobs/jobstatus.ts
+++ b/src/jobs/jobstatus.ts
@@ -1,8 +1,8 @@
 import { type StateStore, StateStoreError } from '../state/statestore.js';
-import type { JobEntry } from './job.js';
-import { findJob, readParts } from './records.js';
+import type { FinalState, JobEntry } from './job.js';
+import { findJob, readParts } from './storedjob.js';
 
-/** So many jobs are read for one answer; of what needs more nothing is said for now. */
+/** The most jobs that are read for one answer; of what needs more nothing is said for now. */
 const MAX_JOBS_READ = 24;
 
 /** Whether an unfinished job names others, as far as its record says without reading more. */
@@ -10,6 +10,9 @@
   return entry.partsUnder !== undefined || (entry.after?.length ?? 0) > 0;
 }
 
+/** How a job stands as far as the state service knows. */
+export type StoredJobStatus = 'active' | FinalState | 'unsure';
+
 /**
  * How a job stands by the state service alone: for when its owner cannot be asked. A job of which one that it needs, directly
  * or through others, is cancelled will be cancelled as well, but is not yet: of such a job, and where too much would have
@@ -18,14 +21,14 @@
 export async function jobStatusFromStore(
   store: Pick<StateStore, 'getCoalesced' | 'list'>,
   id: string,
-): Promise<'active' | 'done' | 'cancelled' | 'unsure'> {
+): Promise<StoredJobStatus> {
   const seen = new Set([id]);
   const queue = [id];
-  for (let at = queue.shift(); at !== undefined; at = queue.shift()) {
+  for (let current = queue.shift(); current !== undefined; current = queue.shift()) {
     if (seen.size > MAX_JOBS_READ) return 'unsure';
-    const entry = await findJob((key) => store.getCoalesced(key), at);
-    if (!entry) throw new StateStoreError(`no record of ${at}`, false);
-    if (at === id && entry.final) return entry.final;
+    const entry = await findJob((key) => store.getCoalesced(key), current);
+    if (!entry) throw new StateStoreError(`no record of ${current}`, false);
+    if (current === id && entry.final) return entry.final;
     if (entry.final === 'cancelled') return 'unsure';
     let after = entry.after ?? [];
     if (entry.partsUnder !== undefined) {
--- a/src/scheduler/resourcedemand.ts
+++ b/src/scheduler/resourcedemand.ts
@@ -170,12 +170,12 @@
    * it by them, would be given machines there without end, and start on none of them.
    */
   private byZone(job: Job, count: number): [zone: number | null, count: number][] {
-    const room = zoneCapacity(job, this.zonesOf(job));
-    if (!room) return [[job.zone, count]];
+    const capacities = zoneCapacity(job, this.zonesOf(job));
+    if (!capacities) return [[job.zone, count]];
     let left = count;
-    return room
-      .map(([zone, most]): [number, number] => {
-        const n = Math.min(left, most);
+    return capacities
+      .map(({ zone, tasks }): [number, number] => {
+        const n = Math.min(left, tasks);
         left -= n;
         return [zone, n];
       })
