--- a/src/scheduler/planner.ts
+++ b/src/scheduler/planner.ts
@@ -242,7 +242,7 @@
     if (known && now - known.at < ADMISSION_PLAN_VALID_MS) return known.plan;
     const { machines, refs } = this.planInput.machines(now);
     const places = this.planInput.previousPlacements(this.lastPlan, refs);
-    for (const o of this.autoscaler.options(now)) {
+    for (const o of this.autoscaler.rentOptions(now)) {
       for (let i = 0; i < 2; i++)
         machines.push(this.planInput.virtualMachine(o, (now + o.bootS * 1100) / 1000));
     }
--- a/src/scheduler/resourcedemand.ts
+++ b/src/scheduler/resourcedemand.ts
@@ -125,7 +125,7 @@
         short.push({ types, zone, spot: job.spec.spot, match, need, count });
     }
     this.needs = needs;
-    this.supply.order(short, now);
+    this.supply.rentFor(short, now);
   }
 
   /** How long the machines of this shard that can take the urgent work that waits would take for it. */
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -171,15 +171,22 @@
       transferMachine: (id, to) => this.transferMachine(id, to, true),
       requestPlan: () => this.requestPlan(),
     });
-    this.autoscaler = new Autoscaler(context, index, term, this.registry, this.log, {
-      stopped: () => this.stopped,
-      spare: (m) => this.isIdle(m),
-      recorded: (id, entry) => this.onMachineRecord(id, entry),
-      lostOwnership: () => this.lostOwnership(),
-      uniqueName: (kind) => this.jobTable.uniqueName(kind),
-      needOf: (jobClass) => this.jobTable.taskSizeByClass.get(jobClass) ?? null,
-      sawNothing: () => this.jobTable.taskSizeByClass.size === 0,
-      requestPlan: () => this.requestPlan(),
+    this.autoscaler = new Autoscaler({
+      context,
+      shard: index,
+      term,
+      registry: this.registry,
+      log: this.log,
+      hooks: {
+        stopped: () => this.stopped,
+        isIdle: (m) => this.isIdle(m),
+        recorded: (id, entry) => this.onMachineRecord(id, entry),
+        lostOwnership: () => this.lostOwnership(),
+        uniqueName: (kind) => this.jobTable.uniqueName(kind),
+        taskSizeOf: (jobClass) => this.jobTable.taskSizeByClass.get(jobClass) ?? null,
+        hasSeenNoJob: () => this.jobTable.taskSizeByClass.size === 0,
+        requestPlan: () => this.requestPlan(),
+      },
     });
     this.planInput = new PlanInput(context, this.registry, this.estimates, {
       usageOf: (h) => this.jobTable.usageOf(h),
@@ -571,6 +578,6 @@
 
   /** The cloud's list has been read. */
   onMachineList(): void {
-    this.autoscaler.listed();
+    this.autoscaler.onMachinesListed();
   }
 }
