--- a/src/autoscaler/rebalancing.ts
+++ b/src/autoscaler/rebalancing.ts
@@ -1,8 +1,10 @@
-import { fitCount } from '../plan/capacityprofile.js';
+import { type Amounts, fitCount } from '../plan/capacityprofile.js';
 import { PRIORITY } from '../wire/users.js';
 import { type IdleMachine, machineKindName, type ResourceDemand, type ShardStatus } from './shardstatus.js';
 
-/** Lesser work elsewhere is stopped for urgent tasks only when they would wait longer than this, one machine at a time. */
+/** Which machines go from one shard to another: pure decisions of the leader by what the owners told it. */
+
+/** Lower-priority tasks elsewhere are stopped for urgent ones only when those would wait longer than this, one machine at a time. */
 const MIN_EVICTION_WAIT_S = 8;
 /** A machine is reserved where urgent work waits at least so long, and so much longer than in the shard that reserves it. */
 const MIN_RESERVATION_WAIT_S = 12;
@@ -10,171 +12,198 @@
 const RESERVATION_WAIT_MARGIN_S = 6;
 const MIN_RESERVER_MACHINES = 3;
 
+/** What a machine of a type has. */
+export type SizeOfType = (type: string) => Amounts;
+
+/** A machine that is to be reserved in one shard for another's demand. */
+export interface ReservationChoice {
+  /** The shard that reserves one of its machines. */
+  readonly from: number;
+  /** The shard that it is for. */
+  readonly to: number;
+  readonly need: ResourceDemand;
+  /** Where the owner of that shard is. */
+  readonly zone: string;
+}
+
+/** A machine that is to go from one shard to another. */
+export interface MachineTransfer {
+  readonly machine: string;
+  readonly from: number;
+  readonly to: number;
+}
+
+/** A machine that is to be emptied of all below a priority, and then to go to another shard. */
+export interface MachineEviction extends MachineTransfer {
+  readonly priority: number;
+}
+
+/** A shard as it is weighed for a machine of some type in some zone. */
+export interface ShardCandidate {
+  /** What its teams are guaranteed. */
+  readonly weight: number;
+  /** Its machines of this type, and those of them in the machine's zone. */
+  readonly machines: number;
+  readonly machinesInZone: number;
+  /** At home in the machine's zone. */
+  readonly isHomeZone: boolean;
+}
+
+/** A demand, and the shard that has it. */
+interface ShardDemand {
+  readonly shard: number;
+  readonly need: ResourceDemand;
+}
+
+/** Empty machines of one type and zone that are all spot ones or none of them, by the shard that has them. */
+interface IdleKind {
+  readonly example: IdleMachine;
+  readonly idsByShard: Map<number, string[]>;
+}
+
 /**
  * From which shard to which a machine should go as its tasks end, where urgent work waits much longer in one than in
- * another: on full days no machine is ever empty, and shards would stay as they were parted.
+ * another: on full days no machine is ever empty, and shards would stay as they were partitioned. A shard where urgent work
+ * waits more than `maxUrgentS` reserves none.
  */
 export function chooseReservation(
-  told: readonly ShardStatus[],
-  mostS: number,
-): { from: number; to: number; need: ResourceDemand; zone: string } | null {
+  statuses: readonly ShardStatus[],
+  maxUrgentS: number,
+): ReservationChoice | null {
   let to: ShardStatus | null = null;
-  for (const g of told) if (!to || g.urgentS > to.urgentS) to = g;
-  const need = to?.needs.find((n) => n.priority >= PRIORITY.high);
+  for (const s of statuses) if (!to || s.urgentS > to.urgentS) to = s;
+  const need = to?.demands.find((n) => n.priority >= PRIORITY.high);
   if (!to || !need || to.urgentS < MIN_RESERVATION_WAIT_S) return null;
   let from: ShardStatus | null = null;
-  for (const g of told) {
-    if (g.shard === to.shard || g.machines < MIN_RESERVER_MACHINES) continue;
-    if (!from || g.urgentS < from.urgentS) from = g;
+  for (const s of statuses) {
+    if (s.shard === to.shard || s.machines < MIN_RESERVER_MACHINES) continue;
+    if (!from || s.urgentS < from.urgentS) from = s;
   }
-  // Where urgent work waits long itself nothing is gained: when all wait equally long, all may miss their aims.
+  // Where urgent work waits long itself nothing is gained: when all wait equally long, all may miss their objectives.
   if (
     !from ||
-    from.urgentS > mostS ||
+    from.urgentS > maxUrgentS ||
     from.urgentS * RESERVATION_WAIT_FACTOR + RESERVATION_WAIT_MARGIN_S > to.urgentS
   )
     return null;
   return { from: from.shard, to: to.shard, need, zone: to.zone };
 }
 
-export interface MachineTransfer {
-  machine: string;
-  from: number;
-  to: number;
-}
-
-/** Which empty machines go to which shard: the most urgent and then earliest due need first. */
-export function chooseTransfers(
-  told: readonly ShardStatus[],
-  sizeOf: (type: string) => { cpus: number; gpus: number; memoryGb: number },
-): MachineTransfer[] {
-  const needs: { shard: number; need: ResourceDemand }[] = told.flatMap((g) =>
-    g.needs.map((need) => ({ shard: g.shard, need })),
-  );
-  needs.sort(
+/** Which empty machines go to which shard: the most urgent and then earliest due demand first. */
+export function chooseTransfers(statuses: readonly ShardStatus[], sizeOf: SizeOfType): MachineTransfer[] {
+  const demands = shardDemands(statuses).sort(
     (a, b) =>
       b.need.priority - a.need.priority ||
       Number(b.need.guaranteed) - Number(a.need.guaranteed) ||
       a.need.deadline - b.need.deadline,
   );
-  const kinds = idleMachineKinds(told);
-  const zones = new Map(told.map((g) => [g.shard, g.zone]));
-  const moves: MachineTransfer[] = [];
-  for (const { shard, need } of needs) {
+  const kinds = idleMachineKinds(statuses);
+  const zones = new Map(statuses.map((s) => [s.shard, s.zone]));
+  const transfers: MachineTransfer[] = [];
+  for (const { shard, need } of demands) {
     let left = need.count;
     const fitting = kinds
-      .filter((k) => idleMachineFits(k.like, need) && fitCount(sizeOf(k.like.type), need, 1) > 0)
+      .filter((k) => idleMachineFits(k.example, need) && fitCount(sizeOf(k.example.type), need, 1) > 0)
       // Machines with GPUs last for tasks that need none.
       .sort(
         (a, b) =>
-          unneededGpus(a.like, need, sizeOf) - unneededGpus(b.like, need, sizeOf) ||
-          Number(b.like.zone === zones.get(shard)) - Number(a.like.zone === zones.get(shard)),
+          unneededGpus(a.example, need, sizeOf) - unneededGpus(b.example, need, sizeOf) ||
+          Number(b.example.zone === zones.get(shard)) - Number(a.example.zone === zones.get(shard)),
       );
     // Its own first: they are already where the tasks are.
     for (const own of [true, false]) {
-      for (const k of fitting) {
-        const per = fitCount(sizeOf(k.like.type), need, need.count);
-        for (const [from, ids] of k.byShard) {
+      for (const kind of fitting) {
+        const tasksPerMachine = fitCount(sizeOf(kind.example.type), need, need.count);
+        for (const [from, ids] of kind.idsByShard) {
           if ((from === shard) !== own) continue;
           while (left > 0 && ids.length > 0) {
             const machine = ids.shift()!;
-            left -= per;
-            if (!own) moves.push({ machine, from, to: shard });
+            left -= tasksPerMachine;
+            if (!own) transfers.push({ machine, from, to: shard });
           }
         }
       }
     }
   }
-  return moves;
-}
-
-/** Empty machines by type, zone and whether they are spot ones: there are far fewer kinds than machines. */
-function idleMachineKinds(
-  told: readonly ShardStatus[],
-): { like: IdleMachine; byShard: Map<number, string[]> }[] {
-  const kinds = new Map<string, { like: IdleMachine; byShard: Map<number, string[]> }>();
-  for (const g of told) {
-    for (const s of g.spares) {
-      const key = `${s.type} ${s.zone} ${s.spot}`;
-      let kind = kinds.get(key);
-      if (!kind) {
-        kind = { like: s, byShard: new Map() };
-        kinds.set(key, kind);
-      }
-      const ids = kind.byShard.get(g.shard);
-      if (ids) ids.push(s.id);
-      else kind.byShard.set(g.shard, [s.id]);
-    }
-  }
-  return [...kinds.values()];
+  return transfers;
 }
 
-/** A machine with nothing but lesser work, for the most urgent tasks that would wait long in their own shard. */
-export function chooseEviction(
-  told: readonly ShardStatus[],
-  sizeOf: (type: string) => { cpus: number; gpus: number; memoryGb: number },
-): (MachineTransfer & { priority: number }) | null {
-  const needs = told
-    .flatMap((g) => g.needs.map((need) => ({ shard: g.shard, need })))
-    .filter((n) => n.need.priority >= PRIORITY.high && n.need.waitS > MIN_EVICTION_WAIT_S)
+/** A machine with nothing but lower-priority tasks, for the most urgent tasks that would wait long in their own shard. */
+export function chooseEviction(statuses: readonly ShardStatus[], sizeOf: SizeOfType): MachineEviction | null {
+  const demands = shardDemands(statuses)
+    .filter((d) => d.need.priority >= PRIORITY.high && d.need.waitS > MIN_EVICTION_WAIT_S)
     .sort((a, b) => b.need.priority - a.need.priority || a.need.deadline - b.need.deadline);
-  for (const { shard, need } of needs) {
-    const soft = told
-      .filter((g) => g.shard !== shard)
-      .flatMap((g) => g.soft.map((s) => ({ shard: g.shard, s })))
+  for (const { shard, need } of demands) {
+    const [first] = statuses
+      .filter((s) => s.shard !== shard)
+      .flatMap((s) => s.preemptible.map((machine) => ({ shard: s.shard, machine })))
       .filter(
-        (x) =>
-          x.s.top < need.priority && idleMachineFits(x.s, need) && fitCount(sizeOf(x.s.type), need, 1) > 0,
+        ({ machine }) =>
+          machine.highestPriority < need.priority &&
+          idleMachineFits(machine, need) &&
+          fitCount(sizeOf(machine.type), need, 1) > 0,
       )
-      .sort((a, b) => a.s.top - b.s.top || unneededGpus(a.s, need, sizeOf) - unneededGpus(b.s, need, sizeOf));
-    const first = soft[0];
-    if (first) return { machine: first.s.id, from: first.shard, to: shard, priority: need.priority };
+      .sort(
+        (a, b) =>
+          a.machine.highestPriority - b.machine.highestPriority ||
+          unneededGpus(a.machine, need, sizeOf) - unneededGpus(b.machine, need, sizeOf),
+      );
+    if (first) return { machine: first.machine.id, from: first.shard, to: shard, priority: need.priority };
   }
   return null;
 }
 
-function unneededGpus(
-  s: IdleMachine,
-  need: ResourceDemand,
-  sizeOf: (type: string) => { gpus: number },
-): number {
-  return need.gpus === 0 ? sizeOf(s.type).gpus : 0;
-}
-
-function idleMachineFits(s: IdleMachine, need: ResourceDemand): boolean {
-  return (
-    (!need.types || need.types.includes(s.type)) &&
-    (need.zone === null || need.zone === s.zone) &&
-    (need.spot || !s.spot) &&
-    (!need.kinds || need.kinds.includes(machineKindName(s.type, s.zone, s.spot)))
-  );
-}
-
-/** A shard as it is weighed for a machine of some type in some zone. */
-export interface ShardCandidate {
-  /** What its teams are guaranteed. */
-  weight: number;
-  /** Its machines of this type, and those of them in the machine's zone. */
-  machines: number;
-  machinesInZone: number;
-  /** At home in the machine's zone. */
-  isHomeZone: boolean;
-}
-
 /**
  * The shard with the fewest machines of a type for what its teams are guaranteed. Shards at home in the machine's zone
- * come first up to their fair part: between zones that cannot reach each other a machine loses all its tasks, since no
- * node that it reaches may answer it.
+ * come first up to their fair share: between zones that cannot reach each other a machine loses all its tasks, since no
+ * node that it reaches may answer it. `unassigned` is how many machines of the type no shard has yet.
  */
 export function shardFor(shards: readonly ShardCandidate[], unassigned: number): number {
-  const all = shards.reduce((sum, s) => sum + s.machines, unassigned);
-  const weights = shards.reduce((sum, s) => sum + s.weight, 0);
-  const first = (s: ShardCandidate) => s.isHomeZone && s.machines < (all * s.weight) / weights;
-  const need = (s: ShardCandidate) => (s.machines + 0.001 * s.machinesInZone + 0.5) / s.weight;
+  const allMachines = shards.reduce((sum, s) => sum + s.machines, unassigned);
+  const allWeights = shards.reduce((sum, s) => sum + s.weight, 0);
+  const goesFirst = (s: ShardCandidate) => s.isHomeZone && s.machines < (allMachines * s.weight) / allWeights;
+  const machinesPerWeight = (s: ShardCandidate) => (s.machines + 0.001 * s.machinesInZone + 0.5) / s.weight;
   let best = 0;
   shards.forEach((s, i) => {
     const b = shards[best]!;
-    if (first(s) !== first(b) ? first(s) : need(s) < need(b)) best = i;
+    if (goesFirst(s) !== goesFirst(b) ? goesFirst(s) : machinesPerWeight(s) < machinesPerWeight(b)) best = i;
   });
   return best;
 }
+
+function shardDemands(statuses: readonly ShardStatus[]): ShardDemand[] {
+  return statuses.flatMap((s) => s.demands.map((need) => ({ shard: s.shard, need })));
+}
+
+/** Empty machines by type, zone and whether they are spot ones: there are far fewer kinds than machines. */
+function idleMachineKinds(statuses: readonly ShardStatus[]): IdleKind[] {
+  const kinds = new Map<string, IdleKind>();
+  for (const status of statuses) {
+    for (const machine of status.idleMachines) {
+      const key = `${machine.type} ${machine.zone} ${machine.spot}`;
+      let kind = kinds.get(key);
+      if (!kind) {
+        kind = { example: machine, idsByShard: new Map() };
+        kinds.set(key, kind);
+      }
+      const ids = kind.idsByShard.get(status.shard);
+      if (ids) ids.push(machine.id);
+      else kind.idsByShard.set(status.shard, [machine.id]);
+    }
+  }
+  return [...kinds.values()];
+}
+
+function unneededGpus(machine: IdleMachine, need: ResourceDemand, sizeOf: SizeOfType): number {
+  return need.gpus === 0 ? sizeOf(machine.type).gpus : 0;
+}
+
+function idleMachineFits(machine: IdleMachine, need: ResourceDemand): boolean {
+  const { type, zone, spot } = machine;
+  return (
+    (!need.types || need.types.includes(type)) &&
+    (need.zone === null || need.zone === zone) &&
+    (need.spot || !spot) &&
+    (!need.kinds || need.kinds.includes(machineKindName(type, zone, spot)))
+  );
+}
--- a/src/controller/controllernode.ts
+++ b/src/controller/controllernode.ts
@@ -1,6 +1,6 @@
 // This package: who owns what: members, claims, leader, routing, stored requests.
 
-import { readResourceDemand, readShardStatus } from '../autoscaler/shardstatus.js';
+import { readResourceDemand, readShardStatus, writeShardStatus } from '../autoscaler/shardstatus.js';
 import { CHANGE_FEED_OPS } from '../changefeed/messages.js';
 import { nodeLease } from '../config/bounds.js';
 import { regionOfNode } from '../config/settings.js';
@@ -180,7 +180,7 @@
       if (!s.ready) continue;
       const told = s.shardStatus(this.context.settings.node);
       if (this.ownership.leader) this.ownership.leader.onShardStatus(told);
-      else if (leader) this.mesh?.notify(leader, PEER_OPS.shardStatus, told);
+      else if (leader) this.mesh?.notify(leader, PEER_OPS.shardStatus, writeShardStatus(told));
     }
     this.context.clock.after(STATUS_INTERVAL_MS, () => this.reportStatusLoop());
   }
--- a/src/scheduler/resourcedemand.ts
+++ b/src/scheduler/resourcedemand.ts
@@ -1,5 +1,5 @@
 import { type Autoscaler, kindKey } from '../autoscaler/autoscaler.js';
-import { machineKindName, type ShardStatus } from '../autoscaler/shardstatus.js';
+import { machineKindName, type ResourceDemand, type ShardStatus } from '../autoscaler/shardstatus.js';
 import type { ControllerContext } from '../context/context.js';
 import { type Job, kindAllowed, remainingTasksPriority, unplacedCount, zoneCapacity } from '../jobs/job.js';
 import { type Amounts, fitCount } from '../plan/capacityprofile.js';
@@ -29,7 +29,7 @@
 /** What a shard lacks, has to spare, and tells the leader of both. */
 export class ResourceDemandTracker {
   private readonly shortSince = new Map<string, number>();
-  private needs: ShardStatus['needs'] = [];
+  private needs: ResourceDemand[] = [];
 
   constructor(
     private readonly context: ControllerContext,
@@ -96,7 +96,7 @@
       });
     }
     const usage = this.hooks.teamUsage();
-    const needs: ShardStatus['needs'] = [];
+    const needs: ResourceDemand[] = [];
     const short: Shortage[] = [];
     for (const id of [...this.shortSince.keys()]) {
       const job = this.jobs.get(id);
@@ -195,7 +195,7 @@
       .filter((z) => job.zone === null || z === job.zone);
   }
 
-  private need(job: Job, count: number, waitS: number, zone: number | null): ShardStatus['needs'][number] {
+  private need(job: Job, count: number, waitS: number, zone: number | null): ResourceDemand {
     return {
       types: job.spec.types,
       zone: zone === null ? null : this.context.names.zones.name(zone),
@@ -284,7 +284,7 @@
         zone: n.zones.name(m.zone),
         spot: m.spot,
         images: [],
-        top,
+        highestPriority: top,
       });
     }
     return {
@@ -293,9 +293,9 @@
       zone: this.context.settings.zone,
       urgentS: this.urgentS(),
       machines: this.registry.machines.size,
-      spares,
-      soft: soft.slice(0, 30),
-      needs: this.needs.slice(0, 20),
+      idleMachines: spares,
+      preemptible: soft.slice(0, 30),
+      demands: this.needs.slice(0, 20),
     };
   }
 }
--- a/tests/compatibility/encoders.test.ts
+++ b/tests/compatibility/encoders.test.ts
@@ -7,7 +7,7 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { parse, stringify } from 'smol-toml';
-import { readResourceDemand, readShardStatus } from '../../src/autoscaler/shardstatus.js';
+import { readResourceDemand, readShardStatus, writeShardStatus } from '../../src/autoscaler/shardstatus.js';
 import {
   readChangesRequest,
   readChangesResponse,
@@ -288,7 +288,7 @@
 
 /** What the code reads of the messages between controllers. */
 const PEERS: Record<string, Rewrite> = {
-  'gossip told': unchanged(readShardStatus),
+  'gossip told': (value: unknown) => writeShardStatus(read(readShardStatus(value))),
   'cede asked': member('need', unchanged(readResourceDemand)),
   'owns told': member('holder', holderAsStored),
   'needed asked': member('claims', unchanged(readDependentClaims)),
--- a/tests/plan/plan.test.ts
+++ b/tests/plan/plan.test.ts
@@ -137,9 +137,9 @@
     zone: 'a',
     urgentS: 0,
     machines: 10,
-    soft: [],
-    spares: spares.map(spare),
-    needs: priorities.map(need),
+    preemptible: [],
+    idleMachines: spares.map(spare),
+    demands: priorities.map(need),
   });
   const moves = chooseTransfers([told(0, ['m-1'], []), told(1, ['m-2'], [1]), told(2, [], [2])], sizeOf);
   assert.deepEqual(moves, [{ machine: 'm-1', from: 0, to: 2 }]);
