--- a/src/cloud/cloud.ts
+++ b/src/cloud/cloud.ts
@@ -99,8 +99,9 @@
 
   private async send(method: string, path: string, body: object | null) {
     try {
-      // Lists and releases take precedence over rentals: probing for capacity must not keep a node from seeing what it has.
-      await this.limiter.acquire(1, method === 'GET' || path === CLOUD_PATHS.release, RATE_WAIT_MS);
+      // Lists and returns come before rentals: probing for capacity must not keep a node from seeing what it has.
+      const urgent = method === 'GET' || path === CLOUD_PATHS.release;
+      await this.limiter.acquire(1, { urgent, maxWaitMs: RATE_WAIT_MS });
       const answer = await this.http.request(this.addr, method, path, body, REQUEST_TIMEOUT_MS);
       if (answer.status === 429) this.limiter.onRejected();
       return answer;
--- a/tests/compatibility/encoders.test.ts
+++ b/tests/compatibility/encoders.test.ts
@@ -7,7 +7,7 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { parse, stringify } from 'smol-toml';
-import { readResourceDemand, readShardStatus } from '../../src/autoscaler/shardstatus.js';
+import { readResourceDemand, readShardStatus, writeShardStatus } from '../../src/autoscaler/shardstatus.js';
 import {
   readChangesRequest,
   readChangesResponse,
@@ -31,15 +31,20 @@
   KEYS,
   readLeaseHolder,
   readMachineRecord,
+  readStandbyRecord,
   readTeamAssignment,
   writeLeaseHolder,
+  writeStandbyRecord,
 } from '../../src/schema/schema.js';
 import {
   readHandoverMessage,
   readReplicationMessage,
   readReplicationResponse,
-  readStandbyRecord,
+  writeHandoverMessage,
+  writeReplicationMessage,
+  writeReplicationResponse,
 } from '../../src/standby/messages.js';
+import { writeReplicationRecord } from '../../src/standby/replicationrecord.js';
 import { ShardReplica } from '../../src/standby/shardreplica.js';
 import { StateStore } from '../../src/state/statestore.js';
 import * as cloud from '../../src/wire/cloud.js';
@@ -198,7 +203,7 @@
   'c/own/SHARD': holderAsStored,
   'c/node/NAME': holderAsStored,
   'c/m/ID': unchanged(readMachineRecord),
-  'c/stand/SHARD': unchanged(readStandbyRecord),
+  'c/stand/SHARD': (value: unknown) => writeStandbyRecord(read(readStandbyRecord(value))),
   'c/teams': assignment(KEYS.teams),
   'c/teams/N': assignment(KEYS.moreTeams(1)),
   'c/types': (value: cloud.MachineType[]) => {
@@ -283,7 +288,7 @@
 
 /** What the code reads of the messages between controllers. */
 const PEERS: Record<string, Rewrite> = {
-  'gossip told': unchanged(readShardStatus),
+  'gossip told': (value: unknown) => writeShardStatus(read(readShardStatus(value))),
   'cede asked': member('need', unchanged(readResourceDemand)),
   'owns told': member('holder', holderAsStored),
   'needed asked': member('claims', unchanged(readDependentClaims)),
@@ -293,9 +298,9 @@
   'changes asked': unchanged(readChangesRequest),
   'changes answered': unchanged(readChangesResponse),
   'changesHead answered': unchanged(readLatestRevisionResponse),
-  'stand asked': unchanged(readReplicationMessage),
-  'stand answered': unchanged(readReplicationResponse),
-  'assume asked': unchanged(readHandoverMessage),
+  'stand asked': (value: unknown) => writeReplicationMessage(read(readReplicationMessage(value))),
+  'stand answered': (value: unknown) => writeReplicationResponse(read(readReplicationResponse(value))),
+  'assume asked': (value: unknown) => writeHandoverMessage(read(readHandoverMessage(value))),
 };
 /** Members that are taken one by one where they are read, and answers of which only the type counts. */
 const PEERS_PLAIN =
@@ -329,21 +334,27 @@
   assert.equal(readDependentClaims(asked('needed').claims).length, 1);
   for (const op of ['submit', 'submitAfter']) assert.deepEqual(readSpec(asked(op).spec), fullSpec());
   const stand = decoded(fixture<Produced>('standby-frames').stand!) as { a: { records: unknown[] } };
-  assert.deepEqual(readReplicationMessage(stand.a), stand.a);
-  const said = new Set(stand.a.records.map((record) => (record as { t: string }).t));
-  assert.deepEqual([...said].sort(), Object.keys(STREAM).sort(), 'every kind of record is in the stream');
+  const message = read(readReplicationMessage(stand.a));
+  assert.deepEqual(writeReplicationMessage(message), stand.a);
+  const kinds = new Set(message.records.map((record) => record.kind));
+  assert.deepEqual([...kinds].sort(), Object.keys(STREAM).sort(), 'every kind of record is in the stream');
+  const tags = new Set(stand.a.records.map((record) => (record as { t: string }).t));
+  const written = Object.values(STREAM).map((record) => writeReplicationRecord(record).t);
+  assert.deepEqual([...tags].sort(), written.sort(), 'every kind of record is sent by a tag of its own');
 });
 
 test('a standby takes the recorded stream as versions before this one sent it', () => {
   const batch = JSON.parse(fixture<Produced>('standby-frames').batch!);
+  const sender = { shard: 1, term: 9, revision: 11, run: 'n1-7', changes: 5 };
+  const { from, records } = read(readReplicationMessage({ ...sender, ...batch }));
   const copy = new ShardReplica();
-  copy.applyBatch(batch.from, batch.records);
+  copy.applyBatch(from, records);
   assert.ok(copy.inSync);
   assert.equal(copy.machinesOf('wk-2'), null);
   assert.equal(copy.runningSince('wk-1/3', 7), 1_700_000_000_000);
-  assert.deepEqual(copy.machine('m-1'), { session: 2, images: [['img', 1.5]] });
+  assert.deepEqual(copy.machine('m-1'), { incarnation: 2, images: [{ image: 'img', gb: 1.5 }] });
   assert.deepEqual([...copy.classes()], [['train', { log: 0.25, count: 3 }]]);
-  const only = batch.records.filter((r: { t: string }) => ['begin', 'suspect', 'level'].includes(r.t));
+  const only = records.filter((r) => ['snapshotBegin', 'quarantined', 'inSync'].includes(r.kind));
   const suspecting = new ShardReplica();
   suspecting.applyBatch(0, only);
   assert.deepEqual(suspecting.quarantine('wk-1'), { failures: 2, until: 1_700_000_001_000 });
