--- a/src/controller/ownership.ts
+++ b/src/controller/ownership.ts
@@ -316,16 +316,16 @@
     if (lease === null || this.shards.has(k)) return;
     const replicator = this.standbyCoordinator?.createReplicator(k, term, lease) ?? null;
     if (replicator) this.replicators.set(k, replicator);
-    const shard: Shard = new Shard(
-      this.context,
-      k,
+    const shard: Shard = new Shard({
+      context: this.context,
+      index: k,
       term,
-      () => this.members.holdsLeaseId(lease),
-      () => this.stopOwning(shard),
-      this.peerShards,
+      leaseCovers: () => this.members.holdsLeaseId(lease),
+      onOwnershipLost: () => this.stopOwning(shard),
+      peers: this.peerShards,
       replicator,
-      taken,
-    );
+      takeover: taken,
+    });
     this.shards.set(k, shard);
     this.hooks.tellOwns(k, term);
     void shard.start();
--- a/src/scheduler/jobrequests.ts
+++ b/src/scheduler/jobrequests.ts
@@ -26,27 +26,31 @@
   requestPlan(): void;
 }
 
+/** What `JobRequests` is made of. */
+export interface JobRequestsParts {
+  readonly context: ControllerContext;
+  /** The shard's index among the shards of the cluster. */
+  readonly index: number;
+  readonly jobTable: JobTable;
+  readonly records: JobRecords;
+  readonly planner: Planner;
+  readonly taskProgress: TaskProgress;
+  readonly dependencies: DependencyTracker;
+  readonly log: Log;
+  readonly hooks: JobRequestsHooks;
+}
+
 /** What users ask of a shard's owner: to accept a job, how it stands, to cancel it. */
 export class JobRequests {
   private readonly retryAfterPacer: RetryAfterPacer;
   private readonly cancellationsInFlight = new Set<Job>();
 
-  constructor(
-    private readonly context: ControllerContext,
-    private readonly index: number,
-    private readonly jobTable: JobTable,
-    private readonly records: JobRecords,
-    private readonly planner: Planner,
-    private readonly taskProgress: TaskProgress,
-    private readonly dependencies: DependencyTracker,
-    private readonly log: Log,
-    private readonly hooks: JobRequestsHooks,
-  ) {
-    this.retryAfterPacer = new RetryAfterPacer(context.clock);
+  constructor(private readonly parts: JobRequestsParts) {
+    this.retryAfterPacer = new RetryAfterPacer(parts.context.clock);
   }
 
   requireReady(): void {
-    if (!this.hooks.ready()) throw new OwnerUnavailableError(NOT_READY);
+    if (!this.parts.hooks.ready()) throw new OwnerUnavailableError(NOT_READY);
   }
 
   async submit(spec: JobSpec): Promise<SubmitAnswer> {
@@ -56,31 +60,31 @@
     if (told) return told;
     // More submissions than the state service takes are told at once to come back: waiting here until their users have
     // given up, they would be stored for nobody, and sent once more.
-    if (this.context.store.writeDelayMs > MAX_WRITE_DELAY_MS)
+    if (this.parts.context.store.writeDelayMs > MAX_WRITE_DELAY_MS)
       return {
         kind: 'busy',
-        retryS: this.retryAfterPacer.retryAfterS(this.context.store.writesPerSecond * JOBS_PER_WRITE),
+        retryS: this.retryAfterPacer.retryAfterS(this.parts.context.store.writesPerSecond * JOBS_PER_WRITE),
       };
-    return this.jobTable.exclusive(spec.id, async (): Promise<SubmitAnswer> => {
+    return this.parts.jobTable.exclusive(spec.id, async (): Promise<SubmitAnswer> => {
       // Who went before may have taken seconds: the shard may be another's by now, which has told what is not known here.
       this.requireReady();
       const known = this.knownAnswer(spec.id);
       if (known) return known;
-      const needs = await this.dependencies.unfinishedDependencies(spec);
+      const needs = await this.parts.dependencies.unfinishedDependencies(spec);
       if ('never' in needs) return { kind: 'never', needs: needs.never };
       this.requireReady();
-      const wall = this.context.clock.wall();
-      const trial = this.jobTable.make(spec, wall, 0, true, 0);
+      const wall = this.parts.context.clock.wall();
+      const trial = this.parts.jobTable.make(spec, wall, 0, true, 0);
       // A job that names a cancelled one is accepted and cancelled.
-      const finish = needs.cancelled ? 0 : this.planner.admit(trial, needs.open);
+      const finish = needs.cancelled ? 0 : this.parts.planner.admit(trial, needs.open);
       if (finish === null) {
-        const entry = await this.records.entry(spec.id);
+        const entry = await this.parts.records.entry(spec.id);
         if (entry) return this.answerRepeated(spec.id, entry);
         return { kind: 'refused', retryS: 3 };
       }
       const deadline = Math.round(wall + finish * 1000);
       const accepted = await this.stopOnOwnershipLoss(
-        this.records.accept({ spec, accepted: wall, deadline }, this.jobTable.uniqueName('a')),
+        this.parts.records.accept({ spec, accepted: wall, deadline }, this.parts.jobTable.uniqueName('a')),
       );
       if (accepted.kind === 'known') return this.answerRepeated(spec.id, accepted.entry);
       this.requireReady();
@@ -92,9 +96,9 @@
       trial.partsUnder = accepted.partsUnder;
       trial.deadlineWall = deadline;
       trial.dueWall = deadline;
-      this.jobTable.jobs.set(spec.id, trial);
-      this.dependencies.add([trial]);
-      this.log.info(
+      this.parts.jobTable.jobs.set(spec.id, trial);
+      this.parts.dependencies.add([trial]);
+      this.parts.log.info(
         {
           job: spec.id,
           class: spec.class,
@@ -105,11 +109,11 @@
         },
         'job accepted',
       );
-      this.hooks.requestPlan();
+      this.parts.hooks.requestPlan();
       if (!needs.cancelled) return { kind: 'accepted' };
-      this.taskProgress.endJob(
+      this.parts.taskProgress.endJob(
         trial,
-        await this.stopOnOwnershipLoss(this.records.finish(trial, 'cancelled')),
+        await this.stopOnOwnershipLoss(this.parts.records.finish(trial, 'cancelled')),
       );
       return { kind: 'accepted', cancelled: true };
     });
@@ -117,13 +121,13 @@
 
   /** What is told of a job that is submitted again; null when it is in no memory. */
   private knownAnswer(id: string): SubmitAnswer | null {
-    const answer = this.jobTable.statusOf(id);
+    const answer = this.parts.jobTable.statusOf(id);
     return answer && { kind: 'known', status: this.requireReportable(id, answer).status };
   }
 
   private async answerRepeated(id: string, entry: JobEntry): Promise<SubmitAnswer> {
     if (entry.final) return { kind: 'known', status: entry.final };
-    if (entry.shard !== this.index) {
+    if (entry.shard !== this.parts.index) {
       // Its owner knows whether it is about to be cancelled with one that it waits for.
       if (hasDependencies(entry)) throw new UnavailableError('the job is in another shard');
       return { kind: 'known', status: 'queued' };
@@ -135,15 +139,15 @@
 
   /** A job whose acceptance was applied late is stored but not in memory. */
   async recall(id: string): Promise<StatusAnswer | null> {
-    const known = this.jobTable.statusOf(id);
+    const known = this.parts.jobTable.statusOf(id);
     if (known) return known;
-    const loaded = await this.records.loadOne(id);
+    const loaded = await this.parts.records.loadOne(id);
     this.requireReady();
-    if (!loaded) return this.jobTable.statusOf(id);
-    if (!this.jobTable.endedStatus(id) && !this.jobTable.jobs.has(id))
-      this.dependencies.add([this.taskProgress.adopt(loaded)]);
-    this.hooks.requestPlan();
-    return this.jobTable.statusOf(id);
+    if (!loaded) return this.parts.jobTable.statusOf(id);
+    if (!this.parts.jobTable.endedStatus(id) && !this.parts.jobTable.jobs.has(id))
+      this.parts.dependencies.add([this.parts.taskProgress.adopt(loaded)]);
+    this.parts.hooks.requestPlan();
+    return this.parts.jobTable.statusOf(id);
   }
 
   private async stopOnOwnershipLoss<T>(work: Promise<T>): Promise<T> {
@@ -151,7 +155,7 @@
       return await work;
     } catch (error) {
       if (error instanceof NotOwnerError) {
-        this.hooks.lostOwnership();
+        this.parts.hooks.lostOwnership();
         throw new UnavailableError('the shard has moved');
       }
       throw error;
@@ -160,7 +164,7 @@
 
   async status(id: string): Promise<StatusAnswer | null> {
     this.requireReady();
-    const answer = this.jobTable.statusOf(id) ?? (await this.recall(id));
+    const answer = this.parts.jobTable.statusOf(id) ?? (await this.recall(id));
     this.requireReady();
     return answer && this.requireReportable(id, answer);
   }
@@ -168,7 +172,7 @@
   /** Unfinished jobs after an id, in the order of ids; without those whose end may be stored by now. */
   list(under: string, after: string, most: number): ListedJob[] {
     this.requireReady();
-    return [...this.jobTable.jobs.values()]
+    return [...this.parts.jobTable.jobs.values()]
       .filter(({ spec: { id }, endWriteSent: ending }) => !ending && id > after && id.startsWith(under))
       .sort((a, b) => (a.spec.id < b.spec.id ? -1 : 1))
       .slice(0, most)
@@ -186,27 +190,30 @@
    * by now, so that another node has told it. What the state service has is told instead.
    */
   private requireReportable(id: string, answer: StatusAnswer): StatusAnswer {
-    const job = this.jobTable.jobs.get(id);
+    const job = this.parts.jobTable.jobs.get(id);
     if (job?.endWriteSent) throw new UnavailableError('whether the job is over is not known now');
-    if (job && !this.dependencies.mayReportStatus(job))
+    if (job && !this.parts.dependencies.mayReportStatus(job))
       throw new UnavailableError('what the job waits for is not known now');
     return answer;
   }
 
   async cancel(id: string): Promise<'done' | 'cancelled' | null> {
     this.requireReady();
-    if (!this.jobTable.statusOf(id)) await this.recall(id);
-    const job = this.jobTable.jobs.get(id);
+    if (!this.parts.jobTable.statusOf(id)) await this.recall(id);
+    const job = this.parts.jobTable.jobs.get(id);
     if (job) {
-      this.taskProgress.requestCancellation(job);
-      await this.jobTable.exclusive(id, async () => {
+      this.parts.taskProgress.requestCancellation(job);
+      await this.parts.jobTable.exclusive(id, async () => {
         if (job.state !== 'active') return;
         this.requireReady();
-        this.taskProgress.endJob(job, await this.stopOnOwnershipLoss(this.records.finish(job, 'cancelled')));
+        this.parts.taskProgress.endJob(
+          job,
+          await this.stopOnOwnershipLoss(this.parts.records.finish(job, 'cancelled')),
+        );
       });
       return job.state === 'active' ? null : job.state;
     }
-    return this.jobTable.endedStatus(id);
+    return this.parts.jobTable.endedStatus(id);
   }
 
   /**
@@ -215,20 +222,20 @@
    * tells the user, who need not come back, and here the job would never end.
    */
   storePendingCancellations(): void {
-    for (const job of this.jobTable.jobs.values()) {
+    for (const job of this.parts.jobTable.jobs.values()) {
       if (!(job.cancelledByDependency || job.cancelRequested) || this.cancellationsInFlight.has(job))
         continue;
       if (this.cancellationsInFlight.size >= MAX_CONCURRENT_CANCELLATIONS) return;
       this.cancellationsInFlight.add(job);
-      void this.jobTable
+      void this.parts.jobTable
         .exclusive(job.spec.id, async () => {
-          if (job.state !== 'active' || !this.hooks.mayAct()) return;
-          this.taskProgress.endJob(
+          if (job.state !== 'active' || !this.parts.hooks.mayAct()) return;
+          this.parts.taskProgress.endJob(
             job,
-            await this.stopOnOwnershipLoss(this.records.finish(job, 'cancelled')),
+            await this.stopOnOwnershipLoss(this.parts.records.finish(job, 'cancelled')),
           );
         })
-        .catch((error) => this.log.debug({ job: job.spec.id, err: error }, 'not cancelled yet'))
+        .catch((error) => this.parts.log.debug({ job: job.spec.id, err: error }, 'not cancelled yet'))
         .finally(() => {
           this.cancellationsInFlight.delete(job);
           if (job.state !== 'active') this.storePendingCancellations();
--- a/src/scheduler/planner.ts
+++ b/src/scheduler/planner.ts
@@ -46,6 +46,20 @@
   priority: number;
 }
 
+/** What `Planner` is made of. */
+export interface PlannerParts {
+  readonly context: ControllerContext;
+  readonly jobTable: JobTable;
+  readonly registry: MachineRegistry;
+  readonly estimates: RuntimeEstimates;
+  readonly planInput: PlanInput;
+  readonly dependencies: DependencyTracker;
+  readonly autoscaler: Autoscaler;
+  readonly dispatcher: TaskDispatcher;
+  readonly preemption: Preemption;
+  readonly resourceDemand: ResourceDemandTracker;
+}
+
 /** The plan of one shard: what is weighed against it, booked in it and started by it. */
 export class Planner {
   private readonly slos: ServiceLevelObjectives;
@@ -62,18 +76,8 @@
   private readonly expectedEnds = new Map<number, number>();
   private expectedEndsPlan: Planner['lastPlan'] = null;
 
-  constructor(
-    private readonly context: ControllerContext,
-    private readonly jobTable: JobTable,
-    private readonly registry: MachineRegistry,
-    private readonly estimates: RuntimeEstimates,
-    private readonly planInput: PlanInput,
-    private readonly dependencies: DependencyTracker,
-    private readonly autoscaler: Autoscaler,
-    private readonly dispatcher: TaskDispatcher,
-    private readonly preemption: Preemption,
-    private readonly resourceDemand: ResourceDemandTracker,
-  ) {
+  constructor(private readonly parts: PlannerParts) {
+    const { context, jobTable, estimates } = parts;
     this.slos = new ServiceLevelObjectives(context.settings.objectives);
     this.priorityAging = new PriorityAging(context, jobTable.jobs, this.slos, estimates);
   }
@@ -102,8 +106,8 @@
         this.expectedEnds.set(b.job.id, Math.max(this.expectedEnds.get(b.job.id) ?? 0, b.end * 1000));
     }
     let end = this.expectedEnds.get(job.order) ?? 0;
-    for (const h of job.placements.values()) end = Math.max(end, this.estimates.expectedEnd(h, now));
-    return end > now ? end : now + this.estimates.runS(job.spec) * 1000;
+    for (const h of job.placements.values()) end = Math.max(end, this.parts.estimates.expectedEnd(h, now));
+    return end > now ? end : now + this.parts.estimates.runS(job.spec) * 1000;
   }
 
   /**
@@ -114,12 +118,14 @@
    */
   private inSchedulingOrder(): QueueEntry[] {
     // What waits for other jobs, or for a kind of machine that there is none of, takes no part in limits and guarantees.
-    const jobs = [...this.jobTable.jobs.values()]
+    const jobs = [...this.parts.jobTable.jobs.values()]
       .filter((j) => j.pendingDependencies.size === 0 && this.somewhere(j))
       .sort((a, b) => a.order - b.order);
-    const { teams } = this.context.settings;
+    const { teams } = this.parts.context.settings;
     this.guaranteed = withinGuarantee(jobs, teams).whole;
-    const aims = this.slos.ranks(jobs, this.context.clock.wall(), (spec) => this.estimates.runS(spec));
+    const aims = this.slos.ranks(jobs, this.parts.context.clock.wall(), (spec) =>
+      this.parts.estimates.runS(spec),
+    );
     const byAims = (a: Job, b: Job) => aims.get(a)! - aims.get(b)!;
     // What a team is guaranteed goes to those of its jobs that can still use it.
     const { partly } = withinGuarantee([...jobs].sort(byAims), teams);
@@ -129,7 +135,7 @@
     const cpus = Math.max(1, this.cpus(inUse));
     const turnAt = ({ job, part, priority }: QueueEntry): number => {
       const left = part === 'first' ? 1 : job.spec.tasks - job.done.count;
-      const runS = this.estimates.runS(job.spec);
+      const runS = this.parts.estimates.runS(job.spec);
       // What was accepted for a deadline stays before what is accepted later.
       const bounded = job.spec.deadlineS === null ? MAX_DEFERRAL_S : 0;
       const putOffS =
@@ -152,7 +158,7 @@
 
   /** What a turn has to be booked; null when that is nothing. */
   private planJobFor({ job, part }: QueueEntry, now: number): PlanJob | null {
-    const p = this.planInput.planJob(job, now);
+    const p = this.parts.planInput.planJob(job, now);
     if (!p || part === 'all') return p;
     const tasks = part === 'first' ? p.tasks.slice(0, 1) : p.tasks.slice(job.placements.size > 0 ? 0 : 1);
     return tasks.length > 0 ? { ...p, tasks } : null;
@@ -161,12 +167,12 @@
   /** Whether any kind of machine there is may take a job; only match expressions can ask for what there is not. */
   private somewhere(job: Job): boolean {
     if (!job.match) return true;
-    const { version } = this.context.catalog;
+    const { version } = this.parts.context.catalog;
     const known = this.placeableCache.get(job);
     if (known?.version === version) return known.isPlaceable;
-    const { zones } = this.context.names;
+    const { zones } = this.parts.context.names;
     let somewhere = false;
-    for (const { type, zone, spot } of this.context.catalog.kinds())
+    for (const { type, zone, spot } of this.parts.context.catalog.kinds())
       somewhere ||= kindAllowed(job, type, zones.index(zone), spot);
     this.placeableCache.set(job, { version, isPlaceable: somewhere });
     return somewhere;
@@ -176,16 +182,16 @@
   private slotsFor(need: Amounts, inUse: ReadonlyMap<number, number>): number {
     let places = 0;
     for (const [type, count] of inUse) {
-      places += count * fitCount(this.context.catalog.size(type), need, MAX_TASKS_PER_MACHINE);
+      places += count * fitCount(this.parts.context.catalog.size(type), need, MAX_TASKS_PER_MACHINE);
     }
     return Math.max(1, places);
   }
 
   /** How many machines of each type are in use. */
   private machinesInUse(): Map<number, number> {
-    const now = this.context.clock.now();
+    const now = this.parts.context.clock.now();
     const counts = new Map<number, number>();
-    for (const m of this.registry.machines.values()) {
+    for (const m of this.parts.registry.machines.values()) {
       if (m.decommissioning || m.leaseExpired || m.quarantinedUntil > now) continue;
       counts.set(m.type, (counts.get(m.type) ?? 0) + 1);
     }
@@ -194,7 +200,7 @@
 
   private cpus(inUse: ReadonlyMap<number, number>): number {
     let cpus = 0;
-    for (const [type, count] of inUse) cpus += count * this.context.catalog.size(type).cpus;
+    for (const [type, count] of inUse) cpus += count * this.parts.context.catalog.size(type).cpus;
     return cpus;
   }
 
@@ -203,15 +209,15 @@
    * refuse. What is booked stays, except that work of lower priority that has not started comes after.
    */
   admit(job: Job, needs: ReadonlySet<string>): number | null {
-    const now = this.context.clock.now();
+    const now = this.parts.context.clock.now();
     if (job.spec.kind === 'service') return 1e7;
     const plan = this.admissionPlan(job.priority, now);
     const mark = plan.reservations.length;
     // A job that waits begins no earlier than what it waits for is planned to end.
-    const p = this.planInput.planJob(
+    const p = this.parts.planInput.planJob(
       job,
       now,
-      needs.size > 0 ? this.dependencies.releaseAt(needs, now) : null,
+      needs.size > 0 ? this.parts.dependencies.releaseAt(needs, now) : null,
     )!;
     let dueS = job.spec.deadlineS;
     if (dueS !== null) {
@@ -223,9 +229,9 @@
     } else {
       const earliest = plan.earliestFinish(p);
       dueS = defaultDueS(
-        this.context,
+        this.parts.context,
         earliest === null ? null : earliest - now / 1000,
-        this.estimates.runS(job.spec),
+        this.parts.estimates.runS(job.spec),
       );
       plan.reserve({ ...p, deadline: now / 1000 + dueS });
     }
@@ -240,43 +246,43 @@
   private admissionPlan(priority: number, now: number): Plan {
     const known = this.admissions.get(priority);
     if (known && now - known.at < ADMISSION_PLAN_VALID_MS) return known.plan;
-    const { machines, refs } = this.planInput.machines(now);
-    const places = this.planInput.previousPlacements(this.lastPlan, refs);
-    for (const o of this.autoscaler.options(now)) {
+    const { machines, refs } = this.parts.planInput.machines(now);
+    const places = this.parts.planInput.previousPlacements(this.lastPlan, refs);
+    for (const o of this.parts.autoscaler.options(now)) {
       for (let i = 0; i < 2; i++)
-        machines.push(this.planInput.virtualMachine(o, (now + o.bootS * 1100) / 1000));
+        machines.push(this.parts.planInput.virtualMachine(o, (now + o.bootS * 1100) / 1000));
     }
-    const plan = this.planInput.plan(now, machines);
+    const plan = this.parts.planInput.plan(now, machines);
     for (const turn of this.inSchedulingOrder()) {
       if (turn.priority < priority) break;
       const p = turn.job.notBefore > now ? null : this.planJobFor(turn, now);
       if (p && plan.probes < MAX_PLAN_PROBES) reserveAsBefore(plan, p, places.get(p.id));
     }
-    for (const other of this.jobTable.jobs.values()) {
+    for (const other of this.parts.jobTable.jobs.values()) {
       if (other.pendingDependencies.size === 0 || other.cancelledByDependency || other.priority < priority)
         continue;
-      const p = this.planInput.planJob(
+      const p = this.parts.planInput.planJob(
         other,
         now,
-        this.dependencies.releaseAt(other.pendingDependencies, now),
+        this.parts.dependencies.releaseAt(other.pendingDependencies, now),
       );
       if (p && plan.probes < MAX_PLAN_PROBES) plan.reserve(p);
     }
     // A plan that took long to make serves longer.
-    const at = this.context.clock.now();
+    const at = this.parts.context.clock.now();
     const longer = this.pauseAfterMs(at - now);
     this.admissions.set(priority, { plan, at: at + longer });
     return plan;
   }
 
   schedule(now: number): void {
-    const { machines, refs } = this.planInput.machines(now);
-    const plan = this.planInput.plan(now, machines);
+    const { machines, refs } = this.parts.planInput.machines(now);
+    const plan = this.parts.planInput.plan(now, machines);
     const unplaced = new Set<Job>();
     const byOrder = new Map<number, Job>();
     // Now and then all is booked anew, so that work moves up into room that has come free; between, only the next jobs.
     const anew = now >= this.replanAllAt;
-    const places = anew ? null : this.planInput.previousPlacements(this.lastPlan, refs);
+    const places = anew ? null : this.parts.planInput.previousPlacements(this.lastPlan, refs);
     for (const turn of this.inSchedulingOrder()) {
       const { job } = turn;
       if (job.notBefore > now) continue;
@@ -291,7 +297,7 @@
       if (!booked) unplaced.add(job);
     }
     plan.startEarly();
-    const after = this.context.clock.now();
+    const after = this.parts.context.clock.now();
     if (anew)
       this.replanAllAt = after + Math.max(REPLAN_ALL_INTERVAL_MS, (after - now) * REPLAN_ALL_COST_FACTOR);
     this.lastPlan = { plan, refs };
@@ -300,15 +306,15 @@
       const m = refs[b.machine];
       if (m) this.reservedMachines.add(m.id);
     }
-    this.dispatcher.dispatch(plan, refs, byOrder, now);
+    this.parts.dispatcher.dispatch(plan, refs, byOrder, now);
     const waiting = new Set(unplaced);
     for (const b of plan.reservations) {
       const job = byOrder.get(b.job.id);
       if (job && b.start > now / 1000 + PREEMPT_WAIT_S) waiting.add(job);
     }
     for (const job of waiting) if (job.quarantined || job.aged) waiting.delete(job);
-    this.preemption.preemptFor(waiting, now);
-    this.resourceDemand.assess(plan, unplaced, byOrder, now);
+    this.parts.preemption.preemptFor(waiting, now);
+    this.parts.resourceDemand.assess(plan, unplaced, byOrder, now);
   }
 
   /** How long after a plan that took so long no other is made. */
@@ -318,7 +324,7 @@
 
   /** How many times as long as a plan took the pause after it is. */
   private get pauseFactor(): number {
-    return 1 / (MAX_PLANNING_CPU_SHARE * Math.min(1, this.context.settings.limits.cores)) - 1;
+    return 1 / (MAX_PLANNING_CPU_SHARE * Math.min(1, this.parts.context.settings.limits.cores)) - 1;
   }
 }
 
--- a/src/scheduler/resourcedemand.ts
+++ b/src/scheduler/resourcedemand.ts
@@ -15,15 +15,31 @@
 /** A shortage goes to the leader first; renting begins when nobody had a machine to give. */
 const RENT_AFTER_MS = 900;
 /** So many empty machines of a kind are told at once: no more can be moved before they are told again. */
-const SPARES_TOLD = 24;
+const MAX_IDLE_MACHINES_PER_KIND = 24;
 
-export interface DemandHooks {
+/** What the tracker of demand asks of its shard. */
+export interface ResourceDemandHooks {
+  /** What the tasks of each team take now, by the index of the team. */
   teamUsage(): Map<number, Amounts>;
   /** Whether a task of a job that is not known to be anywhere is surely nowhere. */
-  nowhereElse(job: Job): boolean;
+  surelyNotRunning(job: Job): boolean;
   /** Whether a job is within what its team is guaranteed. */
-  guaranteed(job: Job): boolean;
-  spare(m: Machine): boolean;
+  isGuaranteed(job: Job): boolean;
+  /** Whether a machine holds nothing and nothing is planned on it. */
+  isIdle(m: Machine): boolean;
+}
+
+/** What `ResourceDemandTracker` is made of. */
+export interface ResourceDemandParts {
+  readonly context: ControllerContext;
+  /** The shard's index among the shards of the cluster. */
+  readonly index: number;
+  readonly registry: MachineRegistry;
+  readonly jobs: ReadonlyMap<string, Job>;
+  readonly estimates: RuntimeEstimates;
+  readonly autoscaler: Autoscaler;
+  readonly preemption: Preemption;
+  readonly hooks: ResourceDemandHooks;
 }
 
 /** What a shard lacks, has to spare, and tells the leader of both. */
@@ -31,16 +47,7 @@
   private readonly shortSince = new Map<string, number>();
   private needs: ShardStatus['needs'] = [];
 
-  constructor(
-    private readonly context: ControllerContext,
-    private readonly index: number,
-    private readonly registry: MachineRegistry,
-    private readonly jobs: ReadonlyMap<string, Job>,
-    private readonly estimates: RuntimeEstimates,
-    private readonly supply: Autoscaler,
-    private readonly preemption: Preemption,
-    private readonly hooks: DemandHooks,
-  ) {}
+  constructor(private readonly parts: ResourceDemandParts) {}
 
   forget(job: string): void {
     this.shortSince.delete(job);
@@ -86,7 +93,7 @@
       slot(job).late += n;
       slot(job).waitS = 600;
     }
-    if (this.supply.mayRent(now)) {
+    if (this.parts.autoscaler.mayRent(now)) {
       const groups = [...waiting].filter(([, w]) => w.lateOnes.length > 0);
       const short = plan.countLateTasks(
         groups.map(([, w]) => ({ job: w.lateOnes[0]!.job, bookings: w.lateOnes, by: t + w.bootS * 1.1 + 2 })),
@@ -95,11 +102,11 @@
         w.late -= w.lateOnes.length - short[i]!;
       });
     }
-    const usage = this.hooks.teamUsage();
+    const usage = this.parts.hooks.teamUsage();
     const needs: ShardStatus['needs'] = [];
     const short: Shortage[] = [];
     for (const id of [...this.shortSince.keys()]) {
-      const job = this.jobs.get(id);
+      const job = this.parts.jobs.get(id);
       if (!job || !waiting.has(job)) this.shortSince.delete(id);
     }
     for (const job of waiting.keys()) if (job.quarantined) waiting.delete(job);
@@ -118,22 +125,22 @@
       // Tasks that wait for their team's limit start no sooner on more machines: what starts in time takes of it first.
       const late = Math.min(w.late, cap - (w.soon - w.late));
       // What an earlier owner may have started, and may well still run, needs no machine before that is known.
-      if (!this.hooks.nowhereElse(job)) continue;
+      if (!this.parts.hooks.surelyNotRunning(job)) continue;
       if (late <= 0 || now - since < RENT_AFTER_MS) continue;
       const { types, match, need } = job;
       for (const [zone, count] of this.byZone(job, late))
         short.push({ types, zone, spot: job.spec.spot, match, need, count });
     }
     this.needs = needs;
-    this.supply.order(short, now);
+    this.parts.autoscaler.order(short, now);
   }
 
   /** How long the machines of this shard that can take the urgent work that waits would take for it. */
   private urgentS(): number {
-    const now = this.context.clock.now();
+    const now = this.parts.context.clock.now();
     const slots = new Map<string, number>();
     let seconds = 0;
-    for (const job of this.jobs.values()) {
+    for (const job of this.parts.jobs.values()) {
       if (remainingTasksPriority(job) < PRIORITY.high || job.spec.kind === 'service' || job.notBefore > now)
         continue;
       if (job.pendingDependencies.size > 0) continue;
@@ -144,7 +151,7 @@
       const key = `${cpus} ${gpus} ${memoryGb} ${job.spec.types ?? ''} ${job.spec.zone} ${job.spec.spot} ${job.spec.match?.requirements ?? ''}`;
       const fit = slots.get(key) ?? this.slotsFor(job, now);
       slots.set(key, fit);
-      seconds += (open * this.estimates.runS(job.spec)) / Math.max(1, fit);
+      seconds += (open * this.parts.estimates.runS(job.spec)) / Math.max(1, fit);
     }
     return Math.min(1e6, seconds);
   }
@@ -152,7 +159,7 @@
   /** How many tasks of a job the shard's machines take at once. */
   private slotsFor(job: Job, now: number): number {
     let slots = 0;
-    for (const m of this.registry.machines.values()) {
+    for (const m of this.parts.registry.machines.values()) {
       if (
         m.decommissioning ||
         m.leaseExpired ||
@@ -160,7 +167,7 @@
         !kindAllowed(job, m.type, m.zone, m.spot)
       )
         continue;
-      slots += fitCount(this.context.catalog.size(m.type), job.need, 1000);
+      slots += fitCount(this.parts.context.catalog.size(m.type), job.need, 1000);
     }
     return slots;
   }
@@ -184,7 +191,7 @@
 
   /** The zones in which there are machines for a job, the shard's own first. */
   private zonesOf(job: Job): number[] {
-    const { names, settings, catalog } = this.context;
+    const { names, settings, catalog } = this.parts.context;
     const zones = new Set<string>();
     for (const [type, t] of catalog.all())
       if ((!job.types || job.types.has(type)) && fitCount(t, job.need, 1) > 0)
@@ -198,14 +205,14 @@
   private need(job: Job, count: number, waitS: number, zone: number | null): ShardStatus['needs'][number] {
     return {
       types: job.spec.types,
-      zone: zone === null ? null : this.context.names.zones.name(zone),
+      zone: zone === null ? null : this.parts.context.names.zones.name(zone),
       spot: job.spec.spot,
       cpus: job.need.cpus,
       gpus: job.need.gpus,
       memoryGb: job.need.memoryGb,
       count,
       priority: remainingTasksPriority(job),
-      guaranteed: this.hooks.guaranteed(job),
+      guaranteed: this.parts.hooks.isGuaranteed(job),
       deadline: job.dueWall,
       waitS,
       ...(job.match && { kinds: this.kindsOf(job) }),
@@ -214,25 +221,25 @@
 
   /** The kinds of machine that may take a job which asks more than its type and zone. */
   private kindsOf(job: Job): string[] {
-    const { zones } = this.context.names;
+    const { zones } = this.parts.context.names;
     const kinds: string[] = [];
-    for (const { type, of, zone, spot } of this.context.catalog.kinds())
+    for (const { type, of, zone, spot } of this.parts.context.catalog.kinds())
       if (kindAllowed(job, type, zones.index(zone), spot)) kinds.push(machineKindName(of.name, zone, spot));
     return kinds;
   }
 
   private shortestBoot(job: Job): number {
     let best = 1e9;
-    for (const [type, t] of this.context.catalog.all()) {
+    for (const [type, t] of this.parts.context.catalog.all()) {
       if (job.types && !job.types.has(type)) continue;
-      if (fitCount(this.context.catalog.size(type), job.need, 1) > 0) best = Math.min(best, t.bootS);
+      if (fitCount(this.parts.context.catalog.size(type), job.need, 1) > 0) best = Math.min(best, t.bootS);
     }
     return best;
   }
 
   /** How many more tasks of a job its team may run at once. */
   private underCap(job: Job, usage: Map<number, Amounts>): number {
-    const team = this.context.settings.teams[job.team];
+    const team = this.parts.context.settings.teams[job.team];
     const use = usage.get(job.team);
     if (!team || !use) return 100_000;
     return fitCount(
@@ -246,20 +253,20 @@
     );
   }
 
-  gossip(node: string): ShardStatus {
-    const n = this.context.names;
+  shardStatus(node: string): ShardStatus {
+    const n = this.parts.context.names;
     const spares = [];
     const kinds = new Map<string, number>();
-    for (const m of this.registry.machines.values()) {
+    for (const m of this.parts.registry.machines.values()) {
       if (
-        !this.hooks.spare(m) ||
-        this.supply.moving.has(m.id) ||
-        m.quarantinedUntil > this.context.clock.now()
+        !this.parts.hooks.isIdle(m) ||
+        this.parts.autoscaler.moving.has(m.id) ||
+        m.quarantinedUntil > this.parts.context.clock.now()
       )
         continue;
       const kind = kindKey(m.type, m.zone, m.spot);
       kinds.set(kind, (kinds.get(kind) ?? 0) + 1);
-      if (kinds.get(kind)! > SPARES_TOLD) continue;
+      if (kinds.get(kind)! > MAX_IDLE_MACHINES_PER_KIND) continue;
       spares.push({
         id: m.id,
         type: n.types.name(m.type),
@@ -269,15 +276,15 @@
       });
     }
     const soft = [];
-    for (const m of this.registry.machines.values()) {
+    for (const m of this.parts.registry.machines.values()) {
       if (
-        this.preemption.reservedForTransfer.has(m.id) ||
-        this.supply.moving.has(m.id) ||
-        !this.preemption.isPreemptibleFor(m, PRIORITY.production + 1)
+        this.parts.preemption.reservedForTransfer.has(m.id) ||
+        this.parts.autoscaler.moving.has(m.id) ||
+        !this.parts.preemption.isPreemptibleFor(m, PRIORITY.production + 1)
       )
         continue;
       let top = 0;
-      for (const h of m.attempts.values()) top = Math.max(top, this.jobs.get(h.job)?.priority ?? 0);
+      for (const h of m.attempts.values()) top = Math.max(top, this.parts.jobs.get(h.job)?.priority ?? 0);
       soft.push({
         id: m.id,
         type: n.types.name(m.type),
@@ -288,11 +295,11 @@
       });
     }
     return {
-      shard: this.index,
+      shard: this.parts.index,
       node,
-      zone: this.context.settings.zone,
+      zone: this.parts.context.settings.zone,
       urgentS: this.urgentS(),
-      machines: this.registry.machines.size,
+      machines: this.parts.registry.machines.size,
       spares,
       soft: soft.slice(0, 30),
       needs: this.needs.slice(0, 20),
--- /dev/null
+++ b/src/scheduler/shardcomponents.ts
@@ -0,0 +1,347 @@
+import { Autoscaler } from '../autoscaler/autoscaler.js';
+import type { Log } from '../config/log.js';
+import type { ControllerContext } from '../context/context.js';
+import { JobRecords } from '../jobs/records.js';
+import type { TakeoverState } from '../standby/standbyreplicas.js';
+import type { StandbyReplicator } from '../standby/standbyreplicator.js';
+import type { Machine } from '../workers/machine.js';
+import { MachineRegistry } from '../workers/machineregistry.js';
+import { DependencyTracker } from './dependencytracker.js';
+import { FailureTracker } from './failuretracker.js';
+import { JobRequests } from './jobrequests.js';
+import { JobTable } from './jobtable.js';
+import { isEmpty, MachineRecords } from './machinerecords.js';
+import { PlanInput } from './planinput.js';
+import { Planner } from './planner.js';
+import { Preemption } from './preemption.js';
+import { ShardReplicationSource } from './replicationsource.js';
+import { ResourceDemandTracker } from './resourcedemand.js';
+import type { PeerShards } from './responses.js';
+import { RuntimeEstimates } from './runtimeestimates.js';
+import { ShardStatusLog } from './shardstatuslog.js';
+import { SpotDraining } from './spotdraining.js';
+import { TaskDispatcher } from './taskdispatcher.js';
+import { TaskProgress } from './taskprogress.js';
+import { UnreconciledMachines } from './unreconciledmachines.js';
+import { WarmStart } from './warmstart.js';
+
+/** How often a shard looks at what time alone decides, in milliseconds. */
+export const TICK_INTERVAL_MS = 1000;
+
+/** What a node owns a shard with. */
+export interface ShardOptions {
+  readonly context: ControllerContext;
+  /** The shard's index among the shards of the cluster. */
+  readonly index: number;
+  /** The revision of the owner's key: fences off all that former owners do. */
+  readonly term: number;
+  /** Whether the lease under which the shard was claimed surely lasts, by the clock just now. */
+  readonly leaseCovers: () => boolean;
+  /** Called when a write has shown that the shard is another node's. */
+  readonly onOwnershipLost: () => void;
+  readonly peers: PeerShards;
+  /** The owner's side of its standby; null without one. */
+  readonly replicator: StandbyReplicator | null;
+  /** What came from the former owner through the standby that this node was; null without it. */
+  readonly takeover: TakeoverState | null;
+}
+
+/** What the parts of a shard ask of its lifecycle. */
+export interface ShardLifecycle {
+  /** Whether the shard is no longer this node's. */
+  isStopped(): boolean;
+  /** Whether jobs and machines have been read from the state service. */
+  isLoaded(): boolean;
+  /** Whether the shard is loaded and its owner may act. */
+  isReady(): boolean;
+  /** Whether this node surely owns the shard, by the clock just now. */
+  mayAct(): boolean;
+  /** Plans again soon. */
+  requestPlan(): void;
+  /** Stops the shard, which is another node's by now; returns the error to be thrown. */
+  lostOwnership(): Error;
+}
+
+/**
+ * The parts of a shard, joined. Several of them depend on each other in both directions (the registry reports tasks to the
+ * task progress, which has the registry stop tasks), so they call each other through hooks, which are looked up when they are
+ * called: nothing may call one before all parts are made.
+ */
+export class ShardComponents {
+  readonly jobTable: JobTable;
+  readonly records: JobRecords;
+  readonly registry: MachineRegistry;
+  readonly unreconciled: UnreconciledMachines;
+  readonly estimates: RuntimeEstimates;
+  readonly dependencies: DependencyTracker;
+  readonly failures: FailureTracker;
+  readonly taskProgress: TaskProgress;
+  readonly dispatcher: TaskDispatcher;
+  readonly preemption: Preemption;
+  readonly autoscaler: Autoscaler;
+  readonly machineRecords: MachineRecords;
+  readonly planInput: PlanInput;
+  readonly resourceDemand: ResourceDemandTracker;
+  readonly planner: Planner;
+  readonly jobRequests: JobRequests;
+  readonly spotDraining: SpotDraining;
+  readonly warmStart: WarmStart;
+  /** What the standby is sent; null without one. */
+  readonly replicationSource: ShardReplicationSource | null;
+  readonly statusLog: ShardStatusLog;
+
+  constructor(
+    private readonly options: ShardOptions,
+    private readonly lifecycle: ShardLifecycle,
+    private readonly log: Log,
+    /** When the shard was claimed, in steady milliseconds. */
+    claimedAt: number,
+  ) {
+    const { context, index, term, takeover } = options;
+    this.jobTable = new JobTable(context, index, term);
+    const { jobs } = this.jobTable;
+    this.records = this.createRecords();
+    this.registry = this.createRegistry();
+    const snapshot = takeover?.snapshot ?? null;
+    this.unreconciled = new UnreconciledMachines(context, this.registry, snapshot, log, claimedAt);
+    this.estimates = new RuntimeEstimates(context, jobs);
+    this.dependencies = this.createDependencies();
+    this.failures = new FailureTracker(jobs, this.registry.machines, log, (job) =>
+      this.replicationSource?.onQuarantineChanged(job),
+    );
+    this.taskProgress = this.createTaskProgress();
+    this.dispatcher = this.createDispatcher();
+    this.preemption = this.createPreemption();
+    this.autoscaler = this.createAutoscaler();
+    this.machineRecords = this.createMachineRecords();
+    this.planInput = this.createPlanInput();
+    this.resourceDemand = this.createResourceDemand();
+    this.planner = this.createPlanner();
+    this.jobRequests = this.createJobRequests();
+    this.spotDraining = new SpotDraining(this.registry, jobs, this.estimates, TICK_INTERVAL_MS);
+    this.warmStart = new WarmStart(context, snapshot);
+    this.replicationSource = this.createReplicationSource();
+    this.statusLog = new ShardStatusLog(jobs, this.registry.machines, log);
+  }
+
+  /** Whether a machine holds nothing, and nothing is planned on it or reserved for another shard. */
+  isIdle(m: Machine): boolean {
+    return isEmpty(m) && !this.planner.hasReservation(m.id) && !this.preemption.reservedForTransfer.has(m.id);
+  }
+
+  /** Whether a machine is on its way to another shard or back to the cloud. */
+  private isReservedForTransfer(machine: string): boolean {
+    return this.autoscaler.moving.has(machine) || this.preemption.reservedForTransfer.has(machine);
+  }
+
+  private createRecords(): JobRecords {
+    const { context, index, term, peers, replicator } = this.options;
+    const { stateLimits, layoutKb } = context.settings;
+    return new JobRecords(
+      context.store,
+      index,
+      term,
+      { ...stateLimits, layoutKb },
+      () => peers.allSupportLatest(),
+      () => replicator?.recordsChanged(),
+    );
+  }
+
+  private createRegistry(): MachineRegistry {
+    const { context, replicator } = this.options;
+    return new MachineRegistry(context.clock, context.http, context.settings.workers, this.log, {
+      holdsShard: () => this.lifecycle.mayAct(),
+      renewFencingToken: (m) => this.autoscaler.writeRecord(m),
+      onAttemptFound: (h) => this.taskProgress.onAttemptFound(h),
+      onAttemptChanged: (h) => this.taskProgress.onAttemptChanged(h),
+      onAttemptGone: (h, why) => this.taskProgress.onAttemptGone(h, why),
+      onIncarnation: (m) => this.replicationSource?.onMachineChanged(m),
+      announceStarts: (attempts) =>
+        replicator?.announce(attempts.map((h) => ({ job: h.job, machine: h.machine.id }))) ?? null,
+      requestPlan: () => this.lifecycle.requestPlan(),
+    });
+  }
+
+  private createDependencies(): DependencyTracker {
+    const { context, index, peers } = this.options;
+    return new DependencyTracker(context, index, this.jobTable.jobs, this.log, {
+      endedStatus: (id) => this.jobTable.endedStatus(id),
+      locate: (id) => peers.locate(id),
+      jobStatusFromStore: (id) => peers.jobStatusFromStore(id),
+      recall: (id) => this.jobRequests.recall(id),
+      requestStatus: (shard, claims) => peers.requestDependencyStatus(shard, index, claims),
+      notifyEnded: (shard, id, status) => peers.notifyDependencyEnded(shard, id, status),
+      onReleased: () => this.lifecycle.requestPlan(),
+      onCancelledByDependency: () => this.jobRequests.storePendingCancellations(),
+      expectedEnd: (job, now) => this.planner.expectedEnd(job, now),
+      runS: (spec) => this.estimates.runS(spec),
+    });
+  }
+
+  private createTaskProgress(): TaskProgress {
+    const { jobTable, registry, records, estimates, failures, log } = this;
+    const { context } = this.options;
+    return new TaskProgress({
+      context,
+      registry,
+      jobTable,
+      records,
+      estimates,
+      failures,
+      log,
+      hooks: {
+        stopped: () => this.lifecycle.isStopped(),
+        requestPlan: () => this.lifecycle.requestPlan(),
+        lostOwnership: () => this.lifecycle.lostOwnership(),
+        onAttemptLeft: (job, h) => this.replicationSource?.onAttemptLeft(job, h),
+        onRunning: (h) => this.replicationSource?.onRunning(h),
+        onImageCached: (m) => this.replicationSource?.onMachineChanged(m),
+        onRuntimeLearnt: (job) => this.replicationSource?.onRuntimeLearnt(job.spec.class),
+        runningSince: (h) => this.warmStart.runningSince(h),
+        onJobEnded: (job, status) => {
+          this.replicationSource?.onJobEnded(job);
+          this.resourceDemand.forget(job.spec.id);
+          this.dependencies.onJobEnded(job.spec.id, status, job);
+          this.lifecycle.requestPlan();
+        },
+      },
+    });
+  }
+
+  private createDispatcher(): TaskDispatcher {
+    const { context, term } = this.options;
+    return new TaskDispatcher(context, term, this.registry, this.jobTable.jobs, this.log, {
+      usageOf: (h) => this.jobTable.usageOf(h),
+      unreconciledCapacity: () => this.unreconciled.capacity(),
+      surelyNotRunning: (job) => this.unreconciled.surelyNotRunning(job),
+      isReservedForTransfer: (id) => this.isReservedForTransfer(id),
+      lostOwnership: () => this.lifecycle.lostOwnership(),
+    });
+  }
+
+  private createPreemption(): Preemption {
+    return new Preemption(this.options.context, this.registry, this.jobTable.jobs, this.log, {
+      ready: () => this.lifecycle.isReady(),
+      surelyNotRunning: (job) => this.unreconciled.surelyNotRunning(job),
+      teamUsage: () => this.dispatcher.teamUsage(),
+      freeCapacity: (m) => this.dispatcher.freeCapacity(m, new Map()),
+      isMoving: (id) => this.autoscaler.moving.has(id),
+      transferMachine: (id, to) => this.machineRecords.transferReserved(id, to),
+      requestPlan: () => this.lifecycle.requestPlan(),
+    });
+  }
+
+  private createAutoscaler(): Autoscaler {
+    const { context, index, term } = this.options;
+    return new Autoscaler(context, index, term, this.registry, this.log, {
+      stopped: () => this.lifecycle.isStopped(),
+      spare: (m) => this.isIdle(m),
+      recorded: (id, entry) => this.machineRecords.apply(id, entry),
+      lostOwnership: () => this.lifecycle.lostOwnership(),
+      uniqueName: (kind) => this.jobTable.uniqueName(kind),
+      needOf: (jobClass) => this.jobTable.taskSizeByClass.get(jobClass) ?? null,
+      sawNothing: () => this.jobTable.taskSizeByClass.size === 0,
+      requestPlan: () => this.lifecycle.requestPlan(),
+    });
+  }
+
+  private createMachineRecords(): MachineRecords {
+    const { context, index, term } = this.options;
+    const { registry, autoscaler, log } = this;
+    return new MachineRecords({
+      context,
+      index,
+      term,
+      registry,
+      autoscaler,
+      log,
+      hooks: {
+        isReady: () => this.lifecycle.isReady(),
+        isLoaded: () => this.lifecycle.isLoaded(),
+        isIdle: (m) => this.isIdle(m),
+        requestPlan: () => this.lifecycle.requestPlan(),
+      },
+    });
+  }
+
+  private createPlanInput(): PlanInput {
+    return new PlanInput(this.options.context, this.registry, this.estimates, {
+      usageOf: (h) => this.jobTable.usageOf(h),
+      isReservedForTransfer: (id) => this.isReservedForTransfer(id),
+      rentals: () => this.autoscaler.rentals,
+      unreconciledCapacity: () => this.unreconciled.capacity(),
+      blockedUntil: (job, now) => this.unreconciled.blockedUntil(job, now),
+    });
+  }
+
+  private createResourceDemand(): ResourceDemandTracker {
+    const { context, index } = this.options;
+    const { registry, estimates, autoscaler, preemption } = this;
+    return new ResourceDemandTracker({
+      context,
+      index,
+      registry,
+      jobs: this.jobTable.jobs,
+      estimates,
+      autoscaler,
+      preemption,
+      hooks: {
+        teamUsage: () => this.dispatcher.teamUsage(),
+        surelyNotRunning: (job) => this.unreconciled.surelyNotRunning(job),
+        isGuaranteed: (job) => this.planner.isGuaranteed(job),
+        isIdle: (m) => this.isIdle(m),
+      },
+    });
+  }
+
+  private createPlanner(): Planner {
+    const { jobTable, registry, estimates, planInput, dependencies } = this;
+    const { autoscaler, dispatcher, preemption, resourceDemand } = this;
+    return new Planner({
+      context: this.options.context,
+      jobTable,
+      registry,
+      estimates,
+      planInput,
+      dependencies,
+      autoscaler,
+      dispatcher,
+      preemption,
+      resourceDemand,
+    });
+  }
+
+  private createJobRequests(): JobRequests {
+    const { context, index } = this.options;
+    const { jobTable, records, planner, taskProgress, dependencies, log } = this;
+    return new JobRequests({
+      context,
+      index,
+      jobTable,
+      records,
+      planner,
+      taskProgress,
+      dependencies,
+      log,
+      hooks: {
+        ready: () => this.lifecycle.isReady(),
+        mayAct: () => this.lifecycle.mayAct(),
+        lostOwnership: () => this.lifecycle.lostOwnership(),
+        requestPlan: () => this.lifecycle.requestPlan(),
+      },
+    });
+  }
+
+  private createReplicationSource(): ShardReplicationSource | null {
+    const { context, replicator } = this.options;
+    if (!replicator) return null;
+    return new ShardReplicationSource(
+      context,
+      this.registry,
+      this.jobTable.jobs,
+      this.estimates,
+      replicator,
+      { placementsKnown: (job) => this.unreconciled.surelyNotRunning(job) },
+    );
+  }
+}
--- /dev/null
+++ b/src/scheduler/shardstatuslog.ts
@@ -0,0 +1,62 @@
+import type { Log } from '../config/log.js';
+import { type Job, unplacedCount } from '../jobs/job.js';
+import type { Machine } from '../workers/machine.js';
+
+const STATUS_LOG_INTERVAL_MS = 15_000;
+
+/** What one team has in the shard: unfinished jobs, tasks on machines, and tasks that wait for one. */
+interface TeamLoad {
+  jobs: number;
+  placed: number;
+  open: number;
+}
+
+/** How many machines the shard has, and of those how many boot, hold nothing, or may hold what is not known. */
+interface MachineLoad {
+  all: number;
+  booting: number;
+  empty: number;
+  unsure: number;
+}
+
+/** The regular log line on the load of a shard, for its operators. */
+export class ShardStatusLog {
+  private loggedAt = Number.NEGATIVE_INFINITY;
+
+  constructor(
+    private readonly jobs: ReadonlyMap<string, Job>,
+    private readonly machines: ReadonlyMap<string, Machine>,
+    private readonly log: Log,
+  ) {}
+
+  /** Logs the load of the shard if the last line is long enough ago; `now` in steady milliseconds. Returns whether it did. */
+  logIfDue(now: number): boolean {
+    if (now - this.loggedAt < STATUS_LOG_INTERVAL_MS) return false;
+    this.loggedAt = now;
+    this.log.info({ teams: this.loadByTeam(), machines: this.machineLoad() }, 'shard load');
+    return true;
+  }
+
+  private loadByTeam(): Record<string, TeamLoad> {
+    const teams: Record<string, TeamLoad> = {};
+    for (const job of this.jobs.values()) {
+      teams[job.spec.team] ??= { jobs: 0, placed: 0, open: 0 };
+      const team = teams[job.spec.team]!;
+      team.jobs++;
+      team.placed += job.placements.size;
+      team.open += unplacedCount(job);
+    }
+    return teams;
+  }
+
+  private machineLoad(): MachineLoad {
+    const load = { all: 0, booting: 0, empty: 0, unsure: 0 };
+    for (const m of this.machines.values()) {
+      load.all++;
+      if (m.lastHeartbeatAt === null) load.booting++;
+      else if (!m.reconciled || m.leaseExpired || m.mayHoldUnreportedTasks) load.unsure++;
+      else if (m.attempts.size === 0) load.empty++;
+    }
+    return load;
+  }
+}
--- a/src/scheduler/taskprogress.ts
+++ b/src/scheduler/taskprogress.ts
@@ -31,43 +31,46 @@
   onJobEnded(job: Job, status: 'done' | 'cancelled'): void;
 }
 
+/** What `TaskProgress` is made of. */
+export interface TaskProgressParts {
+  readonly context: ControllerContext;
+  readonly registry: MachineRegistry;
+  readonly jobTable: JobTable;
+  readonly records: JobRecords;
+  readonly estimates: RuntimeEstimates;
+  readonly failures: FailureTracker;
+  readonly log: Log;
+  readonly hooks: TaskProgressHooks;
+}
+
 /** What becomes of tasks on machines, as reported, and how that is made durable before machines may forget it. */
 export class TaskProgress {
-  constructor(
-    private readonly context: ControllerContext,
-    private readonly registry: MachineRegistry,
-    private readonly jobTable: JobTable,
-    private readonly records: JobRecords,
-    private readonly estimates: RuntimeEstimates,
-    private readonly failures: FailureTracker,
-    private readonly log: Log,
-    private readonly hooks: TaskProgressHooks,
-  ) {}
+  constructor(private readonly parts: TaskProgressParts) {}
 
   onAttemptFound(h: TaskAttempt): void {
-    const job = this.jobTable.jobs.get(h.job);
+    const job = this.parts.jobTable.jobs.get(h.job);
     if (!job) {
       // Over, cancelled, or never accepted: nobody wants it.
       if (h.state === 'exited') h.exitRecorded = true;
-      else this.registry.stopTask(h, 0);
+      else this.parts.registry.stopTask(h, 0);
       return;
     }
     const other = job.placements.get(h.index);
     if (h.state !== 'exited') {
       if (job.cancelRequested || job.done.has(h.index) || (other && other !== h))
-        this.registry.stopTask(h, 0);
+        this.parts.registry.stopTask(h, 0);
       if (!other) job.placements.set(h.index, h);
       else if (other !== h) job.duplicateAttempts.add(h);
       this.noteAttempt(job, h);
       this.noteImageOf(job, h);
       if (h.state === 'running') {
-        h.runningAt = this.hooks.runningSince(h) ?? h.runningAt;
+        h.runningAt = this.parts.hooks.runningSince(h) ?? h.runningAt;
         this.onRunning(job, h);
       }
     } else {
       this.onAttemptChanged(h);
     }
-    this.hooks.requestPlan();
+    this.parts.hooks.requestPlan();
   }
 
   private noteAttempt(job: Job, h: TaskAttempt): void {
@@ -76,14 +79,14 @@
 
   private noteImageOf(job: Job, h: TaskAttempt): void {
     if (h.state === 'fetching') return;
-    const cache = this.context.catalog.get(h.machine.type)?.cacheGb ?? 0;
+    const cache = this.parts.context.catalog.get(h.machine.type)?.cacheGb ?? 0;
     const known = h.machine.images.has(job.image);
     noteImage(h.machine, job.image, job.spec.imageGb, cache);
-    if (!known) this.hooks.onImageCached(h.machine);
+    if (!known) this.parts.hooks.onImageCached(h.machine);
   }
 
   onAttemptChanged(h: TaskAttempt): void {
-    const job = this.jobTable.jobs.get(h.job);
+    const job = this.parts.jobTable.jobs.get(h.job);
     if (!job) {
       if (h.state === 'exited') h.exitRecorded = true;
       return;
@@ -91,42 +94,42 @@
     this.noteImageOf(job, h);
     if (h.state === 'exited') this.onExited(job, h);
     else if (h.state === 'running') this.onRunning(job, h);
-    this.hooks.requestPlan();
+    this.parts.hooks.requestPlan();
   }
 
   private onRunning(job: Job, h: TaskAttempt): void {
-    this.hooks.onRunning(h);
+    this.parts.hooks.onRunning(h);
     if (job.hasStarted) return;
     job.hasStarted = true;
-    const waitS = Math.round((this.context.clock.wall() - job.acceptedWall) / 100) / 10;
-    this.log.info({ job: job.spec.id, class: job.spec.class, waitS }, 'job begun');
+    const waitS = Math.round((this.parts.context.clock.wall() - job.acceptedWall) / 100) / 10;
+    this.parts.log.info({ job: job.spec.id, class: job.spec.class, waitS }, 'job begun');
   }
 
   private onExited(job: Job, h: TaskAttempt): void {
     this.removePlacement(job, h);
     const m = h.machine;
-    const now = this.context.clock.now();
-    this.log.debug(
+    const now = this.parts.context.clock.now();
+    this.parts.log.debug(
       { task: `${h.job}/${h.index}`, attempt: h.attempt, machine: m.id, cause: h.cause },
       'task exited',
     );
     if (h.cause === 'done') {
-      this.failures.onTaskSucceeded(job, m);
+      this.parts.failures.onTaskSucceeded(job, m);
       if (h.runningAt !== null && h.exitedAt !== null) {
-        this.estimates.learn(job, (h.exitedAt - h.runningAt) / 1000);
-        this.hooks.onRuntimeLearnt(job);
+        this.parts.estimates.learn(job, (h.exitedAt - h.runningAt) / 1000);
+        this.parts.hooks.onRuntimeLearnt(job);
       }
       // The tasks of a gang complete together: if one is done, all are.
       job.unacknowledgedExits.push(h);
       const indexes = job.spec.kind === 'gang' ? [...Array(job.spec.tasks).keys()] : [h.index];
       for (const i of indexes) {
-        if (job.done.add(i)) job.dirtyChunks.add(this.records.chunkOf(job, i));
+        if (job.done.add(i)) job.dirtyChunks.add(this.parts.records.chunkOf(job, i));
       }
       void this.storeCompletions(job);
       return;
     }
     h.exitRecorded = true;
-    if (h.cause === 'error') this.failures.onTaskFailed(job, m, now);
+    if (h.cause === 'error') this.parts.failures.onTaskFailed(job, m, now);
     if (h.cause === 'no_room') m.quarantinedUntil = Math.max(m.quarantinedUntil, now + 4000);
     if (h.cause === 'busy' || h.cause === 'unknown') job.notBefore = Math.max(job.notBefore, now + 3000);
     this.stopRestOfGang(job);
@@ -135,19 +138,19 @@
   /** When a gang has lost a task, the rest of the attempt is of no use; the next waits until all are gone. */
   private stopRestOfGang(job: Job): void {
     if (job.spec.kind !== 'gang' || job.placements.size === 0) return;
-    for (const h of job.placements.values()) if (!h.stop) this.registry.stopTask(h, 0);
+    for (const h of job.placements.values()) if (!h.stop) this.parts.registry.stopTask(h, 0);
   }
 
   onAttemptGone(h: TaskAttempt, why: GoneReason): void {
-    this.log.debug(
+    this.parts.log.debug(
       { task: `${h.job}/${h.index}`, attempt: h.attempt, machine: h.machine.id, phase: h.startPhase, why },
       'task gone',
     );
-    const job = this.jobTable.jobs.get(h.job);
+    const job = this.parts.jobTable.jobs.get(h.job);
     if (!job) return;
     this.removePlacement(job, h);
     this.stopRestOfGang(job);
-    this.hooks.requestPlan();
+    this.parts.hooks.requestPlan();
   }
 
   /**
@@ -157,7 +160,7 @@
   private removePlacement(job: Job, h: TaskAttempt): void {
     job.duplicateAttempts.delete(h);
     // A completed one counts until its completion is stored: who takes over would start it again elsewhere.
-    if (h.cause !== 'done') this.hooks.onAttemptLeft(job, h);
+    if (h.cause !== 'done') this.parts.hooks.onAttemptLeft(job, h);
     if (job.placements.get(h.index) !== h) return;
     job.placements.delete(h.index);
     for (const other of job.duplicateAttempts) {
@@ -170,12 +173,18 @@
 
   adopt(l: LoadedJob): Job {
     const id = l.record.spec.id;
-    const known = this.jobTable.jobs.get(id);
+    const known = this.parts.jobTable.jobs.get(id);
     if (known) return known;
-    const job = this.jobTable.make(l.record.spec, l.record.accepted, l.record.deadline, false, l.version);
+    const job = this.parts.jobTable.make(
+      l.record.spec,
+      l.record.accepted,
+      l.record.deadline,
+      false,
+      l.version,
+    );
     job.partsUnder = l.partsUnder;
-    this.records.restore(job, l.chunks);
-    this.jobTable.jobs.set(id, job);
+    this.parts.records.restore(job, l.chunks);
+    this.parts.jobTable.jobs.set(id, job);
     if (job.done.count === job.spec.tasks || job.storedCount < job.done.count)
       void this.storeCompletions(job);
     return job;
@@ -189,25 +198,26 @@
     if (job.storing) return;
     job.storing = true;
     const unfinished = () =>
-      !this.hooks.stopped() && job.state === 'active' && job.done.count < job.spec.tasks;
+      !this.parts.hooks.stopped() && job.state === 'active' && job.done.count < job.spec.tasks;
     try {
-      while (unfinished() && this.context.clock.now() < job.storeAfter)
-        await pause(this.context.clock, STORE_POLL_MS);
-      await this.jobTable.exclusive(job.spec.id, async () => {
-        if (this.hooks.stopped() || job.state !== 'active' || job.storedCount >= job.done.count) return;
+      while (unfinished() && this.parts.context.clock.now() < job.storeAfter)
+        await pause(this.parts.context.clock, STORE_POLL_MS);
+      await this.parts.jobTable.exclusive(job.spec.id, async () => {
+        if (this.parts.hooks.stopped() || job.state !== 'active' || job.storedCount >= job.done.count) return;
         try {
-          if (job.done.count === job.spec.tasks) this.endJob(job, await this.records.finish(job, 'done'));
-          else await this.records.storeDone(job);
+          if (job.done.count === job.spec.tasks)
+            this.endJob(job, await this.parts.records.finish(job, 'done'));
+          else await this.parts.records.storeDone(job);
         } catch (error) {
-          if (error instanceof NotOwnerError) throw this.hooks.lostOwnership();
-          this.log.debug({ job: job.spec.id, err: error }, 'storing progress failed');
-          await pause(this.context.clock, STORE_RETRY_MS);
+          if (error instanceof NotOwnerError) throw this.parts.hooks.lostOwnership();
+          this.parts.log.debug({ job: job.spec.id, err: error }, 'storing progress failed');
+          await pause(this.parts.context.clock, STORE_RETRY_MS);
         }
       });
     } catch (error) {
-      if (!(error instanceof NotOwnerError)) this.log.error({ err: error }, 'storing progress ended');
+      if (!(error instanceof NotOwnerError)) this.parts.log.error({ err: error }, 'storing progress ended');
     } finally {
-      job.storeAfter = this.context.clock.now() + STORE_INTERVAL_MS;
+      job.storeAfter = this.parts.context.clock.now() + STORE_INTERVAL_MS;
       job.storing = false;
       this.acknowledgeExits(job);
     }
@@ -215,14 +225,14 @@
 
   private acknowledgeExits(job: Job): void {
     // A shard that is lost leaves what it could not store to its next owner; to try on would never end.
-    if (this.hooks.stopped()) return;
+    if (this.parts.hooks.stopped()) return;
     if (job.storedCount < job.done.count && job.state === 'active') {
       void this.storeCompletions(job);
       return;
     }
     for (const h of job.unacknowledgedExits.splice(0)) {
       h.exitRecorded = true;
-      this.hooks.onAttemptLeft(job, h);
+      this.parts.hooks.onAttemptLeft(job, h);
     }
   }
 
@@ -233,24 +243,25 @@
   requestCancellation(job: Job): void {
     job.cancelRequested = true;
     job.notBefore = Number.POSITIVE_INFINITY;
-    for (const h of [...job.placements.values(), ...job.duplicateAttempts]) this.registry.stopTask(h, 0);
-    this.registry.sendStops();
+    for (const h of [...job.placements.values(), ...job.duplicateAttempts])
+      this.parts.registry.stopTask(h, 0);
+    this.parts.registry.sendStops();
   }
 
   /** A job has been stored as over: nothing of it is wanted on machines any more. */
   endJob(job: Job, status: 'done' | 'cancelled'): void {
     const id = job.spec.id;
-    this.jobTable.end(job, status);
-    for (const m of this.registry.machines.values()) {
+    this.parts.jobTable.end(job, status);
+    for (const m of this.parts.registry.machines.values()) {
       for (const h of m.attempts.values()) {
         if (h.job !== id) continue;
         if (h.state === 'exited') h.exitRecorded = true;
-        else this.registry.stopTask(h, 0);
+        else this.parts.registry.stopTask(h, 0);
       }
     }
-    this.registry.sendStops();
-    this.log.info({ job: id, status }, 'job over');
-    this.hooks.onJobEnded(job, status);
-    this.hooks.requestPlan();
+    this.parts.registry.sendStops();
+    this.parts.log.info({ job: id, status }, 'job over');
+    this.parts.hooks.onJobEnded(job, status);
+    this.parts.hooks.requestPlan();
   }
 }
