--- a/src/controller/controllernode.ts
+++ b/src/controller/controllernode.ts
@@ -9,7 +9,7 @@
 import type { Job, JobEntry } from '../jobs/job.js';
 import { readSpec } from '../jobs/records.js';
 import type { Mesh } from '../peer/mesh.js';
-import { readDependentClaims } from '../scheduler/dependencytracker.js';
+import { readDependentClaims } from '../scheduler/dependencymessages.js';
 import type { StatusAnswer, SubmitAnswer } from '../scheduler/responses.js';
 import {
   KEYS,
--- a/src/controller/ownerclient.ts
+++ b/src/controller/ownerclient.ts
@@ -8,7 +8,7 @@
   type DependencyStatus,
   type DependentClaim,
   readDependencyStatuses,
-} from '../scheduler/dependencytracker.js';
+} from '../scheduler/dependencymessages.js';
 import { NOT_READY, OwnerUnavailableError, type PeerShards } from '../scheduler/responses.js';
 import type { Shard } from '../scheduler/shard.js';
 import { MATCH_PROTOCOL_VERSION, PROTOCOL_VERSION } from '../schema/schema.js';
--- a/src/scheduler/jobrequests.ts
+++ b/src/scheduler/jobrequests.ts
@@ -71,12 +71,12 @@
       const known = this.knownAnswer(spec.id);
       if (known) return known;
       const needs = await this.parts.dependencies.unfinishedDependencies(spec);
-      if ('never' in needs) return { kind: 'never', needs: needs.never };
+      if (needs.kind === 'neverAccepted') return { kind: 'never', needs: needs.id };
       this.requireReady();
       const wall = this.parts.context.clock.wall();
       const trial = this.parts.jobTable.make(spec, wall, 0, true, 0);
       // A job that names a cancelled one is accepted and cancelled.
-      const finish = needs.cancelled ? 0 : this.parts.planner.admit(trial, needs.open);
+      const finish = needs.anyCancelled ? 0 : this.parts.planner.admit(trial, needs.unfinished);
       if (finish === null) {
         const entry = await this.parts.records.entry(spec.id);
         if (entry) return this.answerRepeated(spec.id, entry);
@@ -110,7 +110,7 @@
         'job accepted',
       );
       this.parts.hooks.requestPlan();
-      if (!needs.cancelled) return { kind: 'accepted' };
+      if (!needs.anyCancelled) return { kind: 'accepted' };
       this.parts.taskProgress.endJob(
         trial,
         await this.stopOnOwnershipLoss(this.parts.records.finish(trial, 'cancelled')),
--- a/src/scheduler/responses.ts
+++ b/src/scheduler/responses.ts
@@ -1,7 +1,7 @@
 import { UnavailableError } from '../errors/errors.js';
 import type { JobEntry } from '../jobs/job.js';
 import type { JobStatus } from '../wire/users.js';
-import type { DependencyStatus, DependentClaim } from './dependencytracker.js';
+import type { DependencyStatus, DependentClaim } from './dependencymessages.js';
 
 /** What an owner answers about its jobs, and what it needs of the other owners. */
 
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -16,7 +16,7 @@
 import type { Heartbeat } from '../wire/workers.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineRegistry } from '../workers/machineregistry.js';
-import type { DependencyStatus, DependentClaim } from './dependencytracker.js';
+import type { DependencyStatus, DependentClaim } from './dependencymessages.js';
 import type { StatusAnswer, SubmitAnswer } from './responses.js';
 import { ShardComponents, type ShardOptions, TICK_INTERVAL_MS } from './shardcomponents.js';
 
--- a/tests/compatibility/encoders.test.ts
+++ b/tests/compatibility/encoders.test.ts
@@ -26,7 +26,7 @@
   shardOfRecord,
 } from '../../src/jobs/records.js';
 import { encodeFrame, FrameReader, type PeerMessage } from '../../src/peer/frames.js';
-import { readDependencyStatuses, readDependentClaims } from '../../src/scheduler/dependencytracker.js';
+import { readDependencyStatuses, readDependentClaims } from '../../src/scheduler/dependencymessages.js';
 import {
   KEYS,
   readLeaseHolder,
