--- a/src/controller/ownerlessadmission.ts
+++ b/src/controller/ownerlessadmission.ts
@@ -1,7 +1,7 @@
 import type { ControllerContext } from '../context/context.js';
 import { NotOwnerError, UnavailableError } from '../errors/errors.js';
 import { JobRecords } from '../jobs/records.js';
-import { defaultDueS } from '../scheduler/planner.js';
+import { defaultDueS } from '../scheduler/admission.js';
 import type { SubmitAnswer } from '../scheduler/responses.js';
 import { KEYS } from '../schema/schema.js';
 import { StateStoreError } from '../state/statestore.js';
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -1,41 +1,37 @@
-import { machineKindName, type ResourceDemand } from '../autoscaler/shardstatus.js';
 import type { Log } from '../config/log.js';
 import type { ControllerContext } from '../context/context.js';
 import { type Job, kindAllowed, unplacedCount } from '../jobs/job.js';
-import { type Amounts, fitCount } from '../plan/capacityprofile.js';
+import type { Amounts } from '../plan/capacityprofile.js';
 import { chooseVictims, type PreemptMachine } from '../plan/victimchoice.js';
 import { PRIORITY } from '../wire/users.js';
 import type { Machine, TaskAttempt } from '../workers/machine.js';
 import type { MachineRegistry } from '../workers/machineregistry.js';
 
-/** Room is not made twice for a job within the pause, and not looked for again at once when there is none to be made. */
+/** A job preempts no second time within the pause, and is not looked at again at once when there was nothing to preempt. */
 const PREEMPT_PAUSE_MS = 12_000;
 const PREEMPT_RETRY_MS = 1500;
-/** A machine promised to another shard is cleared by then, or kept. */
-const TRANSFER_TIMEOUT_MS = 15_000;
-/** A machine is reserved when its tasks end within this, and so many at a time. */
-const RESERVE_WITHIN_MS = 20_000;
-const MAX_RESERVED_MACHINES = 12;
-const MIN_FITTING_MACHINES = 40;
-/** So many waiting jobs are looked at in one plan when room is made for urgent work. */
+/** So many waiting jobs are looked at in one plan. */
 const MAX_PREEMPTING_JOBS = 6;
+/** So many tasks of an array preempt at a time. */
+const MAX_PREEMPTING_TASKS = 64;
+/** No limit, as an amount of anything. */
+const UNLIMITED = 1e12;
 
+/** What `Preemption` asks of its shard. */
 export interface PreemptionHooks {
-  ready(): boolean;
   /** Whether a task of a job that is not known to be anywhere is surely nowhere. */
   surelyNotRunning(job: Job): boolean;
+  /** What the tasks of each team take now, by the index of the team. */
   teamUsage(): Map<number, Amounts>;
+  /** What is free on a machine. */
   freeCapacity(m: Machine): Amounts;
-  isMoving(id: string): boolean;
-  /** Gives a machine that was cleared to the shard that it was promised to. */
-  transferMachine(id: string, to: number): Promise<boolean>;
-  requestPlan(): void;
+  /** Whether a machine is being emptied for another shard. */
+  isReserved(machine: string): boolean;
 }
 
-/** Stops lesser work for more urgent work, in a shard and for other shards. */
+/** Stops lower-priority tasks for jobs of the shard that are more urgent. */
 export class Preemption {
-  /** Machines that are being cleared for other shards. */
-  readonly reservedForTransfer = new Map<string, { to: number; until: number; reserved?: boolean }>();
+  /** When a job last preempted, by its id, in steady milliseconds. */
   private readonly preemptedAt = new Map<string, number>();
 
   constructor(
@@ -47,19 +43,11 @@
   ) {}
 
   /**
-   * Work of higher priority that would have to wait stops lesser work: where its machines are full, and where its
-   * team's limit is used up by the team's own lesser work.
+   * Jobs of higher priority that would have to wait stop lower-priority tasks: where their machines are full, and where
+   * their team's limit is used up by the team's own lower-priority tasks. `now` in steady milliseconds.
    */
   preemptFor(waiting: ReadonlySet<Job>, now: number): void {
-    const low = this.hasLowPriorityTasks();
-    const urgent = [...waiting]
-      .filter((job) => job.priority > PRIORITY.normal || (low && job.priority > PRIORITY.low))
-      .filter((job) => this.hooks.surelyNotRunning(job))
-      .filter(
-        (job) => now - (this.preemptedAt.get(job.spec.id) ?? Number.NEGATIVE_INFINITY) >= PREEMPT_PAUSE_MS,
-      )
-      .sort((a, b) => b.priority - a.priority || a.order - b.order)
-      .slice(0, MAX_PREEMPTING_JOBS);
+    const urgent = this.preemptingJobs(waiting, now);
     const usage = urgent.length > 0 ? this.hooks.teamUsage() : new Map<number, Amounts>();
     for (const job of urgent) {
       const victims = this.victimsFor(job, usage, now);
@@ -69,13 +57,26 @@
         continue;
       }
       this.preemptedAt.set(job.spec.id, now);
-      this.log.info({ job: job.spec.id, stopped: victims.length }, 'making room');
+      this.log.info({ job: job.spec.id, stopped: victims.length }, 'tasks preempted');
       for (const h of victims) this.registry.stopTask(h, (this.jobs.get(h.job)?.spec.saveS ?? 0) + 1);
     }
     for (const id of this.preemptedAt.keys()) if (!this.jobs.has(id)) this.preemptedAt.delete(id);
   }
 
-  /** Whether there is work of the lowest priority, which ordinary work may stop as well. */
+  /** Of the waiting jobs, those that may preempt now, the most urgent first. */
+  private preemptingJobs(waiting: ReadonlySet<Job>, now: number): Job[] {
+    const low = this.hasLowPriorityTasks();
+    return [...waiting]
+      .filter((job) => job.priority > PRIORITY.normal || (low && job.priority > PRIORITY.low))
+      .filter((job) => this.hooks.surelyNotRunning(job))
+      .filter(
+        (job) => now - (this.preemptedAt.get(job.spec.id) ?? Number.NEGATIVE_INFINITY) >= PREEMPT_PAUSE_MS,
+      )
+      .sort((a, b) => b.priority - a.priority || a.order - b.order)
+      .slice(0, MAX_PREEMPTING_JOBS);
+  }
+
+  /** Whether there are tasks of the lowest priority, which jobs of normal priority may stop as well. */
   private hasLowPriorityTasks(): boolean {
     for (const job of this.jobs.values()) {
       if (job.priority === PRIORITY.low && job.placements.size > 0) return true;
@@ -83,148 +84,63 @@
     return false;
   }
 
-  private victimsFor(job: Job, usage: Map<number, Amounts>, now: number): TaskAttempt[] | null {
-    const wanted = job.spec.kind === 'gang' ? job.spec.tasks : Math.min(unplacedCount(job), 64);
-    if (wanted <= 0 || (job.spec.kind === 'gang' && job.placements.size > 0)) return null;
-    const team = this.context.settings.teams[job.team];
-    const use = usage.get(job.team);
-    const teamLeft: Amounts = { cpus: 1e12, gpus: 1e12, memoryGb: 1e12 };
-    if (team && use) {
-      if (team.cpusMax > 0) teamLeft.cpus = team.cpusMax - use.cpus;
-      if (team.gpusMax > 0) teamLeft.gpus = team.gpusMax - use.gpus;
-    }
-    const byZone = new Map<number, PreemptMachine<TaskAttempt>[]>();
-    for (const m of this.registry.machines.values()) {
-      if (
-        !m.reconciled ||
-        m.leaseExpired ||
-        m.decommissioning ||
-        m.reclaimAt !== null ||
-        this.reservedForTransfer.has(m.id)
-      )
-        continue;
-      if (!kindAllowed(job, m.type, m.zone, m.spot)) continue;
-      const victims = [];
-      for (const h of m.attempts.values()) {
-        const other = this.jobs.get(h.job);
-        if (!other || h.state === 'exited' || h.stop || other.priority >= job.priority) continue;
-        if (other.spec.kind === 'gang') continue;
-        const ran = h.runningAt === null ? 0 : (now - h.runningAt) / 1000;
-        const loss = other.spec.checkpointS > 0 ? 2 + other.spec.saveS + ran / 100 : ran;
-        victims.push({ ref: h, need: other.need, sameTeam: other.team === job.team, loss });
-      }
-      const zone = job.spec.oneZone ? m.zone : 0;
-      const list = byZone.get(zone) ?? [];
-      list.push({ free: this.hooks.freeCapacity(m), victims });
-      byZone.set(zone, list);
-    }
+  /** The fewest tasks to stop for a job, in one zone if it is held to one; null when it cannot be done. */
+  private victimsFor(job: Job, usage: ReadonlyMap<number, Amounts>, now: number): TaskAttempt[] | null {
+    const gang = job.spec.kind === 'gang';
+    const count = gang ? job.spec.tasks : Math.min(unplacedCount(job), MAX_PREEMPTING_TASKS);
+    if (count <= 0 || (gang && job.placements.size > 0)) return null;
+    const teamLeft = this.teamLeft(job, usage);
     let best: TaskAttempt[] | null = null;
-    for (const machines of byZone.values()) {
-      const victims = chooseVictims({ need: job.need, count: wanted, teamLeft }, machines);
+    for (const machines of this.machinesByZone(job, now).values()) {
+      const victims = chooseVictims({ need: job.need, count, teamLeft }, machines);
       if (victims && (!best || victims.length < best.length)) best = victims;
     }
     return best;
   }
 
-  /** Clears a machine for another shard's more urgent work. False when that is not to be. */
-  evictForTransfer(id: string, to: number, priority: number): boolean {
-    const m = this.registry.machines.get(id);
-    if (!m || !this.hooks.ready() || this.reservedForTransfer.has(id) || !this.isPreemptibleFor(m, priority))
-      return false;
-    const now = this.context.clock.now();
-    this.reservedForTransfer.set(id, { to, until: now + TRANSFER_TIMEOUT_MS });
-    this.log.info({ machine: id, to, held: m.attempts.size }, 'clearing a machine for another shard');
-    for (const h of m.attempts.values())
-      this.registry.stopTask(h, (this.jobs.get(h.job)?.spec.saveS ?? 0) + 1);
-    this.registry.sendStops();
-    this.hooks.requestPlan();
-    return true;
+  /** What a job's team may still use before its limit. */
+  private teamLeft(job: Job, usage: ReadonlyMap<number, Amounts>): Amounts {
+    const left: Amounts = { cpus: UNLIMITED, gpus: UNLIMITED, memoryGb: UNLIMITED };
+    const team = this.context.settings.teams[job.team];
+    const use = usage.get(job.team);
+    if (team && use) {
+      if (team.cpusMax > 0) left.cpus = team.cpusMax - use.cpus;
+      if (team.gpusMax > 0) left.gpus = team.gpusMax - use.gpus;
+    }
+    return left;
   }
 
-  /**
-   * Promises the machine that is empty soonest to a shard where urgent work waits longer: nothing is stopped, but nothing
-   * more starts there.
-   */
-  reserveForTransfer(
-    to: number,
-    need: ResourceDemand,
-    zone: string,
-    endOf: (h: TaskAttempt) => number,
-  ): boolean {
-    if (!this.hooks.ready()) return false;
-    const now = this.context.clock.now();
-    const { types, zones } = this.context.names;
-    let promises = 0;
-    for (const p of this.reservedForTransfer.values()) if (p.reserved) promises++;
-    if (promises >= MAX_RESERVED_MACHINES) return false;
-    let best: { m: Machine; cost: number } | null = null;
-    let fitting = 0;
+  /** The machines that a job may use, with the tasks it may stop there: by zone if it is held to one, else all together. */
+  private machinesByZone(job: Job, now: number): Map<number, PreemptMachine<TaskAttempt>[]> {
+    const byZone = new Map<number, PreemptMachine<TaskAttempt>[]>();
     for (const m of this.registry.machines.values()) {
       if (
         !m.reconciled ||
-        m.decommissioning ||
         m.leaseExpired ||
-        m.mayHoldUnreportedTasks ||
+        m.decommissioning ||
         m.reclaimAt !== null ||
-        m.quarantinedUntil > now
+        this.hooks.isReserved(m.id)
       )
         continue;
-      if (need.types && !need.types.includes(types.name(m.type))) continue;
-      if ((m.spot && !need.spot) || (need.zone !== null && need.zone !== zones.name(m.zone))) continue;
-      if (need.kinds && !need.kinds.includes(machineKindName(types.name(m.type), zones.name(m.zone), m.spot)))
-        continue;
-      const size = this.context.catalog.size(m.type);
-      if (fitCount(size, need, 1) === 0) continue;
-      fitting++;
-      if (this.reservedForTransfer.has(m.id) || this.hooks.isMoving(m.id)) continue;
-      let end = now;
-      for (const h of m.attempts.values()) if (h.state !== 'exited') end = Math.max(end, endOf(h));
-      if (end > now + RESERVE_WITHIN_MS) continue;
-      // Machines without unneeded GPUs and in the zone of the other shard's owner first.
-      const cost =
-        end -
-        now +
-        (need.gpus === 0 && size.gpus > 0 ? 10_000 : 0) +
-        (zones.name(m.zone) === zone ? 0 : 5000);
-      if (!best || cost < best.cost) best = { m, cost };
+      if (!kindAllowed(job, m.type, m.zone, m.spot)) continue;
+      const zone = job.spec.oneZone ? m.zone : 0;
+      const machines = byZone.get(zone) ?? [];
+      machines.push({ free: this.hooks.freeCapacity(m), victims: this.victimsOn(m, job, now) });
+      byZone.set(zone, machines);
     }
-    // Where few machines fit, the moments in which one of them stands empty cost more than an even wait is worth.
-    if (!best || fitting < MIN_FITTING_MACHINES) return false;
-    this.reservedForTransfer.set(best.m.id, { to, until: now + RESERVE_WITHIN_MS * 2, reserved: true });
-    this.log.info(
-      { machine: best.m.id, to, held: best.m.attempts.size },
-      'reserving a machine for another shard',
-    );
-    this.hooks.requestPlan();
-    return true;
+    return byZone;
   }
 
-  /** Whether all that a machine holds may be stopped for work of a priority. */
-  isPreemptibleFor(m: Machine, priority: number): boolean {
-    if (
-      !m.reconciled ||
-      m.decommissioning ||
-      m.leaseExpired ||
-      m.mayHoldUnreportedTasks ||
-      m.reclaimAt !== null ||
-      m.attempts.size === 0
-    )
-      return false;
+  private victimsOn(m: Machine, job: Job, now: number): PreemptMachine<TaskAttempt>['victims'] {
+    const victims = [];
     for (const h of m.attempts.values()) {
-      const job = this.jobs.get(h.job);
-      if (!job || h.stop || job.priority >= priority || job.spec.kind === 'gang') return false;
-    }
-    return true;
-  }
-
-  /** Hands over the machines that were cleared for other shards. */
-  completeTransfers(now: number): void {
-    for (const [id, p] of this.reservedForTransfer) {
-      const m = this.registry.machines.get(id);
-      if (!m || now > p.until) this.reservedForTransfer.delete(id);
-      else if (m.attempts.size === 0 && m.reconciled && !this.hooks.isMoving(id)) {
-        void this.hooks.transferMachine(id, p.to).finally(() => this.reservedForTransfer.delete(id));
-      }
+      const other = this.jobs.get(h.job);
+      if (!other || h.state === 'exited' || h.stop || other.priority >= job.priority) continue;
+      if (other.spec.kind === 'gang') continue;
+      const ranS = h.runningAt === null ? 0 : (now - h.runningAt) / 1000;
+      const loss = other.spec.checkpointS > 0 ? 2 + other.spec.saveS + ranS / 100 : ranS;
+      victims.push({ ref: h, need: other.need, sameTeam: other.team === job.team, loss });
     }
+    return victims;
   }
 }
--- a/src/scheduler/resourcedemand.ts
+++ b/src/scheduler/resourcedemand.ts
@@ -9,12 +9,27 @@
 import { PRIORITY } from '../wire/users.js';
 import type { Machine } from '../workers/machine.js';
 import type { MachineRegistry } from '../workers/machineregistry.js';
-import type { Preemption } from './preemption.js';
+import type { MachineTransfers } from './machinetransfers.js';
 import type { RuntimeEstimates } from './runtimeestimates.js';
 
+/** A task that is planned to start later than this waits, in seconds. */
+const WAITS_AFTER_S = 0.5;
+/** How long a task that found no place is said to wait, in seconds. */
+const UNPLACED_WAIT_S = 600;
+/** Renting a machine takes so many times the boot time of its type, and so many seconds. */
+const BOOT_MARGIN = 1.1;
+const RENT_DELAY_S = 2;
+/** So many needs, and so many machines that could be emptied, are told to the leader. */
+const MAX_NEEDS = 20;
+const MAX_PREEMPTIBLE_MACHINES = 30;
+/** More tasks than any machines hold. */
+const UNLIMITED_TASKS = 100_000;
+/** No limit, as an amount of anything. */
+const UNLIMITED = 1e12;
+const MAX_TASKS_PER_MACHINE = 1000;
 /** A shortage goes to the leader first; renting begins when nobody had a machine to give. */
 const RENT_AFTER_MS = 900;
-/** So many empty machines of a kind are told at once: no more can be moved before they are told again. */
+/** So many idle machines of a kind are reported at once: no more can be moved before they are reported again. */
 const MAX_IDLE_MACHINES_PER_KIND = 24;
 
 /** What the tracker of demand asks of its shard. */
@@ -38,104 +53,122 @@
   readonly jobs: ReadonlyMap<string, Job>;
   readonly estimates: RuntimeEstimates;
   readonly autoscaler: Autoscaler;
-  readonly preemption: Preemption;
+  readonly transfers: MachineTransfers;
   readonly hooks: ResourceDemandHooks;
 }
 
-/** What a shard lacks, has to spare, and tells the leader of both. */
+/** Tasks of a job that the plan leaves waiting. */
+interface WaitingTasks {
+  /** How many wait at all. */
+  count: number;
+  /** How many of them wait longer than renting a machine would take. */
+  late: number;
+  /** The reservations among those. */
+  readonly lateReservations: Reservation[];
+  /** How long the last of them waits, in seconds. */
+  waitS: number;
+  /** The shortest boot time among the types of machine that may take the job, in seconds. */
+  readonly bootS: number;
+}
+
+/** What a shard lacks and has to spare: told to the leader, and what is lacking rented when nobody has it. */
 export class ResourceDemandTracker {
+  /** Since when a job has had tasks waiting, by its id, in steady milliseconds. */
   private readonly shortSince = new Map<string, number>();
   private needs: ShardStatus['needs'] = [];
 
   constructor(private readonly parts: ResourceDemandParts) {}
 
+  /** A job is over: it lacks nothing any more. */
   forget(job: string): void {
     this.shortSince.delete(job);
   }
 
-  /** What the plan leaves waiting: told to the leader, and rented for when it would wait longer than a boot. */
-  assess(plan: Plan, unplaced: ReadonlySet<Job>, byOrder: Map<number, Job>, now: number): void {
-    const waiting = new Map<
-      Job,
-      { soon: number; late: number; lateOnes: Reservation[]; waitS: number; bootS: number }
-    >();
-    const slot = (job: Job) => {
-      let w = waiting.get(job);
-      if (!w) {
-        w = {
-          soon: 0,
-          late: 0,
-          lateOnes: [],
-          waitS: 0,
-          bootS: this.shortestBoot(job),
-        };
-        waiting.set(job, w);
+  /**
+   * Takes up what a plan leaves waiting: for the leader, and to rent for what would wait longer than a boot. `unplaced` are the
+   * jobs that found no place, `jobsByPlanId` all jobs in the plan; `now` in steady milliseconds.
+   */
+  assess(plan: Plan, unplaced: ReadonlySet<Job>, jobsByPlanId: ReadonlyMap<number, Job>, now: number): void {
+    const waiting = this.waitingTasks(plan, unplaced, jobsByPlanId, now / 1000);
+    if (this.parts.autoscaler.mayRent(now)) discountBookedLate(plan, waiting, now / 1000);
+    for (const id of [...this.shortSince.keys()]) {
+      const job = this.parts.jobs.get(id);
+      if (!job || !waiting.has(job)) this.shortSince.delete(id);
+    }
+    for (const job of waiting.keys()) if (job.quarantined) waiting.delete(job);
+    this.parts.autoscaler.order(this.updateNeeds(waiting, now), now);
+  }
+
+  private waitingTasks(
+    plan: Plan,
+    unplaced: ReadonlySet<Job>,
+    jobsByPlanId: ReadonlyMap<number, Job>,
+    nowS: number,
+  ): Map<Job, WaitingTasks> {
+    const waiting = new Map<Job, WaitingTasks>();
+    const tasksOf = (job: Job): WaitingTasks => {
+      let tasks = waiting.get(job);
+      if (!tasks) {
+        tasks = { count: 0, late: 0, lateReservations: [], waitS: 0, bootS: this.shortestBoot(job) };
+        waiting.set(job, tasks);
       }
-      return w;
+      return tasks;
     };
-    const t = now / 1000;
-    for (const b of plan.reservations) {
-      const job = byOrder.get(b.job.id);
-      if (!job || b.start <= t + 0.5) continue;
-      const w = slot(job);
-      w.soon++;
-      w.waitS = Math.max(w.waitS, b.start - t);
-      if (b.start > t + w.bootS * 1.1 + 2) {
-        w.late++;
-        w.lateOnes.push(b);
-      }
+    const reservations = new Map<number, number>();
+    for (const r of plan.reservations) {
+      reservations.set(r.job.id, (reservations.get(r.job.id) ?? 0) + 1);
+      const job = jobsByPlanId.get(r.job.id);
+      if (!job || r.start <= nowS + WAITS_AFTER_S) continue;
+      const tasks = tasksOf(job);
+      tasks.count++;
+      tasks.waitS = Math.max(tasks.waitS, r.start - nowS);
+      if (r.start <= rentedBy(tasks, nowS)) continue;
+      tasks.late++;
+      tasks.lateReservations.push(r);
     }
-    const bookings = new Map<number, number>();
-    for (const b of plan.reservations) bookings.set(b.job.id, (bookings.get(b.job.id) ?? 0) + 1);
     for (const job of unplaced) {
-      const n = Math.max(1, unplacedCount(job) - (bookings.get(job.order) ?? 0));
-      slot(job).soon += n;
-      slot(job).late += n;
-      slot(job).waitS = 600;
-    }
-    if (this.parts.autoscaler.mayRent(now)) {
-      const groups = [...waiting].filter(([, w]) => w.lateOnes.length > 0);
-      const short = plan.countLateTasks(
-        groups.map(([, w]) => ({ job: w.lateOnes[0]!.job, bookings: w.lateOnes, by: t + w.bootS * 1.1 + 2 })),
-      );
-      groups.forEach(([, w], i) => {
-        w.late -= w.lateOnes.length - short[i]!;
-      });
+      const n = Math.max(1, unplacedCount(job) - (reservations.get(job.order) ?? 0));
+      const tasks = tasksOf(job);
+      tasks.count += n;
+      tasks.late += n;
+      tasks.waitS = UNPLACED_WAIT_S;
     }
+    return waiting;
+  }
+
+  /** Works out the needs for the leader anew; returns what is short for so long that machines are to be rented for it. */
+  private updateNeeds(waiting: ReadonlyMap<Job, WaitingTasks>, now: number): Shortage[] {
     const usage = this.parts.hooks.teamUsage();
     const needs: ShardStatus['needs'] = [];
-    const short: Shortage[] = [];
-    for (const id of [...this.shortSince.keys()]) {
-      const job = this.parts.jobs.get(id);
-      if (!job || !waiting.has(job)) this.shortSince.delete(id);
-    }
-    for (const job of waiting.keys()) if (job.quarantined) waiting.delete(job);
-    for (const [job, w] of [...waiting].sort(
+    const shortages: Shortage[] = [];
+    const inOrder = [...waiting].sort(
       (a, b) => remainingTasksPriority(b[0]) - remainingTasksPriority(a[0]) || a[0].order - b[0].order,
-    )) {
+    );
+    for (const [job, tasks] of inOrder) {
       const cap = this.underCap(job, usage);
-      const soon = Math.min(w.soon, cap);
-      if (soon <= 0) continue;
-      for (const [zone, n] of this.byZone(job, soon)) needs.push(this.need(job, n, w.waitS, zone));
+      const count = Math.min(tasks.count, cap);
+      if (count <= 0) continue;
+      for (const { zone, count: n } of this.byZone(job, count))
+        needs.push(this.need(job, n, tasks.waitS, zone));
       // What this job may take of its team's limit is no longer there for the team's other jobs.
       const use = usage.get(job.team);
-      if (use) addTimes(use, job.need, soon);
+      if (use) addTimes(use, job.need, count);
       const since = this.shortSince.get(job.spec.id) ?? now;
       this.shortSince.set(job.spec.id, since);
       // Tasks that wait for their team's limit start no sooner on more machines: what starts in time takes of it first.
-      const late = Math.min(w.late, cap - (w.soon - w.late));
+      const late = Math.min(tasks.late, cap - (tasks.count - tasks.late));
       // What an earlier owner may have started, and may well still run, needs no machine before that is known.
       if (!this.parts.hooks.surelyNotRunning(job)) continue;
       if (late <= 0 || now - since < RENT_AFTER_MS) continue;
       const { types, match, need } = job;
-      for (const [zone, count] of this.byZone(job, late))
-        short.push({ types, zone, spot: job.spec.spot, match, need, count });
+      for (const { zone, count: n } of this.byZone(job, late))
+        shortages.push({ types, zone, spot: job.spec.spot, match, need, count: n });
     }
     this.needs = needs;
-    this.parts.autoscaler.order(short, now);
+    return shortages;
   }
 
-  /** How long the machines of this shard that can take the urgent work that waits would take for it. */
+  /** How long the machines of this shard would take for the urgent jobs that wait, in seconds. */
   private urgentS(): number {
     const now = this.parts.context.clock.now();
     const slots = new Map<string, number>();
@@ -167,26 +200,26 @@
         !kindAllowed(job, m.type, m.zone, m.spot)
       )
         continue;
-      slots += fitCount(this.parts.context.catalog.size(m.type), job.need, 1000);
+      slots += fitCount(this.parts.context.catalog.size(m.type), job.need, MAX_TASKS_PER_MACHINE);
     }
     return slots;
   }
 
   /**
-   * In which zones so many tasks of a job want machines; null: in any. One that is held to a zone by its other tasks, or kept from
-   * it by them, would be given machines there without end, and start on none of them.
+   * In which zones so many tasks of a job need machines; null: in any. One that is held to a zone by its other tasks, or kept from
+   * it by them, would otherwise be given machines without end where it starts on none of them.
    */
-  private byZone(job: Job, count: number): [zone: number | null, count: number][] {
-    const room = zoneCapacity(job, this.zonesOf(job));
-    if (!room) return [[job.zone, count]];
+  private byZone(job: Job, count: number): { zone: number | null; count: number }[] {
+    const capacities = zoneCapacity(job, this.zonesOf(job));
+    if (!capacities) return [{ zone: job.zone, count }];
     let left = count;
-    return room
-      .map(([zone, most]): [number, number] => {
-        const n = Math.min(left, most);
+    return capacities
+      .map(([zone, capacity]) => {
+        const n = Math.min(left, capacity);
         left -= n;
-        return [zone, n];
+        return { zone, count: n };
       })
-      .filter(([, n]) => n > 0);
+      .filter(({ count: n }) => n > 0);
   }
 
   /** The zones in which there are machines for a job, the shard's own first. */
@@ -228,6 +261,7 @@
     return kinds;
   }
 
+  /** The shortest boot time among the types of machine that may take a job, in seconds. */
   private shortestBoot(job: Job): number {
     let best = 1e9;
     for (const [type, t] of this.parts.context.catalog.all()) {
@@ -241,70 +275,91 @@
   private underCap(job: Job, usage: Map<number, Amounts>): number {
     const team = this.parts.context.settings.teams[job.team];
     const use = usage.get(job.team);
-    if (!team || !use) return 100_000;
+    if (!team || !use) return UNLIMITED_TASKS;
     return fitCount(
       {
-        cpus: team.cpusMax > 0 ? team.cpusMax - use.cpus : 1e12,
-        gpus: team.gpusMax > 0 ? team.gpusMax - use.gpus : 1e12,
-        memoryGb: 1e12,
+        cpus: team.cpusMax > 0 ? team.cpusMax - use.cpus : UNLIMITED,
+        gpus: team.gpusMax > 0 ? team.gpusMax - use.gpus : UNLIMITED,
+        memoryGb: UNLIMITED,
       },
       { ...job.need, memoryGb: 0 },
-      100_000,
+      UNLIMITED_TASKS,
     );
   }
 
+  /** What the shard lacks and what it has to spare, for the leader; `node` is the owner's name. */
   shardStatus(node: string): ShardStatus {
-    const n = this.parts.context.names;
-    const spares = [];
-    const kinds = new Map<string, number>();
+    return {
+      shard: this.parts.index,
+      node,
+      zone: this.parts.context.settings.zone,
+      urgentS: this.urgentS(),
+      machines: this.parts.registry.machines.size,
+      spares: this.idleMachines(),
+      soft: this.preemptibleMachines(),
+      needs: this.needs.slice(0, MAX_NEEDS),
+    };
+  }
+
+  private idleMachines(): ShardStatus['spares'] {
+    const { images } = this.parts.context.names;
+    const now = this.parts.context.clock.now();
+    const idle: ShardStatus['spares'] = [];
+    const byKind = new Map<string, number>();
     for (const m of this.parts.registry.machines.values()) {
-      if (
-        !this.parts.hooks.isIdle(m) ||
-        this.parts.autoscaler.moving.has(m.id) ||
-        m.quarantinedUntil > this.parts.context.clock.now()
-      )
+      if (!this.parts.hooks.isIdle(m) || this.parts.autoscaler.moving.has(m.id) || m.quarantinedUntil > now)
         continue;
       const kind = kindKey(m.type, m.zone, m.spot);
-      kinds.set(kind, (kinds.get(kind) ?? 0) + 1);
-      if (kinds.get(kind)! > MAX_IDLE_MACHINES_PER_KIND) continue;
-      spares.push({
-        id: m.id,
-        type: n.types.name(m.type),
-        zone: n.zones.name(m.zone),
-        spot: m.spot,
-        images: [...m.images.keys()].map((i) => n.images.name(i)),
-      });
+      const count = (byKind.get(kind) ?? 0) + 1;
+      byKind.set(kind, count);
+      if (count > MAX_IDLE_MACHINES_PER_KIND) continue;
+      idle.push({ ...this.describe(m), images: [...m.images.keys()].map((i) => images.name(i)) });
     }
-    const soft = [];
-    for (const m of this.parts.registry.machines.values()) {
+    return idle;
+  }
+
+  /** Machines on which all tasks could be stopped for the most urgent jobs of other shards, with the highest priority there. */
+  private preemptibleMachines(): ShardStatus['soft'] {
+    const { registry, autoscaler, transfers, jobs } = this.parts;
+    const preemptible: ShardStatus['soft'] = [];
+    for (const m of registry.machines.values()) {
       if (
-        this.parts.preemption.reservedForTransfer.has(m.id) ||
-        this.parts.autoscaler.moving.has(m.id) ||
-        !this.parts.preemption.isPreemptibleFor(m, PRIORITY.production + 1)
+        transfers.isReserved(m.id) ||
+        autoscaler.moving.has(m.id) ||
+        !transfers.isPreemptibleFor(m, PRIORITY.production + 1)
       )
         continue;
       let top = 0;
-      for (const h of m.attempts.values()) top = Math.max(top, this.parts.jobs.get(h.job)?.priority ?? 0);
-      soft.push({
-        id: m.id,
-        type: n.types.name(m.type),
-        zone: n.zones.name(m.zone),
-        spot: m.spot,
-        images: [],
-        top,
-      });
+      for (const h of m.attempts.values()) top = Math.max(top, jobs.get(h.job)?.priority ?? 0);
+      preemptible.push({ ...this.describe(m), images: [], top });
     }
-    return {
-      shard: this.parts.index,
-      node,
-      zone: this.parts.context.settings.zone,
-      urgentS: this.urgentS(),
-      machines: this.parts.registry.machines.size,
-      spares,
-      soft: soft.slice(0, 30),
-      needs: this.needs.slice(0, 20),
-    };
+    return preemptible.slice(0, MAX_PREEMPTIBLE_MACHINES);
   }
+
+  private describe(m: Machine): { id: string; type: string; zone: string; spot: boolean } {
+    const { types, zones } = this.parts.context.names;
+    return { id: m.id, type: types.name(m.type), zone: zones.name(m.zone), spot: m.spot };
+  }
+}
+
+/** When tasks could start on a machine that is rented now, in seconds. */
+function rentedBy({ bootS }: WaitingTasks, nowS: number): number {
+  return nowS + bootS * BOOT_MARGIN + RENT_DELAY_S;
+}
+
+/** A task that is planned to start late is not late when it could start in time on some machine there is. */
+function discountBookedLate(plan: Plan, waiting: ReadonlyMap<Job, WaitingTasks>, nowS: number): void {
+  const late = [...waiting.values()].filter((tasks) => tasks.lateReservations.length > 0);
+  const counts = plan.countLateTasks(
+    late.map((tasks) => ({
+      job: tasks.lateReservations[0]!.job,
+      bookings: tasks.lateReservations,
+      by: rentedBy(tasks, nowS),
+    })),
+  );
+  late.forEach((tasks, i) => {
+    tasks.late -= tasks.lateReservations.length - counts[i]!;
+  });
 }
 
 function addTimes(to: Amounts, need: Amounts, times: number): void {
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -17,6 +17,7 @@
 import type { Machine } from '../workers/machine.js';
 import type { MachineRegistry } from '../workers/machineregistry.js';
 import type { DependencyStatus, DependentClaim } from './dependencymessages.js';
+import { pauseAfterPlanMs } from './planningbudget.js';
 import type { StatusAnswer, SubmitAnswer } from './responses.js';
 import { ShardComponents, type ShardOptions, TICK_INTERVAL_MS } from './shardcomponents.js';
 
@@ -184,14 +185,14 @@
   private tick(): void {
     this.runIfActive(() => {
       const now = this.context.clock.now();
-      const { planner, dependencies, jobRequests, spotDraining, preemption, autoscaler } = this.components;
+      const { order, dependencies, jobRequests, spotDraining, transfers, autoscaler } = this.components;
       this.restartStreamOnceReconciled();
-      planner.age();
+      order.age();
       dependencies.tick(now);
       jobRequests.storePendingCancellations();
       spotDraining.drain(now);
       this.registry.sendStops();
-      preemption.completeTransfers(now);
+      transfers.completeTransfers(now);
       autoscaler.returnIdle(now);
       if (this.components.statusLog.logIfDue(now)) this.components.failures.sweep();
       this.requestPlan();
@@ -226,7 +227,7 @@
     planner.schedule(now);
     this.registry.sendStops();
     const after = this.context.clock.now();
-    this.planNotBefore = after + planner.pauseAfterMs(after - now);
+    this.planNotBefore = after + pauseAfterPlanMs(this.context, after - now);
   }
 
   private runIfActive(work: () => void): void {
@@ -269,13 +270,13 @@
   /** Reserves a machine whose tasks end soon for a shard where urgent work waits longer. False when there is none. */
   reserveForTransfer(to: number, need: ResourceDemand, zone: string): boolean {
     const now = this.context.clock.now();
-    const { preemption, estimates } = this.components;
-    return preemption.reserveForTransfer(to, need, zone, (h) => estimates.expectedEnd(h, now));
+    const { transfers, estimates } = this.components;
+    return transfers.reserveForTransfer(to, need, zone, (h) => estimates.expectedEnd(h, now));
   }
 
   /** Stops all tasks on a machine for another shard's more urgent work. False when its tasks may not be stopped for that. */
   evictForTransfer(id: string, to: number, priority: number): boolean {
-    return this.components.preemption.evictForTransfer(id, to, priority);
+    return this.components.transfers.evictForTransfer(id, to, priority);
   }
 
   /** What the shard lacks and what it has to spare, for the leader; `node` is the owner's name. */
--- a/src/scheduler/shardcomponents.ts
+++ b/src/scheduler/shardcomponents.ts
@@ -6,11 +6,13 @@
 import type { StandbyReplicator } from '../standby/standbyreplicator.js';
 import type { Machine } from '../workers/machine.js';
 import { MachineRegistry } from '../workers/machineregistry.js';
+import { Admission } from './admission.js';
 import { DependencyTracker } from './dependencytracker.js';
 import { FailureTracker } from './failuretracker.js';
 import { JobRequests } from './jobrequests.js';
 import { JobTable } from './jobtable.js';
 import { isEmpty, MachineRecords } from './machinerecords.js';
+import { MachineTransfers } from './machinetransfers.js';
 import { PlanInput } from './planinput.js';
 import { Planner } from './planner.js';
 import { Preemption } from './preemption.js';
@@ -18,6 +20,7 @@
 import { ResourceDemandTracker } from './resourcedemand.js';
 import type { PeerShards } from './responses.js';
 import { RuntimeEstimates } from './runtimeestimates.js';
+import { SchedulingOrder } from './schedulingorder.js';
 import { ShardStatusLog } from './shardstatuslog.js';
 import { SpotDraining } from './spotdraining.js';
 import { TaskDispatcher } from './taskdispatcher.js';
@@ -77,12 +80,15 @@
   readonly failures: FailureTracker;
   readonly taskProgress: TaskProgress;
   readonly dispatcher: TaskDispatcher;
+  readonly transfers: MachineTransfers;
   readonly preemption: Preemption;
   readonly autoscaler: Autoscaler;
   readonly machineRecords: MachineRecords;
   readonly planInput: PlanInput;
+  readonly order: SchedulingOrder;
   readonly resourceDemand: ResourceDemandTracker;
   readonly planner: Planner;
+  readonly admission: Admission;
   readonly jobRequests: JobRequests;
   readonly spotDraining: SpotDraining;
   readonly warmStart: WarmStart;
@@ -111,12 +117,15 @@
     );
     this.taskProgress = this.createTaskProgress();
     this.dispatcher = this.createDispatcher();
+    this.transfers = this.createTransfers();
     this.preemption = this.createPreemption();
     this.autoscaler = this.createAutoscaler();
     this.machineRecords = this.createMachineRecords();
     this.planInput = this.createPlanInput();
+    this.order = new SchedulingOrder(context, this.jobTable, this.registry, this.estimates);
     this.resourceDemand = this.createResourceDemand();
     this.planner = this.createPlanner();
+    this.admission = this.createAdmission();
     this.jobRequests = this.createJobRequests();
     this.spotDraining = new SpotDraining(this.registry, jobs, this.estimates, TICK_INTERVAL_MS);
     this.warmStart = new WarmStart(context, snapshot);
@@ -126,12 +135,12 @@
 
   /** Whether a machine holds nothing, and nothing is planned on it or reserved for another shard. */
   isIdle(m: Machine): boolean {
-    return isEmpty(m) && !this.planner.hasReservation(m.id) && !this.preemption.reservedForTransfer.has(m.id);
+    return isEmpty(m) && !this.planner.hasReservation(m.id) && !this.transfers.isReserved(m.id);
   }
 
   /** Whether a machine is on its way to another shard or back to the cloud. */
   private isReservedForTransfer(machine: string): boolean {
-    return this.autoscaler.moving.has(machine) || this.preemption.reservedForTransfer.has(machine);
+    return this.autoscaler.moving.has(machine) || this.transfers.isReserved(machine);
   }
 
   private createRecords(): JobRecords {
@@ -219,15 +228,21 @@
     });
   }
 
+  private createTransfers(): MachineTransfers {
+    return new MachineTransfers(this.options.context, this.registry, this.jobTable.jobs, this.log, {
+      ready: () => this.lifecycle.isReady(),
+      isMoving: (id) => this.autoscaler.moving.has(id),
+      transferMachine: (id, to) => this.machineRecords.transferReserved(id, to),
+      requestPlan: () => this.lifecycle.requestPlan(),
+    });
+  }
+
   private createPreemption(): Preemption {
     return new Preemption(this.options.context, this.registry, this.jobTable.jobs, this.log, {
-      ready: () => this.lifecycle.isReady(),
       surelyNotRunning: (job) => this.unreconciled.surelyNotRunning(job),
       teamUsage: () => this.dispatcher.teamUsage(),
       freeCapacity: (m) => this.dispatcher.freeCapacity(m, new Map()),
-      isMoving: (id) => this.autoscaler.moving.has(id),
-      transferMachine: (id, to) => this.machineRecords.transferReserved(id, to),
-      requestPlan: () => this.lifecycle.requestPlan(),
+      isReserved: (machine) => this.transfers.isReserved(machine),
     });
   }
 
@@ -276,7 +291,7 @@
 
   private createResourceDemand(): ResourceDemandTracker {
     const { context, index } = this.options;
-    const { registry, estimates, autoscaler, preemption } = this;
+    const { registry, estimates, autoscaler, transfers } = this;
     return new ResourceDemandTracker({
       context,
       index,
@@ -284,42 +299,46 @@
       jobs: this.jobTable.jobs,
       estimates,
       autoscaler,
-      preemption,
+      transfers,
       hooks: {
         teamUsage: () => this.dispatcher.teamUsage(),
         surelyNotRunning: (job) => this.unreconciled.surelyNotRunning(job),
-        isGuaranteed: (job) => this.planner.isGuaranteed(job),
+        isGuaranteed: (job) => this.order.isGuaranteed(job),
         isIdle: (m) => this.isIdle(m),
       },
     });
   }
 
   private createPlanner(): Planner {
-    const { jobTable, registry, estimates, planInput, dependencies } = this;
-    const { autoscaler, dispatcher, preemption, resourceDemand } = this;
-    return new Planner({
-      context: this.options.context,
+    const { context } = this.options;
+    const { estimates, planInput, order, dispatcher, preemption, resourceDemand } = this;
+    return new Planner({ context, estimates, planInput, order, dispatcher, preemption, resourceDemand });
+  }
+
+  private createAdmission(): Admission {
+    const { context } = this.options;
+    const { jobTable, estimates, planInput, order, dependencies, autoscaler, planner } = this;
+    return new Admission({
+      context,
       jobTable,
-      registry,
       estimates,
       planInput,
+      order,
       dependencies,
       autoscaler,
-      dispatcher,
-      preemption,
-      resourceDemand,
+      lastPlan: () => planner.lastPlan,
     });
   }
 
   private createJobRequests(): JobRequests {
     const { context, index } = this.options;
-    const { jobTable, records, planner, taskProgress, dependencies, log } = this;
+    const { jobTable, records, admission, taskProgress, dependencies, log } = this;
     return new JobRequests({
       context,
       index,
       jobTable,
       records,
-      planner,
+      admission,
       taskProgress,
       dependencies,
       log,
--- a/src/scheduler/taskdispatcher.ts
+++ b/src/scheduler/taskdispatcher.ts
@@ -7,17 +7,24 @@
 import { PRIORITY } from '../wire/users.js';
 import type { Machine, TaskAttempt } from '../workers/machine.js';
 import type { MachineRegistry, TaskStart } from '../workers/machineregistry.js';
+import { UNREACHABLE_MS } from './planinput.js';
 
+/** Attempt numbers that an owner has under one term. */
 const ATTEMPTS_PER_TERM = 2 ** 20;
+/** What is planned to start within this of now starts now. */
+const START_TOLERANCE_S = 0.01;
+/** By so much a sum of fractions of processors may exceed a limit. */
+const ROUNDING = 1e-6;
 /**
- * Starts of the least urgent work a second, for a whole core. Tiny tasks end as fast as they start, and each costs orders
- * and reports: more of them at once would keep a small controller from everything else.
+ * Starts of low-priority tasks a second, for a whole core. Tiny tasks end as fast as they start, and each costs commands
+ * and heartbeats: more of them at once would keep a small controller from everything else.
  */
 const LOW_STARTS_PER_CORE = 800;
 const LOW_STARTS_BURST_S = 2;
 
+/** What the dispatcher asks of its shard. */
 export interface TaskDispatcherHooks {
-  /** Whose a task is and what it takes; null when nobody remembers. */
+  /** The team of a task and what the task takes; null when its job is not remembered. */
   usageOf(h: TaskAttempt): { team: number; need: Amounts } | null;
   /** What machines that have not reported to this owner may hold. */
   unreconciledCapacity(): Amounts;
@@ -25,18 +32,37 @@
   surelyNotRunning(job: Job): boolean;
   /** Whether a machine is on its way to another shard or back to the cloud. */
   isReservedForTransfer(id: string): boolean;
+  /** Stops the shard; returns the error to be thrown. */
   lostOwnership(): Error;
 }
 
+/** A task, by its index in its job, and the machine that it is to start on. */
+interface TaskOnMachine {
+  readonly machine: Machine;
+  readonly index: number;
+}
+
+/** One round of starts, and what is left with the starts noted so far. */
+interface DispatchRound {
+  /** Steady milliseconds. */
+  readonly now: number;
+  /** What is free on the machines looked at so far. */
+  readonly free: Map<Machine, Amounts>;
+  /** What each team's tasks take, by the index of the team. */
+  readonly usage: Map<number, Amounts>;
+  /** The starts noted so far. */
+  readonly starts: Map<Machine, TaskStart[]>;
+}
+
 /** Starts tasks, and sees to it that none starts where a rule forbids it, whatever the plan says. */
 export class TaskDispatcher {
   private attempts = 0;
   private lowStarts = 0;
   private lowStartsAt = Number.NEGATIVE_INFINITY;
   /** Zones of the tasks that this round of starts has placed, by job. */
-  private readonly pending = new Map<string, number[]>();
+  private readonly startedZones = new Map<string, number[]>();
   private attemptsByZone: Map<string, Map<number, number>> | null = null;
-  /** Of which jobs it is known in this round of starts whether they may be where nobody has looked. */
+  /** Of which jobs it is known in this round of starts whether they may be on a machine that has not reported. */
   private readonly notRunningCache = new Map<Job, boolean>();
 
   constructor(
@@ -48,55 +74,71 @@
     private readonly hooks: TaskDispatcherHooks,
   ) {}
 
-  /** Starts what the plan has for now, where the machines are truly free and the rules surely hold. */
-  dispatch(plan: Plan, refs: (Machine | null)[], byOrder: Map<number, Job>, now: number): void {
-    const perMachine = new Map<Machine, TaskStart[]>();
-    const free = new Map<Machine, Amounts>();
+  /**
+   * Starts what the plan has for now, where the machines are truly free and the rules surely hold. `refs` are the machines that
+   * the plan's indices stand for, `jobsByPlanId` its jobs; `now` in steady milliseconds.
+   */
+  dispatch(
+    plan: Plan,
+    refs: readonly (Machine | null)[],
+    jobsByPlanId: ReadonlyMap<number, Job>,
+    now: number,
+  ): void {
     this.attemptsByZone = null;
     this.notRunningCache.clear();
-    const usage = this.teamUsage();
-    const gangs = new Map<Job, { m: Machine; index: number }[]>();
-    const singles: { job: Job; m: Machine; index: number }[] = [];
-    for (const b of plan.reservations) {
-      const m = refs[b.machine];
-      const job = byOrder.get(b.job.id);
-      if (!m || !job || b.start > now / 1000 + 0.01) continue;
+    const round: DispatchRound = { now, free: new Map(), usage: this.teamUsage(), starts: new Map() };
+    const gangs = new Map<Job, TaskOnMachine[]>();
+    const singles: { job: Job; task: TaskOnMachine }[] = [];
+    for (const r of plan.reservations) {
+      const machine = refs[r.machine];
+      const job = jobsByPlanId.get(r.job.id);
+      if (!machine || !job || r.start > now / 1000 + START_TOLERANCE_S) continue;
       if (!this.isSurelyNotRunning(job)) continue;
-      if (job.spec.kind === 'gang') {
-        const list = gangs.get(job) ?? [];
-        list.push({ m, index: b.task });
-        gangs.set(job, list);
-      } else {
-        singles.push({ job, m, index: b.task });
+      const task = { machine, index: r.task };
+      if (job.spec.kind !== 'gang') {
+        singles.push({ job, task });
+        continue;
       }
+      const tasks = gangs.get(job) ?? [];
+      tasks.push(task);
+      gangs.set(job, tasks);
     }
-    const start = (job: Job, parts: { m: Machine; index: number }[]) => {
-      if (!this.mayStart(job, parts, free, usage, now)) return;
-      const attempt = this.nextAttempt();
-      job.attempt = attempt;
-      for (const p of parts) {
-        take(this.freeCapacity(p.m, free), job.need);
-        const list = perMachine.get(p.m) ?? [];
-        list.push({ job: job.spec.id, index: p.index, attempt });
-        perMachine.set(p.m, list);
-      }
-      const use = usage.get(job.team);
-      if (use) for (const _ of parts) add(use, job.need);
-      // Placed at once, so that the next check counts it.
-      const placed = this.pending.get(job.spec.id) ?? [];
-      for (const p of parts) placed.push(p.m.zone);
-      this.pending.set(job.spec.id, placed);
-    };
-    for (const [job, parts] of gangs) if (parts.length === job.spec.tasks) start(job, parts);
-    for (const s of singles) {
-      if (remainingTasksPriority(s.job) === PRIORITY.low && !this.mayStartLow(now)) continue;
-      start(s.job, [s]);
+    for (const [job, tasks] of gangs) if (tasks.length === job.spec.tasks) this.start(job, tasks, round);
+    for (const { job, task } of singles) {
+      if (remainingTasksPriority(job) === PRIORITY.low && !this.takeLowPriorityStart(now)) continue;
+      this.start(job, [task], round);
+    }
+    this.startedZones.clear();
+    this.sendStarts(round);
+  }
+
+  /** Notes the start of tasks of a job, which go together, if they may start. */
+  private start(job: Job, tasks: readonly TaskOnMachine[], round: DispatchRound): void {
+    if (!this.mayStart(job, tasks, round)) return;
+    const attempt = this.nextAttempt();
+    job.attempt = attempt;
+    for (const { machine, index } of tasks) {
+      subtract(this.freeCapacity(machine, round.free), job.need);
+      const starts = round.starts.get(machine) ?? [];
+      starts.push({ job: job.spec.id, index, attempt });
+      round.starts.set(machine, starts);
     }
-    this.pending.clear();
-    for (const [m, starts] of perMachine) {
-      for (const h of this.registry.startTasks(m, starts)) {
+    const use = round.usage.get(job.team);
+    if (use) for (const _ of tasks) add(use, job.need);
+    // Placed at once, so that the next check counts it.
+    const zones = this.startedZones.get(job.spec.id) ?? [];
+    for (const { machine } of tasks) zones.push(machine.zone);
+    this.startedZones.set(job.spec.id, zones);
+  }
+
+  private sendStarts(round: DispatchRound): void {
+    for (const [machine, starts] of round.starts) {
+      for (const h of this.registry.startTasks(machine, starts)) {
         this.jobs.get(h.job)?.placements.set(h.index, h);
-        this.log.debug({ task: `${h.job}/${h.index}`, attempt: h.attempt, machine: m.id }, 'task started');
+        this.log.debug(
+          { task: `${h.job}/${h.index}`, attempt: h.attempt, machine: machine.id },
+          'task started',
+        );
       }
     }
   }
@@ -110,7 +152,8 @@
     return sure;
   }
 
-  private mayStartLow(now: number): boolean {
+  /** Takes one of the starts that low-priority tasks have at present; false when there is none. */
+  private takeLowPriorityStart(now: number): boolean {
     const perSecond = LOW_STARTS_PER_CORE * Math.min(1, this.context.settings.limits.cores);
     const saved = this.lowStarts + ((now - this.lowStartsAt) / 1000) * perSecond;
     this.lowStarts = Math.min(perSecond * LOW_STARTS_BURST_S, saved);
@@ -120,41 +163,45 @@
     return true;
   }
 
-  private mayStart(
-    job: Job,
-    parts: { m: Machine; index: number }[],
-    free: Map<Machine, Amounts>,
-    usage: Map<number, Amounts>,
-    now: number,
-  ): boolean {
-    if (job.state !== 'active' || job.notBefore > now) return false;
-    // Whatever the plan says: not before all that it needs is known to be done.
+  private mayStart(job: Job, tasks: readonly TaskOnMachine[], round: DispatchRound): boolean {
+    if (job.state !== 'active' || job.notBefore > round.now) return false;
+    // Whatever the plan says: not before all that it depends on is known to be done.
     if (!dependenciesMet(job)) return false;
+    return (
+      this.teamPermits(job, tasks.length, round.usage) &&
+      this.machinesPermit(job, tasks, round) &&
+      this.zonesPermit(job, tasks)
+    );
+  }
+
+  /** Whether a team's limits leave room for so many more tasks of a job. */
+  private teamPermits(job: Job, count: number, usage: ReadonlyMap<number, Amounts>): boolean {
     const team = this.context.settings.teams[job.team];
     const use = usage.get(job.team);
-    if (team && use) {
-      const n = parts.length;
-      if (team.cpusMax > 0 && use.cpus + n * job.need.cpus > team.cpusMax + 1e-6) return false;
-      if (team.gpusMax > 0 && use.gpus + n * job.need.gpus > team.gpusMax + 1e-6) return false;
-    }
-    const want = new Map<Machine, number>();
-    for (const p of parts) want.set(p.m, (want.get(p.m) ?? 0) + 1);
-    for (const [m, n] of want) {
+    if (!team || !use) return true;
+    if (team.cpusMax > 0 && use.cpus + count * job.need.cpus > team.cpusMax + ROUNDING) return false;
+    return !(team.gpusMax > 0 && use.gpus + count * job.need.gpus > team.gpusMax + ROUNDING);
+  }
+
+  private machinesPermit(job: Job, tasks: readonly TaskOnMachine[], { now, free }: DispatchRound): boolean {
+    const counts = new Map<Machine, number>();
+    for (const { machine } of tasks) counts.set(machine, (counts.get(machine) ?? 0) + 1);
+    for (const [m, count] of counts) {
       if (!machineUsable(m)) return false;
       if (this.hooks.isReservedForTransfer(m.id)) return false;
-      if (m.unreachableAt !== null && now - m.unreachableAt < 6000) return false;
-      if (fitCount(this.freeCapacity(m, free), job.need, n) < n) return false;
+      if (m.unreachableAt !== null && now - m.unreachableAt < UNREACHABLE_MS) return false;
+      if (fitCount(this.freeCapacity(m, free), job.need, count) < count) return false;
       if (!kindAllowed(job, m.type, m.zone, m.spot)) return false;
     }
-    return this.zonesPermit(job, parts);
+    return true;
   }
 
-  private zonesPermit(job: Job, parts: { m: Machine; index: number }[]): boolean {
+  private zonesPermit(job: Job, tasks: readonly TaskOnMachine[]): boolean {
     if (!job.spec.oneZone && !job.spec.spread) return true;
     const zones = new Map(this.zonesOfAttempts().get(job.spec.id));
     const count = (zone: number) => zones.set(zone, (zones.get(zone) ?? 0) + 1);
-    for (const zone of this.pending.get(job.spec.id) ?? []) count(zone);
-    for (const p of parts) count(p.m.zone);
+    for (const zone of this.startedZones.get(job.spec.id) ?? []) count(zone);
+    for (const { machine } of tasks) count(machine.zone);
     if (job.spec.oneZone && zones.size > 1) return false;
     const half = Math.ceil(job.spec.tasks / 2);
     return !job.spec.spread || [...zones.values()].every((n) => n <= half);
@@ -182,7 +229,7 @@
     return this.term * ATTEMPTS_PER_TERM + ++this.attempts;
   }
 
-  /** What is free on a machine beside all that it holds or may hold. */
+  /** What is free on a machine beside all that it holds or may hold; `memo` keeps what was worked out. */
   freeCapacity(m: Machine, memo: Map<Machine, Amounts>): Amounts {
     let free = memo.get(m);
     if (!free) {
@@ -190,7 +237,7 @@
       for (const h of m.attempts.values()) {
         if (h.state === 'exited') continue;
         const use = this.hooks.usageOf(h);
-        if (use) take(free, use.need);
+        if (use) subtract(free, use.need);
         else free.cpus = -1;
       }
       memo.set(m, free);
@@ -198,12 +245,12 @@
     return free;
   }
 
-  /** What each team's tasks take now, with all that may be somewhere unseen. */
+  /** What each team's tasks take now, with all that machines may hold that have not reported. */
   teamUsage(): Map<number, Amounts> {
     const usage = new Map<number, Amounts>();
-    const unseen = this.hooks.unreconciledCapacity();
+    const unreconciled = this.hooks.unreconciledCapacity();
     this.context.settings.teams.forEach((_, team) => {
-      usage.set(team, { ...unseen });
+      usage.set(team, { ...unreconciled });
     });
     for (const m of this.registry.machines.values()) {
       for (const h of m.attempts.values()) {
@@ -213,7 +260,7 @@
           const sum = usage.get(use.team);
           if (sum) add(sum, use.need);
         } else {
-          // Whose it is nobody remembers: it counts for everyone.
+          // Its job is not remembered: it counts for every team.
           for (const sum of usage.values()) add(sum, this.context.catalog.size(m.type));
         }
       }
@@ -222,7 +269,7 @@
   }
 }
 
-function take(from: Amounts, need: Amounts): void {
+function subtract(from: Amounts, need: Amounts): void {
   from.cpus -= need.cpus;
   from.gpus -= need.gpus;
   from.memoryGb -= need.memoryGb;
