--- a/src/scheduler/failuretracker.ts
+++ b/src/scheduler/failuretracker.ts
@@ -2,32 +2,35 @@
 import type { Job } from '../jobs/job.js';
 import { MAX_CONSECUTIVE_ERRORS, type Machine } from '../workers/machine.js';
 
-/** A job that has failed on so many machines that have failed no other job was submitted with a mistake. */
+/** A job that has failed on so many machines on which no other job has failed was submitted with a mistake. */
 const MACHINES_TO_QUARANTINE_JOB = 3;
-/** A machine that has failed so many jobs is faulty; it is given back. */
+/** A machine on which so many jobs have failed is faulty; it is returned. */
 const JOBS_TO_RETURN_MACHINE = 2;
+/** The first quarantine of a machine, doubled with each further failure up to a bound. */
 const QUARANTINE_MS = 15_000;
 const MAX_QUARANTINE_MS = 300_000;
+/** The first pause of a quarantined job, doubled with each further failure up to a bound. */
 const RETRY_MS = 5000;
 const MAX_RETRY_MS = 120_000;
 
 /**
- * Tells a bad job from a bad machine by who else fails where. A job under suspicion is tried again with one task at
- * growing intervals, and what it does says nothing of machines; until it succeeds it is no reason to rent, to stop other
- * work or to hold a guarantee. A machine under suspicion is closed for a while, and is given back when it goes on.
+ * Distinguishes a bad job from a bad machine by what else fails where. A quarantined job is tried again with one task at
+ * growing intervals, and its failures count against no machine; until it succeeds it is no reason to rent, to preempt other
+ * jobs or to hold a guarantee. A quarantined machine takes no new task for a while, and is returned when it goes on failing.
  */
 export class FailureTracker {
-  /** Machines by the jobs that have failed there since anything succeeded there. */
+  /** The jobs that have failed on a machine since a task last succeeded there, by the machine's id. */
   private readonly failedJobsByMachine = new Map<string, Set<string>>();
 
   constructor(
     private readonly jobs: ReadonlyMap<string, Job>,
     private readonly machines: ReadonlyMap<string, Machine>,
     private readonly log: Log,
-    /** A job has come under suspicion, or is no longer. */
+    /** A job has been quarantined, or is no longer, or its pause has changed. */
     private readonly onQuarantineChanged: (job: Job) => void = () => undefined,
   ) {}
 
+  /** A task of a job has failed on a machine; `now` in steady milliseconds. */
   onTaskFailed(job: Job, m: Machine, now: number): void {
     job.failedOn.add(m.id);
     if (job.quarantined) {
@@ -51,9 +54,13 @@
       m.quarantinedUntil,
       now + Math.min(MAX_QUARANTINE_MS, QUARANTINE_MS * 2 ** (m.consecutiveErrors - 1)),
     );
-    this.log.info({ machine: m.id, job: job.spec.id, errors: m.consecutiveErrors }, 'machine failed a task');
+    this.log.info(
+      { machine: m.id, job: job.spec.id, errors: m.consecutiveErrors },
+      'machine quarantined after a task failure',
+    );
   }
 
+  /** A task of a job has succeeded on a machine: neither is suspected any more. */
   onTaskSucceeded(job: Job, m: Machine): void {
     m.consecutiveErrors = 0;
     this.failedJobsByMachine.delete(m.id);
@@ -63,9 +70,10 @@
     job.quarantined = false;
     if (Number.isFinite(job.notBefore)) job.notBefore = 0;
     this.onQuarantineChanged(job);
-    this.log.info({ job: job.spec.id }, 'job no longer suspected');
+    this.log.info({ job: job.spec.id }, 'job quarantine ended');
   }
 
+  /** Whether a job has failed on several machines on which no other job has. */
   private isJobAtFault(job: Job): boolean {
     let count = 0;
     for (const id of job.failedOn) {
@@ -78,7 +86,7 @@
   private quarantine(job: Job, now: number): void {
     job.quarantined = true;
     job.failures = 0;
-    // It ruins no machine's name: those that failed nothing else are open again.
+    // Its failures count against no machine: those on which nothing else has failed are open again.
     for (const id of job.failedOn) {
       const failed = this.failedJobsByMachine.get(id);
       failed?.delete(job.spec.id);
@@ -91,7 +99,7 @@
       m.quarantinedUntil = 0;
     }
     this.retryLater(job, now);
-    this.log.info({ job: job.spec.id, machines: job.failedOn.size }, 'job fails on every machine');
+    this.log.info({ job: job.spec.id, machines: job.failedOn.size }, 'job quarantined');
   }
 
   private retryLater(job: Job, now: number): void {
--- a/src/scheduler/jobtable.ts
+++ b/src/scheduler/jobtable.ts
@@ -6,19 +6,22 @@
 import type { TaskAttempt } from '../workers/machine.js';
 import type { StatusAnswer } from './responses.js';
 
-interface Ended {
+/** What is remembered of a job that has ended. */
+interface EndedJob {
   status: 'done' | 'cancelled';
   tasks: number;
   team: number;
   need: Amounts;
 }
 
+/** So many are remembered, the last to end. */
 const MAX_ENDED_JOBS = 5000;
 
 /** The jobs of one shard in memory: the unfinished ones, and how those ended that ended not long ago. */
 export class JobTable {
+  /** The unfinished jobs, by id. */
   readonly jobs = new Map<string, Job>();
-  private readonly ended = new Map<string, Ended>();
+  private readonly ended = new Map<string, EndedJob>();
   private readonly mutexes = new Map<string, { mutex: Mutex; users: number }>();
   /** What a task of each class takes, as last seen. */
   readonly taskSizeByClass = new Map<string, Amounts>();
@@ -30,6 +33,10 @@
     private readonly term: number,
   ) {}
 
+  /**
+   * A job for the table, which does not hold it yet. `accepted` and `deadline` in milliseconds of the time of day, `fresh` when
+   * it was accepted under this term, `version` that of its record.
+   */
   make(spec: JobSpec, accepted: number, deadline: number, fresh: boolean, version: number): Job {
     const n = this.context.names;
     this.taskSizeByClass.set(spec.class, { cpus: spec.cpus, gpus: spec.gpus, memoryGb: spec.memoryGb });
@@ -47,8 +54,8 @@
   }
 
   /**
-   * Acceptance, completion and cancellation of one job go one after the other. The mutex of a job goes with the last that holds it or
-   * waits for it: dropped earlier, one that comes then would get another, and two of one job would go side by side.
+   * Acceptance, completion and cancellation of one job go one after the other. The mutex of a job is dropped with the last that
+   * holds it or waits for it: dropped earlier, one that comes then would get another, and two of one job would go side by side.
    */
   async exclusive<T>(id: string, work: () => Promise<T>): Promise<T> {
     const entry = this.mutexes.get(id) ?? { mutex: new Mutex(), users: 0 };
@@ -61,10 +68,12 @@
     }
   }
 
+  /** How a job has ended; null when it is unfinished or not remembered. */
   endedStatus(id: string): 'done' | 'cancelled' | null {
     return this.ended.get(id)?.status ?? null;
   }
 
+  /** The status of a job; null when it is not in memory. */
   statusOf(id: string): StatusAnswer | null {
     const job = this.jobs.get(id);
     if (job) return jobStatus(job);
@@ -85,7 +94,7 @@
     }
   }
 
-  /** Whose a task on a machine is, and what it takes there. */
+  /** The team of a task on a machine and what the task takes there; null when its job is not in memory. */
   usageOf(h: TaskAttempt): { team: number; need: Amounts; spec?: JobSpec } | null {
     return this.jobs.get(h.job) ?? this.ended.get(h.job) ?? null;
   }
--- a/src/scheduler/replicationsource.ts
+++ b/src/scheduler/replicationsource.ts
@@ -7,12 +7,13 @@
 import type { MachineRegistry } from '../workers/machineregistry.js';
 import type { RuntimeEstimates } from './runtimeestimates.js';
 
+/** What `ShardReplicationSource` asks of its shard. */
 export interface ShardReplicationSourceHooks {
   /** Whether all machines on which tasks of a job may be are known, so that it is surely nowhere else. */
   placementsKnown(job: Job): boolean;
 }
 
-/** What an owner tells its standby of a shard: all of it at first, then what changes. */
+/** What an owner replicates of a shard to its standby: all of it at first, then what changes. */
 export class ShardReplicationSource implements ReplicationSource {
   constructor(
     private readonly context: ControllerContext,
--- a/src/scheduler/resourcedemand.ts
+++ b/src/scheduler/resourcedemand.ts
@@ -1,4 +1,4 @@
-import { type Autoscaler, kindKey } from '../autoscaler/autoscaler.js';
+import type { Autoscaler } from '../autoscaler/autoscaler.js';
 import { machineKindName, type ShardStatus } from '../autoscaler/shardstatus.js';
 import type { ControllerContext } from '../context/context.js';
 import { type Job, kindAllowed, remainingTasksPriority, unplacedCount, zoneCapacity } from '../jobs/job.js';
@@ -6,10 +6,6 @@
 import type { Reservation } from '../plan/model.js';
 import type { Plan } from '../plan/plan.js';
 import type { Shortage } from '../plan/rentalchoice.js';
-import { PRIORITY } from '../wire/users.js';
-import type { Machine } from '../workers/machine.js';
-import type { MachineRegistry } from '../workers/machineregistry.js';
-import type { MachineTransfers } from './machinetransfers.js';
 import type { RuntimeEstimates } from './runtimeestimates.js';
 
 /** A task that is planned to start later than this waits, in seconds. */
@@ -19,18 +15,14 @@
 /** Renting a machine takes so many times the boot time of its type, and so many seconds. */
 const BOOT_MARGIN = 1.1;
 const RENT_DELAY_S = 2;
-/** So many needs, and so many machines that could be emptied, are told to the leader. */
+/** So many needs are reported to the leader. */
 const MAX_NEEDS = 20;
-const MAX_PREEMPTIBLE_MACHINES = 30;
 /** More tasks than any machines hold. */
 const UNLIMITED_TASKS = 100_000;
 /** No limit, as an amount of anything. */
 const UNLIMITED = 1e12;
-const MAX_TASKS_PER_MACHINE = 1000;
 /** A shortage goes to the leader first; renting begins when nobody had a machine to give. */
 const RENT_AFTER_MS = 900;
-/** So many idle machines of a kind are reported at once: no more can be moved before they are reported again. */
-const MAX_IDLE_MACHINES_PER_KIND = 24;
 
 /** What the tracker of demand asks of its shard. */
 export interface ResourceDemandHooks {
@@ -40,20 +32,14 @@
   surelyNotRunning(job: Job): boolean;
   /** Whether a job is within what its team is guaranteed. */
   isGuaranteed(job: Job): boolean;
-  /** Whether a machine holds nothing and nothing is planned on it. */
-  isIdle(m: Machine): boolean;
 }
 
 /** What `ResourceDemandTracker` is made of. */
 export interface ResourceDemandParts {
   readonly context: ControllerContext;
-  /** The shard's index among the shards of the cluster. */
-  readonly index: number;
-  readonly registry: MachineRegistry;
   readonly jobs: ReadonlyMap<string, Job>;
   readonly estimates: RuntimeEstimates;
   readonly autoscaler: Autoscaler;
-  readonly transfers: MachineTransfers;
   readonly hooks: ResourceDemandHooks;
 }
 
@@ -71,14 +57,19 @@
   readonly bootS: number;
 }
 
-/** What a shard lacks and has to spare: told to the leader, and what is lacking rented when nobody has it. */
+/** What a shard lacks: reported to the leader, and rented when no other shard has it. */
 export class ResourceDemandTracker {
   /** Since when a job has had tasks waiting, by its id, in steady milliseconds. */
   private readonly shortSince = new Map<string, number>();
-  private needs: ShardStatus['needs'] = [];
+  private unmetNeeds: ShardStatus['needs'] = [];
 
   constructor(private readonly parts: ResourceDemandParts) {}
 
+  /** What the last plan has left waiting, the most urgent first, as far as it is reported to the leader. */
+  get needs(): ShardStatus['needs'] {
+    return this.unmetNeeds.slice(0, MAX_NEEDS);
+  }
+
   /** A job is over: it lacks nothing any more. */
   forget(job: string): void {
     this.shortSince.delete(job);
@@ -164,47 +155,10 @@
       for (const { zone, count: n } of this.byZone(job, late))
         shortages.push({ types, zone, spot: job.spec.spot, match, need, count: n });
     }
-    this.needs = needs;
+    this.unmetNeeds = needs;
     return shortages;
   }
 
-  /** How long the machines of this shard would take for the urgent jobs that wait, in seconds. */
-  private urgentS(): number {
-    const now = this.parts.context.clock.now();
-    const slots = new Map<string, number>();
-    let seconds = 0;
-    for (const job of this.parts.jobs.values()) {
-      if (remainingTasksPriority(job) < PRIORITY.high || job.spec.kind === 'service' || job.notBefore > now)
-        continue;
-      if (job.pendingDependencies.size > 0) continue;
-      if (job.spec.kind === 'gang' && job.placements.size > 0) continue;
-      const open = unplacedCount(job);
-      if (open === 0) continue;
-      const { cpus, gpus, memoryGb } = job.need;
-      const key = `${cpus} ${gpus} ${memoryGb} ${job.spec.types ?? ''} ${job.spec.zone} ${job.spec.spot} ${job.spec.match?.requirements ?? ''}`;
-      const fit = slots.get(key) ?? this.slotsFor(job, now);
-      slots.set(key, fit);
-      seconds += (open * this.parts.estimates.runS(job.spec)) / Math.max(1, fit);
-    }
-    return Math.min(1e6, seconds);
-  }
-
-  /** How many tasks of a job the shard's machines take at once. */
-  private slotsFor(job: Job, now: number): number {
-    let slots = 0;
-    for (const m of this.parts.registry.machines.values()) {
-      if (
-        m.decommissioning ||
-        m.leaseExpired ||
-        m.quarantinedUntil > now ||
-        !kindAllowed(job, m.type, m.zone, m.spot)
-      )
-        continue;
-      slots += fitCount(this.parts.context.catalog.size(m.type), job.need, MAX_TASKS_PER_MACHINE);
-    }
-    return slots;
-  }
-
   /**
    * In which zones so many tasks of a job need machines; null: in any. One that is held to a zone by its other tasks, or kept from
    * it by them, would otherwise be given machines without end where it starts on none of them.
@@ -286,60 +240,6 @@
       UNLIMITED_TASKS,
     );
   }
-
-  /** What the shard lacks and what it has to spare, for the leader; `node` is the owner's name. */
-  shardStatus(node: string): ShardStatus {
-    return {
-      shard: this.parts.index,
-      node,
-      zone: this.parts.context.settings.zone,
-      urgentS: this.urgentS(),
-      machines: this.parts.registry.machines.size,
-      spares: this.idleMachines(),
-      soft: this.preemptibleMachines(),
-      needs: this.needs.slice(0, MAX_NEEDS),
-    };
-  }
-
-  private idleMachines(): ShardStatus['spares'] {
-    const { images } = this.parts.context.names;
-    const now = this.parts.context.clock.now();
-    const idle: ShardStatus['spares'] = [];
-    const byKind = new Map<string, number>();
-    for (const m of this.parts.registry.machines.values()) {
-      if (!this.parts.hooks.isIdle(m) || this.parts.autoscaler.moving.has(m.id) || m.quarantinedUntil > now)
-        continue;
-      const kind = kindKey(m.type, m.zone, m.spot);
-      const count = (byKind.get(kind) ?? 0) + 1;
-      byKind.set(kind, count);
-      if (count > MAX_IDLE_MACHINES_PER_KIND) continue;
-      idle.push({ ...this.describe(m), images: [...m.images.keys()].map((i) => images.name(i)) });
-    }
-    return idle;
-  }
-
-  /** Machines on which all tasks could be stopped for the most urgent jobs of other shards, with the highest priority there. */
-  private preemptibleMachines(): ShardStatus['soft'] {
-    const { registry, autoscaler, transfers, jobs } = this.parts;
-    const preemptible: ShardStatus['soft'] = [];
-    for (const m of registry.machines.values()) {
-      if (
-        transfers.isReserved(m.id) ||
-        autoscaler.moving.has(m.id) ||
-        !transfers.isPreemptibleFor(m, PRIORITY.production + 1)
-      )
-        continue;
-      let top = 0;
-      for (const h of m.attempts.values()) top = Math.max(top, jobs.get(h.job)?.priority ?? 0);
-      preemptible.push({ ...this.describe(m), images: [], top });
-    }
-    return preemptible.slice(0, MAX_PREEMPTIBLE_MACHINES);
-  }
-
-  private describe(m: Machine): { id: string; type: string; zone: string; spot: boolean } {
-    const { types, zones } = this.parts.context.names;
-    return { id: m.id, type: types.name(m.type), zone: zones.name(m.zone), spot: m.spot };
-  }
 }
 
 /** When tasks could start on a machine that is rented now, in seconds. */
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -19,7 +19,8 @@
 import type { DependencyStatus, DependentClaim } from './dependencymessages.js';
 import { pauseAfterPlanMs } from './planningbudget.js';
 import type { StatusAnswer, SubmitAnswer } from './responses.js';
-import { ShardComponents, type ShardOptions, TICK_INTERVAL_MS } from './shardcomponents.js';
+import { ShardComponents } from './shardcomponents.js';
+import { type ShardOptions, TICK_INTERVAL_MS } from './shardoptions.js';
 
 /** Many changes that come close together make one plan. */
 const PLAN_DELAY_MS = 30;
@@ -281,7 +282,7 @@
 
   /** What the shard lacks and what it has to spare, for the leader; `node` is the owner's name. */
   shardStatus(node: string): ShardStatus {
-    return this.components.resourceDemand.shardStatus(node);
+    return this.components.statusReport.status(node);
   }
 
   // --- jobs
--- a/src/scheduler/shardcomponents.ts
+++ b/src/scheduler/shardcomponents.ts
@@ -1,9 +1,6 @@
 import { Autoscaler } from '../autoscaler/autoscaler.js';
 import type { Log } from '../config/log.js';
-import type { ControllerContext } from '../context/context.js';
 import { JobRecords } from '../jobs/records.js';
-import type { TakeoverState } from '../standby/standbyreplicas.js';
-import type { StandbyReplicator } from '../standby/standbyreplicator.js';
 import type { Machine } from '../workers/machine.js';
 import { MachineRegistry } from '../workers/machineregistry.js';
 import { Admission } from './admission.js';
@@ -18,53 +15,17 @@
 import { Preemption } from './preemption.js';
 import { ShardReplicationSource } from './replicationsource.js';
 import { ResourceDemandTracker } from './resourcedemand.js';
-import type { PeerShards } from './responses.js';
 import { RuntimeEstimates } from './runtimeestimates.js';
 import { SchedulingOrder } from './schedulingorder.js';
+import { type ShardLifecycle, type ShardOptions, TICK_INTERVAL_MS } from './shardoptions.js';
 import { ShardStatusLog } from './shardstatuslog.js';
+import { ShardStatusReport } from './shardstatusreport.js';
 import { SpotDraining } from './spotdraining.js';
 import { TaskDispatcher } from './taskdispatcher.js';
 import { TaskProgress } from './taskprogress.js';
 import { UnreconciledMachines } from './unreconciledmachines.js';
 import { WarmStart } from './warmstart.js';
 
-/** How often a shard looks at what time alone decides, in milliseconds. */
-export const TICK_INTERVAL_MS = 1000;
-
-/** What a node owns a shard with. */
-export interface ShardOptions {
-  readonly context: ControllerContext;
-  /** The shard's index among the shards of the cluster. */
-  readonly index: number;
-  /** The revision of the owner's key: fences off all that former owners do. */
-  readonly term: number;
-  /** Whether the lease under which the shard was claimed surely lasts, by the clock just now. */
-  readonly leaseCovers: () => boolean;
-  /** Called when a write has shown that the shard is another node's. */
-  readonly onOwnershipLost: () => void;
-  readonly peers: PeerShards;
-  /** The owner's side of its standby; null without one. */
-  readonly replicator: StandbyReplicator | null;
-  /** What came from the former owner through the standby that this node was; null without it. */
-  readonly takeover: TakeoverState | null;
-}
-
-/** What the parts of a shard ask of its lifecycle. */
-export interface ShardLifecycle {
-  /** Whether the shard is no longer this node's. */
-  isStopped(): boolean;
-  /** Whether jobs and machines have been read from the state service. */
-  isLoaded(): boolean;
-  /** Whether the shard is loaded and its owner may act. */
-  isReady(): boolean;
-  /** Whether this node surely owns the shard, by the clock just now. */
-  mayAct(): boolean;
-  /** Plans again soon. */
-  requestPlan(): void;
-  /** Stops the shard, which is another node's by now; returns the error to be thrown. */
-  lostOwnership(): Error;
-}
-
 /**
  * The parts of a shard, joined. Several of them depend on each other in both directions (the registry reports tasks to the
  * task progress, which has the registry stop tasks), so they call each other through hooks, which are looked up when they are
@@ -87,6 +48,7 @@
   readonly planInput: PlanInput;
   readonly order: SchedulingOrder;
   readonly resourceDemand: ResourceDemandTracker;
+  readonly statusReport: ShardStatusReport;
   readonly planner: Planner;
   readonly admission: Admission;
   readonly jobRequests: JobRequests;
@@ -124,6 +86,7 @@
     this.planInput = this.createPlanInput();
     this.order = new SchedulingOrder(context, this.jobTable, this.registry, this.estimates);
     this.resourceDemand = this.createResourceDemand();
+    this.statusReport = this.createStatusReport();
     this.planner = this.createPlanner();
     this.admission = this.createAdmission();
     this.jobRequests = this.createJobRequests();
@@ -290,25 +253,37 @@
   }
 
   private createResourceDemand(): ResourceDemandTracker {
-    const { context, index } = this.options;
-    const { registry, estimates, autoscaler, transfers } = this;
+    const { context } = this.options;
+    const { estimates, autoscaler } = this;
     return new ResourceDemandTracker({
       context,
-      index,
-      registry,
       jobs: this.jobTable.jobs,
       estimates,
       autoscaler,
-      transfers,
       hooks: {
         teamUsage: () => this.dispatcher.teamUsage(),
         surelyNotRunning: (job) => this.unreconciled.surelyNotRunning(job),
         isGuaranteed: (job) => this.order.isGuaranteed(job),
-        isIdle: (m) => this.isIdle(m),
       },
     });
   }
 
+  private createStatusReport(): ShardStatusReport {
+    const { context, index } = this.options;
+    const { registry, estimates, autoscaler, transfers } = this;
+    return new ShardStatusReport({
+      context,
+      index,
+      registry,
+      jobs: this.jobTable.jobs,
+      estimates,
+      autoscaler,
+      transfers,
+      demand: this.resourceDemand,
+      isIdle: (m) => this.isIdle(m),
+    });
+  }
+
   private createPlanner(): Planner {
     const { context } = this.options;
     const { estimates, planInput, order, dispatcher, preemption, resourceDemand } = this;
--- a/src/scheduler/spotdraining.ts
+++ b/src/scheduler/spotdraining.ts
@@ -5,25 +5,28 @@
 
 /** Stops are sent this much before the last moment. */
 const STOP_LEAD_MS = 4000;
+/** A task that is expected to end this much before the machine is reclaimed is left alone. */
+const END_MARGIN_MS = 2000;
 
-/** Tasks on machines that are to be taken away save in time, and go on elsewhere. */
+/** Has tasks on machines that the cloud is about to reclaim save their state in time, to go on elsewhere. */
 export class SpotDraining {
   constructor(
     private readonly registry: MachineRegistry,
     private readonly jobs: ReadonlyMap<string, Job>,
     private readonly estimates: RuntimeEstimates,
     /** How often `drain` is called. */
-    private readonly everyMs: number,
+    private readonly intervalMs: number,
   ) {}
 
+  /** Stops the tasks for which it is time, all of a gang together; `now` in steady milliseconds. */
   drain(now: number): void {
     for (const job of this.jobs.values()) {
       let until = Number.POSITIVE_INFINITY;
       for (const h of job.placements.values()) {
-        const u = h.machine.reclaimAt;
-        if (u === null || this.estimates.expectedEnd(h, now) < u - 2000) continue;
-        if (job.spec.kind === 'gang') until = Math.min(until, u);
-        else this.drainTask(job, h, u, now);
+        const { reclaimAt } = h.machine;
+        if (reclaimAt === null || this.estimates.expectedEnd(h, now) < reclaimAt - END_MARGIN_MS) continue;
+        if (job.spec.kind === 'gang') until = Math.min(until, reclaimAt);
+        else this.drainTask(job, h, reclaimAt, now);
       }
       if (until < Number.POSITIVE_INFINITY)
         for (const h of job.placements.values()) this.drainTask(job, h, until, now);
@@ -32,13 +35,13 @@
 
   private drainTask(job: Job, h: TaskAttempt, until: number, now: number): void {
     if (h.stop) return;
-    const useless = h.state === 'fetching' || h.state === 'waiting';
-    if (useless) {
+    // It has done nothing yet that could be saved.
+    if (h.state === 'fetching' || h.state === 'waiting') {
       this.registry.stopTask(h, 0);
       return;
     }
     if (job.spec.checkpointS === 0) return;
-    const lead = job.spec.saveS * 1000 + STOP_LEAD_MS;
-    if (now >= until - lead - this.everyMs) this.registry.stopTask(h, job.spec.saveS + 1);
+    const leadMs = job.spec.saveS * 1000 + STOP_LEAD_MS;
+    if (now >= until - leadMs - this.intervalMs) this.registry.stopTask(h, job.spec.saveS + 1);
   }
 }
--- a/src/scheduler/taskdispatcher.ts
+++ b/src/scheduler/taskdispatcher.ts
@@ -174,7 +174,7 @@
     );
   }
 
-  /** Whether a team's limits leave room for so many more tasks of a job. */
+  /** Whether a job's team may run so many more tasks of it within its limits. */
   private teamPermits(job: Job, count: number, usage: ReadonlyMap<number, Amounts>): boolean {
     const team = this.context.settings.teams[job.team];
     const use = usage.get(job.team);
--- a/src/scheduler/taskprogress.ts
+++ b/src/scheduler/taskprogress.ts
@@ -12,18 +12,28 @@
 
 /** Completed tasks of a job are stored no more often than this, until the last one. */
 const STORE_INTERVAL_MS = 2000;
+/** How often it is looked whether that is over. */
 const STORE_POLL_MS = 100;
 const STORE_RETRY_MS = 400;
+/** A machine that had no room for a task takes no other for so long. */
+const NO_ROOM_QUARANTINE_MS = 4000;
+/** After the exit causes `busy` and `unknown` no task of the job starts for so long. */
+const BUSY_RETRY_MS = 3000;
 
+/** What `TaskProgress` asks of its shard, and what it reports to it. */
 export interface TaskProgressHooks {
+  /** Whether the shard is no longer this node's. */
   stopped(): boolean;
   requestPlan(): void;
+  /** Stops the shard; returns the error to be thrown. */
   lostOwnership(): Error;
   /** An attempt is surely no longer on its machine, and nothing of it is still to be stored. */
   onAttemptLeft(job: Job, h: TaskAttempt): void;
-  /** A task has begun to run, or a machine to hold an image. */
+  /** A task has begun to run. */
   onRunning(h: TaskAttempt): void;
+  /** A machine has fetched an image. */
   onImageCached(m: Machine): void;
+  /** The estimates have learnt from a task of a job. */
   onRuntimeLearnt(job: Job): void;
   /** When an attempt that was found running began to, as far as the former owner knew; steady milliseconds. */
   runningSince(h: TaskAttempt): number | null;
@@ -47,10 +57,11 @@
 export class TaskProgress {
   constructor(private readonly parts: TaskProgressParts) {}
 
+  /** A machine reports an attempt that was not known to be there. */
   onAttemptFound(h: TaskAttempt): void {
     const job = this.parts.jobTable.jobs.get(h.job);
     if (!job) {
-      // Over, cancelled, or never accepted: nobody wants it.
+      // Over, cancelled, or never accepted: it is of no use.
       if (h.state === 'exited') h.exitRecorded = true;
       else this.parts.registry.stopTask(h, 0);
       return;
@@ -85,6 +96,7 @@
     if (!known) this.parts.hooks.onImageCached(h.machine);
   }
 
+  /** The state or the exit cause of a known attempt has changed. */
   onAttemptChanged(h: TaskAttempt): void {
     const job = this.parts.jobTable.jobs.get(h.job);
     if (!job) {
@@ -102,7 +114,7 @@
     if (job.hasStarted) return;
     job.hasStarted = true;
     const waitS = Math.round((this.parts.context.clock.wall() - job.acceptedWall) / 100) / 10;
-    this.parts.log.info({ job: job.spec.id, class: job.spec.class, waitS }, 'job begun');
+    this.parts.log.info({ job: job.spec.id, class: job.spec.class, waitS }, 'job started');
   }
 
   private onExited(job: Job, h: TaskAttempt): void {
@@ -130,8 +142,9 @@
     }
     h.exitRecorded = true;
     if (h.cause === 'error') this.parts.failures.onTaskFailed(job, m, now);
-    if (h.cause === 'no_room') m.quarantinedUntil = Math.max(m.quarantinedUntil, now + 4000);
-    if (h.cause === 'busy' || h.cause === 'unknown') job.notBefore = Math.max(job.notBefore, now + 3000);
+    if (h.cause === 'no_room') m.quarantinedUntil = Math.max(m.quarantinedUntil, now + NO_ROOM_QUARANTINE_MS);
+    if (h.cause === 'busy' || h.cause === 'unknown')
+      job.notBefore = Math.max(job.notBefore, now + BUSY_RETRY_MS);
     this.stopRestOfGang(job);
   }
 
@@ -141,6 +154,7 @@
     for (const h of job.placements.values()) if (!h.stop) this.parts.registry.stopTask(h, 0);
   }
 
+  /** An attempt is surely no longer on its machine, without having been reported as exited. */
   onAttemptGone(h: TaskAttempt, why: GoneReason): void {
     this.parts.log.debug(
       { task: `${h.job}/${h.index}`, attempt: h.attempt, machine: h.machine.id, phase: h.startPhase, why },
@@ -159,7 +173,7 @@
    */
   private removePlacement(job: Job, h: TaskAttempt): void {
     job.duplicateAttempts.delete(h);
-    // A completed one counts until its completion is stored: who takes over would start it again elsewhere.
+    // A completed one counts until its completion is stored: the next owner would start it again elsewhere.
     if (h.cause !== 'done') this.parts.hooks.onAttemptLeft(job, h);
     if (job.placements.get(h.index) !== h) return;
     job.placements.delete(h.index);
@@ -171,6 +185,7 @@
     }
   }
 
+  /** Takes up a job as it is stored; one that is in memory stays as it is. */
   adopt(l: LoadedJob): Job {
     const id = l.record.spec.id;
     const known = this.parts.jobTable.jobs.get(id);
@@ -210,12 +225,13 @@
           else await this.parts.records.storeDone(job);
         } catch (error) {
           if (error instanceof NotOwnerError) throw this.parts.hooks.lostOwnership();
-          this.parts.log.debug({ job: job.spec.id, err: error }, 'storing progress failed');
+          this.parts.log.debug({ job: job.spec.id, err: error }, 'storing task completions failed');
           await pause(this.parts.context.clock, STORE_RETRY_MS);
         }
       });
     } catch (error) {
-      if (!(error instanceof NotOwnerError)) this.parts.log.error({ err: error }, 'storing progress ended');
+      if (!(error instanceof NotOwnerError))
+        this.parts.log.error({ err: error }, 'storing task completions gave up');
     } finally {
       job.storeAfter = this.parts.context.clock.now() + STORE_INTERVAL_MS;
       job.storing = false;
@@ -237,8 +253,8 @@
   }
 
   /**
-   * A job's user has asked to cancel it. That is enough to stop it: its tasks end whether or not the end can be stored soon, and
-   * before anybody else can have read it. It is called cancelled only once that is stored.
+   * A job's user has asked to cancel it. That is enough to stop it: its tasks end whether or not the cancellation can be stored
+   * soon, and before anybody else can have read it. The job is reported as cancelled only once that is stored.
    */
   requestCancellation(job: Job): void {
     job.cancelRequested = true;
@@ -248,7 +264,7 @@
     this.parts.registry.sendStops();
   }
 
-  /** A job has been stored as over: nothing of it is wanted on machines any more. */
+  /** A job has been stored as over: its tasks on machines are stopped, or forgotten when they have exited. */
   endJob(job: Job, status: 'done' | 'cancelled'): void {
     const id = job.spec.id;
     this.parts.jobTable.end(job, status);
@@ -260,7 +276,7 @@
       }
     }
     this.parts.registry.sendStops();
-    this.parts.log.info({ job: id, status }, 'job over');
+    this.parts.log.info({ job: id, status }, 'job ended');
     this.parts.hooks.onJobEnded(job, status);
     this.parts.hooks.requestPlan();
   }
--- a/src/scheduler/unreconciledmachines.ts
+++ b/src/scheduler/unreconciledmachines.ts
@@ -6,18 +6,18 @@
 import { surelyNotRunning } from '../standby/takeoverchecks.js';
 import type { MachineRegistry } from '../workers/machineregistry.js';
 
-/** Machines that are there answer the first question of a new owner within this. */
+/** Machines that are reachable answer the first request of a new owner within this. */
 const RECONCILE_GRACE_MS = 2500;
-/** Told to operators once so many of the machines that were taken over have answered. */
+/** Logged once so many of the machines that were taken over have reported. */
 const RECONCILED_SHARE = 0.9;
 
-/** What a new owner does not know yet: which tasks of the owners before it are on machines that have not reported to it. */
+/** What a new owner does not know yet: which tasks of former owners are on machines that have not reported to it. */
 export class UnreconciledMachines {
   private loadedAt: number | null = null;
   private adoptedCount = 0;
   private logged = false;
   private allReconciledOnce = false;
-  /** When it was last found that not all machines are known. */
+  /** When it was last found that not all machines have reported; steady milliseconds. */
   private lastIncompleteAt = Number.NaN;
 
   constructor(
@@ -28,7 +28,7 @@
     private readonly claimedAt: number,
   ) {}
 
-  /** Jobs and machines have been read; from here on it can become less. */
+  /** Jobs and machines have been read; from here on machines are reconciled. */
   onLoaded(): void {
     this.loadedAt = this.context.clock.now();
     this.adoptedCount = this.registry.machines.size;
@@ -49,8 +49,8 @@
 
   /** Whether a task of a job that is not known to be anywhere is surely nowhere. */
   surelyNotRunning(job: Job): boolean {
-    const of = { fresh: job.acceptedUnderThisTerm, id: job.spec.id };
-    return surelyNotRunning(of, this.snapshot, this.allReconciled, (id) => this.isUnreconciled(id));
+    const facts = { fresh: job.acceptedUnderThisTerm, id: job.spec.id };
+    return surelyNotRunning(facts, this.snapshot, this.allReconciled, (id) => this.isUnreconciled(id));
   }
 
   private isUnreconciled(machine: string): boolean {
@@ -58,7 +58,8 @@
   }
 
   /**
-   * Until when a job cannot start, since a machine that may hold tasks of it does not answer; null when it can. Machines that
+   * Until when (steady milliseconds) a job cannot start, since a machine that may hold tasks of it does not answer; null when it
+   * can. Machines that
    * have not answered soon after the take-over may not do so before their leases are over.
    */
   blockedUntil(job: Job, now: number): number | null {
@@ -83,17 +84,17 @@
     return this.allReconciledOnce;
   }
 
-  /** Tells operators once when most of the machines have been reached. */
+  /** Logs once that most of the machines have reported; `now` in steady milliseconds. */
   logOnceReconciled(now: number): void {
     if (this.logged || this.loadedAt === null) return;
-    let unseen = 0;
-    for (const m of this.registry.machines.values()) if (m.mayHoldUnreportedTasks) unseen++;
-    if (unseen > this.adoptedCount * (1 - RECONCILED_SHARE)) return;
+    let unreconciled = 0;
+    for (const m of this.registry.machines.values()) if (m.mayHoldUnreportedTasks) unreconciled++;
+    if (unreconciled > this.adoptedCount * (1 - RECONCILED_SHARE)) return;
     this.logged = true;
     if (this.adoptedCount > 0)
       this.log.info(
-        { machines: this.adoptedCount, unseen, ms: Math.round(now - this.claimedAt) },
-        'machines reached',
+        { machines: this.adoptedCount, unreconciled, ms: Math.round(now - this.claimedAt) },
+        'machines reconciled',
       );
   }
 }
--- a/src/scheduler/warmstart.ts
+++ b/src/scheduler/warmstart.ts
@@ -6,8 +6,8 @@
 import type { RuntimeEstimates } from './runtimeestimates.js';
 
 /**
- * What a shard's new owner takes over from the one before it, where that told its standby. All of it are hints: images and
- * run times only guide the plan, and a session that is no longer the machine's is answered with the one that is.
+ * What a shard's new owner takes over from the former one, as far as that replicated it to its standby. All of it are hints:
+ * images and run times only guide the plan, and a machine answers an incarnation that is no longer its own with the one that is.
  */
 export class WarmStart {
   constructor(
@@ -15,7 +15,7 @@
     private readonly snapshot: ReplicaSnapshot | null,
   ) {}
 
-  /** Gives jobs, machines and estimates what is known of them. */
+  /** Restores images of machines, estimates of run times and quarantines of jobs. */
   apply(jobs: readonly Job[], machines: Iterable<Machine>, estimates: RuntimeEstimates): void {
     if (!this.snapshot) return;
     const { clock, names, catalog } = this.context;
@@ -26,26 +26,28 @@
         noteImage(m, names.images.index(image), gb, cache);
     }
     for (const job of jobs) {
-      const s = this.snapshot.quarantine(job.spec.id);
-      if (!s) continue;
+      const quarantine = this.snapshot.quarantine(job.spec.id);
+      if (!quarantine) continue;
       job.quarantined = true;
-      job.failures = s.failures;
-      job.notBefore = clock.now() + Math.max(0, s.until - clock.wall());
+      job.failures = quarantine.failures;
+      job.notBefore = clock.now() + Math.max(0, quarantine.until - clock.wall());
     }
   }
 
+  /** The incarnation of a machine that the former owner knew; null when it knew none. */
   incarnationOf(m: Machine): number | null {
     return this.snapshot?.machine(m.id)?.session ?? null;
   }
 
+  /** When an attempt began to run, as far as the former owner knew; steady milliseconds. */
   runningSince(h: TaskAttempt): number | null {
     const since = this.snapshot?.runningSince(`${h.job}/${h.index}`, h.attempt) ?? null;
     const { clock } = this.context;
-    // Times of day of two nodes differ by the skew; nothing has run since a time to come.
+    // Times of day of two nodes differ by the skew; nothing has run since a time in the future.
     return since === null ? null : Math.min(clock.now(), clock.now() - (clock.wall() - since));
   }
 
-  /** Machines in the order in which they are asked: first those with the most room for what waits. */
+  /** Machines in the order in which they are reconciled: first those on which the fewest jobs may have tasks. */
   reconciliationOrder(machines: readonly Machine[], jobs: readonly Job[]): readonly Machine[] {
     if (!this.snapshot) return machines;
     const busy = new Map<string, number>();
