--- a/src/scheduler/taskdispatcher.ts
+++ b/src/scheduler/taskdispatcher.ts
@@ -6,7 +6,8 @@
 import { dependenciesMet, machineUsable } from '../standby/takeoverchecks.js';
 import { PRIORITY } from '../wire/users.js';
 import type { Machine, TaskAttempt } from '../workers/machine.js';
-import type { MachineRegistry, TaskStart } from '../workers/machineregistry.js';
+import type { MachineRegistry } from '../workers/machineregistry.js';
+import type { TaskStart } from '../workers/taskstarts.js';
 import { UNREACHABLE_MS } from './planinput.js';
 
 /** Attempt numbers that an owner has under one term. */
