--- a/src/scheduler/taskprogress.ts
+++ b/src/scheduler/taskprogress.ts
@@ -5,25 +5,36 @@
 import type { Job } from '../jobs/job.js';
 import type { JobRecords, LoadedJob } from '../jobs/records.js';
 import { type Machine, noteImage, type TaskAttempt } from '../workers/machine.js';
-import type { GoneReason, MachineRegistry } from '../workers/machineregistry.js';
+import type { MachineRegistry } from '../workers/machineregistry.js';
+import type { GoneReason } from '../workers/registryhooks.js';
 import type { FailureTracker } from './failuretracker.js';
 import type { JobTable } from './jobtable.js';
 import type { RuntimeEstimates } from './runtimeestimates.js';
 
 /** Completed tasks of a job are stored no more often than this, until the last one. */
 const STORE_INTERVAL_MS = 2000;
+/** How often it is looked whether that is over. */
 const STORE_POLL_MS = 100;
 const STORE_RETRY_MS = 400;
+/** A machine that had no room for a task takes no other for so long. */
+const NO_ROOM_QUARANTINE_MS = 4000;
+/** After the exit causes `busy` and `unknown` no task of the job starts for so long. */
+const BUSY_RETRY_MS = 3000;
 
+/** What `TaskProgress` asks of its shard, and what it reports to it. */
 export interface TaskProgressHooks {
+  /** Whether the shard is no longer this node's. */
   stopped(): boolean;
   requestPlan(): void;
+  /** Stops the shard; returns the error to be thrown. */
   lostOwnership(): Error;
   /** An attempt is surely no longer on its machine, and nothing of it is still to be stored. */
   onAttemptLeft(job: Job, h: TaskAttempt): void;
-  /** A task has begun to run, or a machine to hold an image. */
+  /** A task has begun to run. */
   onRunning(h: TaskAttempt): void;
+  /** A machine has fetched an image. */
   onImageCached(m: Machine): void;
+  /** The estimates have learnt from a task of a job. */
   onRuntimeLearnt(job: Job): void;
   /** When an attempt that was found running began to, as far as the former owner knew; steady milliseconds. */
   runningSince(h: TaskAttempt): number | null;
@@ -31,43 +42,47 @@
   onJobEnded(job: Job, status: 'done' | 'cancelled'): void;
 }
 
+/** What `TaskProgress` is made of. */
+export interface TaskProgressParts {
+  readonly context: ControllerContext;
+  readonly registry: MachineRegistry;
+  readonly jobTable: JobTable;
+  readonly records: JobRecords;
+  readonly estimates: RuntimeEstimates;
+  readonly failures: FailureTracker;
+  readonly log: Log;
+  readonly hooks: TaskProgressHooks;
+}
+
 /** What becomes of tasks on machines, as reported, and how that is made durable before machines may forget it. */
 export class TaskProgress {
-  constructor(
-    private readonly context: ControllerContext,
-    private readonly registry: MachineRegistry,
-    private readonly jobTable: JobTable,
-    private readonly records: JobRecords,
-    private readonly estimates: RuntimeEstimates,
-    private readonly failures: FailureTracker,
-    private readonly log: Log,
-    private readonly hooks: TaskProgressHooks,
-  ) {}
+  constructor(private readonly parts: TaskProgressParts) {}
 
+  /** A machine reports an attempt that was not known to be there. */
   onAttemptFound(h: TaskAttempt): void {
-    const job = this.jobTable.jobs.get(h.job);
+    const job = this.parts.jobTable.jobs.get(h.job);
     if (!job) {
-      // Over, cancelled, or never accepted: nobody wants it.
+      // Over, cancelled, or never accepted: it is of no use.
       if (h.state === 'exited') h.exitRecorded = true;
-      else this.registry.stopTask(h, 0);
+      else this.parts.registry.stopTask(h, 0);
       return;
     }
     const other = job.placements.get(h.index);
     if (h.state !== 'exited') {
       if (job.cancelRequested || job.done.has(h.index) || (other && other !== h))
-        this.registry.stopTask(h, 0);
+        this.parts.registry.stopTask(h, 0);
       if (!other) job.placements.set(h.index, h);
       else if (other !== h) job.duplicateAttempts.add(h);
       this.noteAttempt(job, h);
       this.noteImageOf(job, h);
       if (h.state === 'running') {
-        h.runningAt = this.hooks.runningSince(h) ?? h.runningAt;
+        h.runningAt = this.parts.hooks.runningSince(h) ?? h.runningAt;
         this.onRunning(job, h);
       }
     } else {
       this.onAttemptChanged(h);
     }
-    this.hooks.requestPlan();
+    this.parts.hooks.requestPlan();
   }
 
   private noteAttempt(job: Job, h: TaskAttempt): void {
@@ -76,14 +91,15 @@
 
   private noteImageOf(job: Job, h: TaskAttempt): void {
     if (h.state === 'fetching') return;
-    const cache = this.context.catalog.get(h.machine.type)?.cacheGb ?? 0;
+    const cache = this.parts.context.catalog.get(h.machine.type)?.cacheGb ?? 0;
     const known = h.machine.images.has(job.image);
     noteImage(h.machine, job.image, job.spec.imageGb, cache);
-    if (!known) this.hooks.onImageCached(h.machine);
+    if (!known) this.parts.hooks.onImageCached(h.machine);
   }
 
+  /** The state or the exit cause of a known attempt has changed. */
   onAttemptChanged(h: TaskAttempt): void {
-    const job = this.jobTable.jobs.get(h.job);
+    const job = this.parts.jobTable.jobs.get(h.job);
     if (!job) {
       if (h.state === 'exited') h.exitRecorded = true;
       return;
@@ -91,63 +107,65 @@
     this.noteImageOf(job, h);
     if (h.state === 'exited') this.onExited(job, h);
     else if (h.state === 'running') this.onRunning(job, h);
-    this.hooks.requestPlan();
+    this.parts.hooks.requestPlan();
   }
 
   private onRunning(job: Job, h: TaskAttempt): void {
-    this.hooks.onRunning(h);
+    this.parts.hooks.onRunning(h);
     if (job.hasStarted) return;
     job.hasStarted = true;
-    const waitS = Math.round((this.context.clock.wall() - job.acceptedWall) / 100) / 10;
-    this.log.info({ job: job.spec.id, class: job.spec.class, waitS }, 'job begun');
+    const waitS = Math.round((this.parts.context.clock.wall() - job.acceptedWall) / 100) / 10;
+    this.parts.log.info({ job: job.spec.id, class: job.spec.class, waitS }, 'job started');
   }
 
   private onExited(job: Job, h: TaskAttempt): void {
     this.removePlacement(job, h);
     const m = h.machine;
-    const now = this.context.clock.now();
-    this.log.debug(
+    const now = this.parts.context.clock.now();
+    this.parts.log.debug(
       { task: `${h.job}/${h.index}`, attempt: h.attempt, machine: m.id, cause: h.cause },
       'task exited',
     );
     if (h.cause === 'done') {
-      this.failures.onTaskSucceeded(job, m);
+      this.parts.failures.onTaskSucceeded(job, m);
       if (h.runningAt !== null && h.exitedAt !== null) {
-        this.estimates.learn(job, (h.exitedAt - h.runningAt) / 1000);
-        this.hooks.onRuntimeLearnt(job);
+        this.parts.estimates.learn(job, (h.exitedAt - h.runningAt) / 1000);
+        this.parts.hooks.onRuntimeLearnt(job);
       }
       // The tasks of a gang complete together: if one is done, all are.
       job.unacknowledgedExits.push(h);
       const indexes = job.spec.kind === 'gang' ? [...Array(job.spec.tasks).keys()] : [h.index];
       for (const i of indexes) {
-        if (job.done.add(i)) job.dirtyChunks.add(this.records.chunkOf(job, i));
+        if (job.done.add(i)) job.dirtyChunks.add(this.parts.records.chunkOf(job, i));
       }
       void this.storeCompletions(job);
       return;
     }
     h.exitRecorded = true;
-    if (h.cause === 'error') this.failures.onTaskFailed(job, m, now);
-    if (h.cause === 'no_room') m.quarantinedUntil = Math.max(m.quarantinedUntil, now + 4000);
-    if (h.cause === 'busy' || h.cause === 'unknown') job.notBefore = Math.max(job.notBefore, now + 3000);
+    if (h.cause === 'error') this.parts.failures.onTaskFailed(job, m, now);
+    if (h.cause === 'no_room') m.quarantinedUntil = Math.max(m.quarantinedUntil, now + NO_ROOM_QUARANTINE_MS);
+    if (h.cause === 'busy' || h.cause === 'unknown')
+      job.notBefore = Math.max(job.notBefore, now + BUSY_RETRY_MS);
     this.stopRestOfGang(job);
   }
 
   /** When a gang has lost a task, the rest of the attempt is of no use; the next waits until all are gone. */
   private stopRestOfGang(job: Job): void {
     if (job.spec.kind !== 'gang' || job.placements.size === 0) return;
-    for (const h of job.placements.values()) if (!h.stop) this.registry.stopTask(h, 0);
+    for (const h of job.placements.values()) if (!h.stop) this.parts.registry.stopTask(h, 0);
   }
 
+  /** An attempt is surely no longer on its machine, without having been reported as exited. */
   onAttemptGone(h: TaskAttempt, why: GoneReason): void {
-    this.log.debug(
+    this.parts.log.debug(
       { task: `${h.job}/${h.index}`, attempt: h.attempt, machine: h.machine.id, phase: h.startPhase, why },
       'task gone',
     );
-    const job = this.jobTable.jobs.get(h.job);
+    const job = this.parts.jobTable.jobs.get(h.job);
     if (!job) return;
     this.removePlacement(job, h);
     this.stopRestOfGang(job);
-    this.hooks.requestPlan();
+    this.parts.hooks.requestPlan();
   }
 
   /**
@@ -156,8 +174,8 @@
    */
   private removePlacement(job: Job, h: TaskAttempt): void {
     job.duplicateAttempts.delete(h);
-    // A completed one counts until its completion is stored: who takes over would start it again elsewhere.
-    if (h.cause !== 'done') this.hooks.onAttemptLeft(job, h);
+    // A completed one counts until its completion is stored: the next owner would start it again elsewhere.
+    if (h.cause !== 'done') this.parts.hooks.onAttemptLeft(job, h);
     if (job.placements.get(h.index) !== h) return;
     job.placements.delete(h.index);
     for (const other of job.duplicateAttempts) {
@@ -168,14 +186,21 @@
     }
   }
 
+  /** Takes up a job as it is stored; one that is in memory stays as it is. */
   adopt(l: LoadedJob): Job {
     const id = l.record.spec.id;
-    const known = this.jobTable.jobs.get(id);
+    const known = this.parts.jobTable.jobs.get(id);
     if (known) return known;
-    const job = this.jobTable.make(l.record.spec, l.record.accepted, l.record.deadline, false, l.version);
+    const job = this.parts.jobTable.make(
+      l.record.spec,
+      l.record.accepted,
+      l.record.deadline,
+      false,
+      l.version,
+    );
     job.partsUnder = l.partsUnder;
-    this.records.restore(job, l.chunks);
-    this.jobTable.jobs.set(id, job);
+    this.parts.records.restore(job, l.chunks);
+    this.parts.jobTable.jobs.set(id, job);
     if (job.done.count === job.spec.tasks || job.storedCount < job.done.count)
       void this.storeCompletions(job);
     return job;
@@ -189,25 +214,27 @@
     if (job.storing) return;
     job.storing = true;
     const unfinished = () =>
-      !this.hooks.stopped() && job.state === 'active' && job.done.count < job.spec.tasks;
+      !this.parts.hooks.stopped() && job.state === 'active' && job.done.count < job.spec.tasks;
     try {
-      while (unfinished() && this.context.clock.now() < job.storeAfter)
-        await pause(this.context.clock, STORE_POLL_MS);
-      await this.jobTable.exclusive(job.spec.id, async () => {
-        if (this.hooks.stopped() || job.state !== 'active' || job.storedCount >= job.done.count) return;
+      while (unfinished() && this.parts.context.clock.now() < job.storeAfter)
+        await pause(this.parts.context.clock, STORE_POLL_MS);
+      await this.parts.jobTable.exclusive(job.spec.id, async () => {
+        if (this.parts.hooks.stopped() || job.state !== 'active' || job.storedCount >= job.done.count) return;
         try {
-          if (job.done.count === job.spec.tasks) this.endJob(job, await this.records.finish(job, 'done'));
-          else await this.records.storeDone(job);
+          if (job.done.count === job.spec.tasks)
+            this.endJob(job, await this.parts.records.finish(job, 'done'));
+          else await this.parts.records.storeDone(job);
         } catch (error) {
-          if (error instanceof NotOwnerError) throw this.hooks.lostOwnership();
-          this.log.debug({ job: job.spec.id, err: error }, 'storing progress failed');
-          await pause(this.context.clock, STORE_RETRY_MS);
+          if (error instanceof NotOwnerError) throw this.parts.hooks.lostOwnership();
+          this.parts.log.debug({ job: job.spec.id, err: error }, 'storing task completions failed');
+          await pause(this.parts.context.clock, STORE_RETRY_MS);
         }
       });
     } catch (error) {
-      if (!(error instanceof NotOwnerError)) this.log.error({ err: error }, 'storing progress ended');
+      if (!(error instanceof NotOwnerError))
+        this.parts.log.error({ err: error }, 'storing task completions gave up');
     } finally {
-      job.storeAfter = this.context.clock.now() + STORE_INTERVAL_MS;
+      job.storeAfter = this.parts.context.clock.now() + STORE_INTERVAL_MS;
       job.storing = false;
       this.acknowledgeExits(job);
     }
@@ -215,42 +242,43 @@
 
   private acknowledgeExits(job: Job): void {
     // A shard that is lost leaves what it could not store to its next owner; to try on would never end.
-    if (this.hooks.stopped()) return;
+    if (this.parts.hooks.stopped()) return;
     if (job.storedCount < job.done.count && job.state === 'active') {
       void this.storeCompletions(job);
       return;
     }
     for (const h of job.unacknowledgedExits.splice(0)) {
       h.exitRecorded = true;
-      this.hooks.onAttemptLeft(job, h);
+      this.parts.hooks.onAttemptLeft(job, h);
     }
   }
 
   /**
-   * A job's user has asked to cancel it. That is enough to stop it: its tasks end whether or not the end can be stored soon, and
-   * before anybody else can have read it. It is called cancelled only once that is stored.
+   * A job's user has asked to cancel it. That is enough to stop it: its tasks end whether or not the cancellation can be stored
+   * soon, and before anybody else can have read it. The job is reported as cancelled only once that is stored.
    */
   requestCancellation(job: Job): void {
     job.cancelRequested = true;
     job.notBefore = Number.POSITIVE_INFINITY;
-    for (const h of [...job.placements.values(), ...job.duplicateAttempts]) this.registry.stopTask(h, 0);
-    this.registry.sendStops();
+    for (const h of [...job.placements.values(), ...job.duplicateAttempts])
+      this.parts.registry.stopTask(h, 0);
+    this.parts.registry.sendStops();
   }
 
-  /** A job has been stored as over: nothing of it is wanted on machines any more. */
+  /** A job has been stored as over: its tasks on machines are stopped, or forgotten when they have exited. */
   endJob(job: Job, status: 'done' | 'cancelled'): void {
     const id = job.spec.id;
-    this.jobTable.end(job, status);
-    for (const m of this.registry.machines.values()) {
+    this.parts.jobTable.end(job, status);
+    for (const m of this.parts.registry.machines.values()) {
       for (const h of m.attempts.values()) {
         if (h.job !== id) continue;
         if (h.state === 'exited') h.exitRecorded = true;
-        else this.registry.stopTask(h, 0);
+        else this.parts.registry.stopTask(h, 0);
       }
     }
-    this.registry.sendStops();
-    this.log.info({ job: id, status }, 'job over');
-    this.hooks.onJobEnded(job, status);
-    this.hooks.requestPlan();
+    this.parts.registry.sendStops();
+    this.parts.log.info({ job: id, status }, 'job ended');
+    this.parts.hooks.onJobEnded(job, status);
+    this.parts.hooks.requestPlan();
   }
 }
