--- a/src/controller/controllernode.ts
+++ b/src/controller/controllernode.ts
@@ -94,18 +94,23 @@
     const nodes = [s.node, ...s.peers.map((p) => p.node)];
     this.ownerClient = new OwnerClient(context, this.membership, this.storedRequests, shards, nodes, {
       locate: (id) => this.routing.locate(id),
-      waitForHandover: (shard) => this.ownership.waitForHandover(shard),
+      waitForHandover: (shard) => this.ownership.handovers.waitForIncoming(shard),
     });
     this.routing = new Routing(context, this.membership, this.ownerClient, shards);
-    this.ownership = new Ownership(context, this.membership, this.ownerClient.peerShards, {
-      holdsLease: () => this.membership.holdsLease,
-      transferMachine: (shard, machine, to) => this.ownerClient.transferMachine(shard, machine, to),
-      evictForTransfer: (shard, machine, to, priority) =>
-        this.ownerClient.evictForTransfer(shard, machine, to, priority),
-      reserveForTransfer: (shard, to, need, zone) =>
-        this.ownerClient.reserveForTransfer(shard, to, need, zone),
-      allSupportLatest: () => this.ownerClient.allSupportLatest,
-      tellOwns: (shard, term) => {
+    this.ownership = new Ownership({
+      context,
+      members: this.membership,
+      peerShards: this.ownerClient.peerShards,
+      leaderHooks: {
+        holdsLease: () => this.membership.holdsLease,
+        transferMachine: (shard, machine, to) => this.ownerClient.transferMachine(shard, machine, to),
+        evictForTransfer: (shard, machine, to, priority) =>
+          this.ownerClient.evictForTransfer(shard, machine, to, priority),
+        reserveForTransfer: (shard, to, need, zone) =>
+          this.ownerClient.reserveForTransfer(shard, to, need, zone),
+        allSupportLatest: () => this.ownerClient.allSupportLatest,
+      },
+      announceOwner: (shard, term) => {
         for (const peer of s.peers)
           this.mesh?.notify(peer.node, PEER_OPS.ownerAnnouncement, {
             shard,
@@ -121,7 +126,7 @@
   async start(mesh: Mesh): Promise<void> {
     this.mesh = mesh;
     this.ownerClient.mesh = mesh;
-    if (this.standbys) this.ownership.standbyCoordinator = this.makeStandbys(this.standbys, mesh);
+    if (this.standbys) this.ownership.enableStandbys(this.makeStandbys(this.standbys, mesh));
     this.cloudPoller.start();
     void this.storedRequests.sweep();
     this.reportStatusLoop();
@@ -144,7 +149,7 @@
       nodeOrder: this.ownership.nodeOrder,
       zoneOf: (node) => this.ownership.zones.get(node) ?? '',
       isCordoned: () => this.ownership.workerConnectivity.cordoned || this.leaving,
-      onTakeover: (shard, term, from) => this.ownership.startOwning(shard, term, from),
+      onTakeover: (shard, term, from) => this.ownership.onTakeover(shard, term, from),
       onShardLost: (shard, term) => this.ownership.onNewerTerm(shard, term + 1),
       requestPlan: (shard) => this.ownership.shards.get(shard)?.requestPlan(),
     });
@@ -194,7 +199,7 @@
       const next = a.passed === true ? null : this.membership.successor(Number(a.shard));
       if (next && this.mesh)
         return this.mesh.request(next.node, op, { ...a, passed: true }, FORWARD_TIMEOUT_MS);
-      await this.ownership.waitForHandover(Number(a.shard));
+      await this.ownership.handovers.waitForIncoming(Number(a.shard));
     }
     switch (op) {
       case CHANGE_FEED_OPS.changes:
@@ -205,7 +210,7 @@
       case STANDBY_OPS.replicate:
         return this.ownership.standbyCoordinator?.replicas.onReplicationMessage(args, from) ?? null;
       case STANDBY_OPS.handOver:
-        return this.ownership.acceptHandover(a);
+        return this.ownership.handovers.accept(Number(a.shard), a);
       case PEER_OPS.shardStatus: {
         const told = readShardStatus(args);
         if (told) this.ownership.leader?.onShardStatus(told);
--- /dev/null
+++ b/src/controller/handover.ts
@@ -0,0 +1,90 @@
+import { pause } from '../clock/clock.js';
+import type { ControllerContext } from '../context/context.js';
+import type { Shard } from '../scheduler/shard.js';
+import { KEYS, type LeaseHolder } from '../schema/schema.js';
+import type { StandbyReplicator } from '../standby/standbyreplicator.js';
+import type { Membership } from './membership.js';
+import type { OwnedShards } from './ownedshards.js';
+import type { OwnerKeys } from './ownerkeys.js';
+import { isCutOffFromStateStore, STATE_STORE_CUT_OFF_MS } from './shardownership.js';
+
+/** Requests for a shard that is being handed over to this node wait no longer than this. */
+const HANDOVER_WAIT_MS = 500;
+const HANDOVER_POLL_MS = 20;
+/** A handover that has not ended after this is no longer waited for. */
+const INCOMING_HANDOVER_VALID_MS = HANDOVER_WAIT_MS * 4;
+
+export interface HandoverOptions {
+  readonly context: ControllerContext;
+  readonly members: Membership;
+  readonly owned: OwnedShards;
+  readonly keys: OwnerKeys;
+}
+
+/** Handovers of shards to a standby that is in sync (docs/standby.md, "Switches"): by this node, and to it. */
+export class Handovers {
+  /** Shards that another node is handing over to this one. */
+  private readonly incoming = new Set<number>();
+
+  constructor(private readonly options: HandoverOptions) {}
+
+  /**
+   * Hands a shard over to its standby in sync: this node ends it first, for good, and redirects users and machines at
+   * once. True when the standby has it; else the key is given up, as without a standby.
+   */
+  async handOver(shard: Shard, why: string): Promise<boolean> {
+    const { members, owned, keys, context } = this.options;
+    const to = owned.successorOf(shard);
+    const replicator = owned.replicatorOf(shard.index);
+    const successor = to === null ? null : members.presenceOf(to);
+    if (!replicator || !successor) return false;
+    context.log.info({ shard: shard.index, to, why }, 'shard handover started');
+    return keys.during(KEYS.owner(shard.index), () => this.switchTo(successor, shard, replicator));
+  }
+
+  private async switchTo(
+    successor: LeaseHolder,
+    shard: Shard,
+    replicator: StandbyReplicator,
+  ): Promise<boolean> {
+    const { context, members, owned, keys } = this.options;
+    const { index, term } = shard;
+    owned.stopOwning(shard);
+    members.setSuccessor(index, successor, term);
+    const startedAt = context.clock.now();
+    const taken = await replicator.handOver();
+    const ms = Math.round(context.clock.now() - startedAt);
+    context.log.info({ shard: index, to: successor.node, taken, ms }, 'shard handover finished');
+    if (taken) return true;
+    members.setSuccessor(index, null, term);
+    await keys.release(index, term);
+    return false;
+  }
+
+  /** Hands over the shards whose standby still reaches the state service while this node does not. */
+  handOverIfCutOff(): void {
+    const { members, owned } = this.options;
+    const { renewalFailingMs } = members;
+    if (renewalFailingMs < STATE_STORE_CUT_OFF_MS) return;
+    for (const shard of [...owned.shards.values()]) {
+      const renewedAgoMs = owned.replicatorOf(shard.index)?.standbyLeaseRenewedAgoMs ?? null;
+      if (isCutOffFromStateStore(renewalFailingMs, renewedAgoMs))
+        void this.handOver(shard, 'cut off from the state service');
+    }
+  }
+
+  /** Lets a request wait a little for a shard that is being handed over to this node. */
+  async waitForIncoming(shard: number): Promise<void> {
+    const { clock } = this.options.context;
+    const until = clock.now() + HANDOVER_WAIT_MS;
+    const isPending = () => this.incoming.has(shard) && !this.options.owned.shards.get(shard)?.ready;
+    while (isPending() && clock.now() < until) await pause(clock, HANDOVER_POLL_MS);
+  }
+
+  /** The owner of a shard hands it over to this node; true when this node has it. `message` is read by the replica. */
+  async accept(shard: number, message: unknown): Promise<boolean> {
+    this.incoming.add(shard);
+    this.options.context.clock.after(INCOMING_HANDOVER_VALID_MS, () => this.incoming.delete(shard));
+    return (await this.options.owned.standbyCoordinator?.replicas.onHandover(message)) ?? false;
+  }
+}
