--- a/src/condor/service.ts
+++ b/src/condor/service.ts
@@ -69,7 +69,7 @@
     };
     const log = context.log.child({ part: 'condor' });
     this.expander = new Expander(context, node, this.records, this.procs, (spec) => this.upload(spec), log);
-    node.extensions.set(OP, (args) => this.serve(String(args.what), args));
+    node.addExtension(OP, (args) => this.serve(String(args.what), args));
   }
 
   start(): void {
--- a/src/controller/controllernode.ts
+++ b/src/controller/controllernode.ts
@@ -1,137 +1,150 @@
 // This package: who owns what: members, claims, leader, routing, stored requests.
 
-import { readResourceDemand, readShardStatus } from '../autoscaler/shardstatus.js';
-import { CHANGE_FEED_OPS } from '../changefeed/messages.js';
 import { nodeLease } from '../config/bounds.js';
 import { regionOfNode } from '../config/settings.js';
 import type { ControllerContext } from '../context/context.js';
-import { InvalidInputError, ProtocolViolationError, UnavailableError } from '../errors/errors.js';
+import { UnavailableError } from '../errors/errors.js';
 import type { Job, JobEntry } from '../jobs/job.js';
-import { readSpec } from '../jobs/records.js';
 import type { Mesh } from '../peer/mesh.js';
-import { readDependentClaims } from '../scheduler/dependencytracker.js';
 import type { StatusAnswer, SubmitAnswer } from '../scheduler/responses.js';
-import {
-  KEYS,
-  MATCH_PROTOCOL_VERSION,
-  PROTOCOL_VERSION,
-  readLeaseHolder,
-  readMachineRecord,
-  writeLeaseHolder,
-} from '../schema/schema.js';
-import { STANDBY_OPS } from '../standby/messages.js';
+import type { Shard } from '../scheduler/shard.js';
+import { KEYS, MATCH_PROTOCOL_VERSION, PROTOCOL_VERSION, writeLeaseHolder } from '../schema/schema.js';
 import type { Entry } from '../wire/state.js';
 import type { JobSpec, ListedJob } from '../wire/users.js';
 import type { Heartbeat } from '../wire/workers.js';
 import { CloudPoller } from './cloudpoller.js';
-import type { UnregisteredMachine } from './leader.js';
+import { type HeartbeatResult, HeartbeatRouter } from './heartbeatrouting.js';
+import { IncomingHandovers } from './incominghandovers.js';
 import { Membership } from './membership.js';
-import { OwnerClient, STORED_OPS } from './ownerclient.js';
+import { OwnerClient, STORABLE_OPERATIONS } from './ownerclient.js';
 import { Ownership } from './ownership.js';
+import { PeerConnections } from './peerconnections.js';
+import { type PeerExtension, PeerHandlers } from './peerhandlers.js';
 import { PEER_OPS } from './peeroperations.js';
-import { RATES_OP, RateAllocator } from './rateallocator.js';
+import { peerShards } from './peershards.js';
+import { RateAllocator } from './rateallocator.js';
 import { Routing } from './routing.js';
 import type { StandbyCoordinator } from './standbycoordinator.js';
+import { StatusReporter } from './statusreporting.js';
 import { StoredRequests } from './storedrequests.js';
 
-export type HeartbeatResult =
-  | { kind: 'orders'; body: object }
-  | { kind: 'redirect'; node: string | null }
-  /** `known` when the machine is one of the cluster's. */
-  | { kind: 'busy'; known: boolean };
-
-const STATUS_INTERVAL_MS = 500;
-/** Questions to the owner of a shard, which go on to the next one while the shard changes hands. */
-const OWNER_OPERATIONS = new Set<string>([
-  PEER_OPS.submit,
-  PEER_OPS.submitWithDependencies,
-  PEER_OPS.status,
-  PEER_OPS.cancel,
-  PEER_OPS.list,
-]);
-const FORWARD_TIMEOUT_MS = 1500;
 const MAX_REMOVED_MACHINES = 2000;
 
-/** One controller: the shards it owns, the leadership when it has it, and the way to everybody else's. */
+/** One controller: the shards it owns, the leadership when it has it, and the way to everybody else's. Wiring only. */
 export class ControllerNode {
   readonly membership: Membership;
-  private readonly ownership: Ownership;
+  private readonly peers = new PeerConnections();
+  /** The shards that this node owns; `ownership` fills and empties it. */
+  private readonly shards = new Map<number, Shard>();
+  private readonly storedRequests: StoredRequests;
   private readonly ownerClient: OwnerClient;
   private readonly routing: Routing;
-  private readonly storedRequests: StoredRequests;
+  private readonly ownership: Ownership;
+  private readonly peerHandlers: PeerHandlers;
+  private readonly heartbeats: HeartbeatRouter;
+  private readonly statusReporter: StatusReporter;
   private readonly cloudPoller: CloudPoller;
   private readonly rateAllocator: RateAllocator;
-  /** What optional parts of a node answer to the same parts of others. */
-  readonly extensions = new Map<string, (args: Record<string, unknown>) => Promise<unknown>>();
   private leaving = false;
-  private mesh: Mesh | null = null;
 
   constructor(
     private readonly context: ControllerContext,
     /** For a node that has standbys for its shards, and stands by for others'; loaded only there. */
     private readonly standbys: typeof StandbyCoordinator | null = null,
   ) {
-    const s = context.settings;
-    this.membership = new Membership(
+    const { peers, shards } = this;
+    this.membership = this.createMembership();
+    const members = this.membership;
+    this.storedRequests = new StoredRequests(context, members.stateCache, (shard, op, args) =>
+      this.serveStored(shard, op, args),
+    );
+    const incomingHandovers = new IncomingHandovers(context.clock, shards);
+    this.ownerClient = new OwnerClient({
+      context,
+      members,
+      storedRequests: this.storedRequests,
+      shards,
+      nodes: [context.settings.node, ...context.settings.peers.map((p) => p.node)],
+      incomingHandovers,
+      peers,
+    });
+    this.routing = new Routing(context, members, this.ownerClient, shards);
+    this.ownership = this.createOwnership(incomingHandovers);
+    const { ownership, ownerClient } = this;
+    this.rateAllocator = new RateAllocator(context, members, peers, () => ownership.leader !== null);
+    const { rateAllocator } = this;
+    this.peerHandlers = new PeerHandlers({ members, ownership, ownerClient, rateAllocator, peers });
+    this.heartbeats = new HeartbeatRouter(context, members, ownership, peers);
+    this.statusReporter = new StatusReporter(context, members, ownership, peers);
+    this.cloudPoller = new CloudPoller(context, members.stateCache, ownership);
+  }
+
+  private createMembership(): Membership {
+    const { context } = this;
+    const { settings } = context;
+    return new Membership(
       context.clock,
       context.store,
-      s.node,
+      settings.node,
       context.incarnation,
       context.log,
       (key, entry) => this.onRecordChanged(key, entry),
       () => this.ownership.stopOwningAll(),
       context.matchCompiler ? MATCH_PROTOCOL_VERSION : PROTOCOL_VERSION,
-      standbys !== null,
-      nodeLease(s.workers).leaseMs,
-      (node) => regionOfNode(s, node),
-      s.stateLimits.rps / s.nodes,
+      this.standbys !== null,
+      nodeLease(settings.workers).leaseMs,
+      (node) => regionOfNode(settings, node),
+      settings.stateLimits.rps / settings.nodes,
     );
-    const shards = () => this.ownership.shards;
-    this.storedRequests = new StoredRequests(context, this.membership.stateCache, (shard, op, args) => {
-      const here = this.ownership.shards.get(shard);
-      return here?.ready && STORED_OPS.has(op) ? this.serve(op, { ...args, shard }) : null;
-    });
-    const nodes = [s.node, ...s.peers.map((p) => p.node)];
-    this.ownerClient = new OwnerClient(context, this.membership, this.storedRequests, shards, nodes, {
-      locate: (id) => this.routing.locate(id),
-      waitForHandover: (shard) => this.ownership.handovers.waitForIncoming(shard),
-    });
-    this.routing = new Routing(context, this.membership, this.ownerClient, shards);
-    this.ownership = new Ownership({
+  }
+
+  private createOwnership(incomingHandovers: IncomingHandovers): Ownership {
+    const { context, membership: members, ownerClient } = this;
+    return new Ownership({
       context,
-      members: this.membership,
-      peerShards: this.ownerClient.peerShards,
+      members,
+      shards: this.shards,
+      incomingHandovers,
+      peerShards: peerShards(context, ownerClient, this.routing),
       leaderHooks: {
-        holdsLease: () => this.membership.holdsLease,
-        transferMachine: (shard, machine, to) => this.ownerClient.transferMachine(shard, machine, to),
+        holdsLease: () => members.holdsLease,
+        transferMachine: (shard, machine, to) => ownerClient.transferMachine(shard, machine, to),
         evictForTransfer: (shard, machine, to, priority) =>
-          this.ownerClient.evictForTransfer(shard, machine, to, priority),
-        reserveForTransfer: (shard, to, need, zone) =>
-          this.ownerClient.reserveForTransfer(shard, to, need, zone),
-        allSupportLatest: () => this.ownerClient.allSupportLatest,
+          ownerClient.evictForTransfer(shard, machine, to, priority),
+        reserveForTransfer: (shard, to, need, zone) => ownerClient.reserveForTransfer(shard, to, need, zone),
+        allSupportLatest: () => ownerClient.allSupportLatest,
       },
       announceOwner: (shard, term) => {
-        for (const peer of s.peers)
-          this.mesh?.notify(peer.node, PEER_OPS.ownerAnnouncement, {
-            shard,
-            term,
-            holder: writeLeaseHolder(this.membership.holder),
-          });
+        for (const peer of context.settings.peers) {
+          const holder = writeLeaseHolder(members.holder);
+          this.peers.notify(peer.node, PEER_OPS.ownerAnnouncement, { shard, term, holder });
+        }
       },
     });
-    this.cloudPoller = new CloudPoller(context, this.membership.stateCache, this.ownership);
-    this.rateAllocator = new RateAllocator(context, this.membership, () => this.ownership.leader !== null);
   }
 
+  private createStandbyCoordinator(coordinator: typeof StandbyCoordinator, mesh: Mesh): StandbyCoordinator {
+    const { ownership } = this;
+    return new coordinator(this.context, this.membership, mesh, {
+      homeNode: (shard) => ownership.homeNode(shard),
+      nodeOrder: ownership.nodeOrder,
+      zoneOf: (node) => ownership.zones.get(node) ?? '',
+      isCordoned: () => ownership.workerConnectivity.cordoned || this.leaving,
+      onTakeover: (shard, term, takeover) => ownership.onTakeover(shard, term, takeover),
+      onShardLost: (shard, term) => ownership.onNewerTerm(shard, term + 1),
+      requestPlan: (shard) => this.shards.get(shard)?.requestPlan(),
+    });
+  }
+
+  /** Joins the cluster and begins to own shards; resolves when the node has its lease. */
   async start(mesh: Mesh): Promise<void> {
-    this.mesh = mesh;
-    this.ownerClient.mesh = mesh;
-    if (this.standbys) this.ownership.enableStandbys(this.makeStandbys(this.standbys, mesh));
+    this.peers.connect(mesh);
+    if (this.standbys) this.ownership.enableStandbys(this.createStandbyCoordinator(this.standbys, mesh));
     this.cloudPoller.start();
-    void this.storedRequests.sweep();
-    this.reportStatusLoop();
+    this.storedRequests.start();
+    this.statusReporter.start();
     this.membership.changeFeed.start(mesh);
-    this.rateAllocator.start(mesh);
+    this.rateAllocator.start();
     await this.membership.start();
     this.ownership.start();
   }
@@ -143,18 +156,7 @@
     await this.membership.leave();
   }
 
-  private makeStandbys(made: typeof StandbyCoordinator, mesh: Mesh): StandbyCoordinator {
-    return new made(this.context, this.membership, mesh, {
-      homeNode: (shard) => this.ownership.homeNode(shard),
-      nodeOrder: this.ownership.nodeOrder,
-      zoneOf: (node) => this.ownership.zones.get(node) ?? '',
-      isCordoned: () => this.ownership.workerConnectivity.cordoned || this.leaving,
-      onTakeover: (shard, term, from) => this.ownership.onTakeover(shard, term, from),
-      onShardLost: (shard, term) => this.ownership.onNewerTerm(shard, term + 1),
-      requestPlan: (shard) => this.ownership.shards.get(shard)?.requestPlan(),
-    });
-  }
-
+  /** Whether this node can answer users: it has a copy of the cluster's state and knows the machine types. */
   get healthy(): boolean {
     return !this.leaving && this.membership.stateCache.isLoaded && this.context.catalog.known;
   }
@@ -165,110 +167,41 @@
       this.membership.onOwnerRecordChanged(Number(key.slice(KEYS.owners.length)));
     if (key.startsWith(KEYS.machines)) {
       const id = key.slice(KEYS.machines.length);
-      for (const shard of this.ownership.shards.values()) shard.onMachineRecord(id, entry);
+      for (const shard of this.shards.values()) shard.onMachineRecord(id, entry);
       if (!entry) this.rememberRemovedMachine(id);
     }
   }
 
   private rememberRemovedMachine(id: string): void {
-    this.context.removedMachines.set(id, this.context.clock.now());
-    if (this.context.removedMachines.size > MAX_REMOVED_MACHINES) {
-      this.context.removedMachines.delete(this.context.removedMachines.keys().next().value!);
-    }
+    const { removedMachines, clock } = this.context;
+    removedMachines.set(id, clock.now());
+    if (removedMachines.size > MAX_REMOVED_MACHINES)
+      removedMachines.delete(removedMachines.keys().next().value!);
   }
 
   // --- between the nodes
 
-  private reportStatusLoop(): void {
-    const leader = this.membership.leader();
-    for (const s of this.ownership.shards.values()) {
-      if (!s.ready) continue;
-      const told = s.shardStatus(this.context.settings.node);
-      if (this.ownership.leader) this.ownership.leader.onShardStatus(told);
-      else if (leader) this.mesh?.notify(leader, PEER_OPS.shardStatus, told);
-    }
-    this.context.clock.after(STATUS_INTERVAL_MS, () => this.reportStatusLoop());
+  /** Answers a message of another controller, `from`; throws a typed error where it cannot be served. */
+  serve(op: string, args: unknown, from = ''): Promise<unknown> {
+    return this.peerHandlers.serve(op, args, from);
   }
 
-  /** What another controller asks. */
-  async serve(op: string, args: unknown, from = ''): Promise<unknown> {
-    const a = (typeof args === 'object' && args !== null ? args : {}) as Record<string, unknown>;
-    if (OWNER_OPERATIONS.has(op) && !this.ownership.shards.get(Number(a.shard))?.ready) {
-      // Just handed over by this node, or to it: whoever asked need not notice.
-      // Passed on once at most: two nodes that have each handed it to the other, and know no better yet, would go on for ever.
-      const next = a.passed === true ? null : this.membership.successor(Number(a.shard));
-      if (next && this.mesh)
-        return this.mesh.request(next.node, op, { ...a, passed: true }, FORWARD_TIMEOUT_MS);
-      await this.ownership.handovers.waitForIncoming(Number(a.shard));
-    }
-    switch (op) {
-      case CHANGE_FEED_OPS.changes:
-      case CHANGE_FEED_OPS.head:
-        return this.membership.changeFeed.serve(op, args);
-      case RATES_OP:
-        return this.rateAllocator.onDemand(from, args);
-      case STANDBY_OPS.replicate:
-        return this.ownership.standbyCoordinator?.replicas.onReplicationMessage(args, from) ?? null;
-      case STANDBY_OPS.handOver:
-        return this.ownership.handovers.accept(Number(a.shard), a);
-      case PEER_OPS.shardStatus: {
-        const told = readShardStatus(args);
-        if (told) this.ownership.leader?.onShardStatus(told);
-        return null;
-      }
-      case PEER_OPS.unregisteredMachine:
-        this.ownership.leader?.onUnregisteredMachine(a as unknown as UnregisteredMachine);
-        return null;
-      case PEER_OPS.ownerAnnouncement: {
-        const holder = readLeaseHolder(a.holder);
-        if (!holder || !Number.isInteger(a.shard) || !Number.isInteger(a.term)) return null;
-        this.membership.onOwnerAnnounced(Number(a.shard), holder, Number(a.term));
-        this.ownership.onNewerTerm(Number(a.shard), Number(a.term));
-        return null;
-      }
-      case PEER_OPS.redirected:
-        this.ownership.workerConnectivity.onRedirect(String(a.machine), from);
-        for (const s of this.ownership.shards.values()) s.registry.onHeartbeatElsewhere(String(a.machine));
-        return null;
-      case PEER_OPS.transferMachine: {
-        const shard = this.ownership.shards.get(Number(a.shard));
-        return shard ? shard.transferMachine(String(a.machine), Number(a.to)) : false;
-      }
-      case PEER_OPS.evictForTransfer: {
-        const shard = this.ownership.shards.get(Number(a.shard));
-        return shard ? shard.evictForTransfer(String(a.machine), Number(a.to), Number(a.priority)) : false;
-      }
-      case PEER_OPS.reserveForTransfer: {
-        const shard = this.ownership.shards.get(Number(a.shard));
-        const need = readResourceDemand(a.need);
-        return shard && need ? shard.reserveForTransfer(Number(a.to), need, String(a.zone)) : false;
-      }
-      case PEER_OPS.dependencyStatus:
-        return this.ownerClient
-          .localShard(a.shard)
-          .dependencyStatus(Number(a.from), readDependentClaims(a.claims));
-      case PEER_OPS.dependencyEnded:
-        if (a.status === 'done' || a.status === 'cancelled')
-          this.ownership.shards.get(Number(a.shard))?.onDependencyEnded(String(a.id), a.status);
-        return null;
-      case PEER_OPS.submitWithDependencies:
-      case PEER_OPS.submit: {
-        const spec = readSpec(a.spec);
-        if (!spec) throw new InvalidInputError('bad job');
-        return this.ownerClient.localShard(a.shard).submit(spec);
-      }
-      case PEER_OPS.status:
-        return this.ownerClient.localShard(a.shard).status(String(a.id));
-      case PEER_OPS.cancel:
-        return this.ownerClient.localShard(a.shard).cancel(String(a.id));
-      case PEER_OPS.list:
-        return this.ownerClient.localShard(a.shard).list(String(a.under), String(a.after), Number(a.most));
-      default: {
-        const extension = this.extensions.get(op);
-        if (!extension) throw new ProtocolViolationError(`unknown request ${op}`);
-        return extension(a);
-      }
-    }
+  /** Answers a request that came by way of the state service; null when its shard is not this node's. */
+  private serveStored(shard: number, op: string, args: object): Promise<unknown> | null {
+    const isServed = this.shards.get(shard)?.ready && STORABLE_OPERATIONS.has(op);
+    return isServed ? this.serve(op, { ...args, shard }) : null;
+  }
+
+  /** Adds the answers of an optional part of this node to the same part of others. */
+  addExtension(op: string, extension: PeerExtension): void {
+    this.peerHandlers.extensions.set(op, extension);
+  }
+
+  /** Sends a request to the same part of another node; throws `UnavailableError` before this node has started. */
+  requestNode(node: string, op: string, args: object, timeoutMs: number): Promise<unknown> {
+    const { mesh } = this.peers;
+    if (!mesh) throw new UnavailableError('not connected yet');
+    return mesh.request(node, op, args, timeoutMs);
   }
 
   // --- users
@@ -280,21 +213,24 @@
 
   /** A job that is not over and that this node owns. */
   job(id: string): Job | undefined {
-    for (const shard of this.ownership.shards.values()) {
+    for (const shard of this.shards.values()) {
       const job = shard.job(id);
       if (job) return job;
     }
     return undefined;
   }
 
+  /** Submits a job to the owner of its shard. */
   submit(spec: JobSpec): Promise<SubmitAnswer> {
     return this.routing.submit(spec);
   }
 
+  /** The status of a job; null when there never was one with this id. */
   status(id: string): Promise<StatusAnswer | null> {
     return this.routing.status(id);
   }
 
+  /** Cancels a job; how it ended, or null when there never was one with this id. */
   cancel(id: string): Promise<'done' | 'cancelled' | null> {
     return this.routing.cancel(id);
   }
@@ -309,52 +245,10 @@
     return this.ownerClient.allSupportMatching;
   }
 
-  /** Puts a question to the same part of another node. */
-  requestNode(node: string, op: string, args: object, timeoutMs: number): Promise<unknown> {
-    if (!this.mesh) throw new UnavailableError('not connected yet');
-    return this.mesh.request(node, op, args, timeoutMs);
-  }
-
   // --- workers
 
-  onHeartbeat(r: Heartbeat): HeartbeatResult {
-    for (const s of this.ownership.shards.values()) {
-      const m = s.registry.machines.get(r.machine);
-      if (!m) continue;
-      this.ownership.workerConnectivity.onHeartbeat(m.id);
-      const body = s.onHeartbeat(m, r);
-      return body ? { kind: 'orders', body } : { kind: 'busy', known: true };
-    }
-    const entry = this.membership.stateCache.entries.get(KEYS.machine(r.machine));
-    const record = entry && readMachineRecord(entry.value);
-    if (!record) {
-      this.reportUnregistered(r);
-      return { kind: 'busy', known: false };
-    }
-    const owner = this.membership.owner(record.shard);
-    // A node without its lease has lost touch with the state service. Whom it takes for the owner may be the one that was
-    // cut off together with it: each sent machines to the other, and none to the new owner, until their leases ran out.
-    if (
-      !owner ||
-      owner.node === this.context.settings.node ||
-      !(this.membership.holdsLease || this.membership.ownerHasAnnounced(record.shard))
-    )
-      return { kind: 'busy', known: true };
-    this.mesh?.notify(owner.node, PEER_OPS.redirected, { machine: r.machine });
-    return { kind: 'redirect', node: owner.node };
-  }
-
-  private reportUnregistered(r: Heartbeat): void {
-    const machine: UnregisteredMachine = {
-      id: r.machine,
-      addr: r.addr,
-      type: r.type,
-      zone: r.zone,
-      spot: r.spot,
-      ageS: 0,
-    };
-    const leader = this.membership.leader();
-    if (this.ownership.leader) this.ownership.leader.onUnregisteredMachine(machine);
-    else if (leader) this.mesh?.notify(leader, PEER_OPS.unregisteredMachine, machine);
+  /** Answers a worker's heartbeat. */
+  onHeartbeat(heartbeat: Heartbeat): HeartbeatResult {
+    return this.heartbeats.onHeartbeat(heartbeat);
   }
 }
--- a/src/controller/handover.ts
+++ b/src/controller/handover.ts
@@ -1,31 +1,23 @@
-import { pause } from '../clock/clock.js';
 import type { ControllerContext } from '../context/context.js';
 import type { Shard } from '../scheduler/shard.js';
 import { KEYS, type LeaseHolder } from '../schema/schema.js';
 import type { StandbyReplicator } from '../standby/standbyreplicator.js';
+import type { IncomingHandovers } from './incominghandovers.js';
 import type { Membership } from './membership.js';
 import type { OwnedShards } from './ownedshards.js';
 import type { OwnerKeys } from './ownerkeys.js';
 import { isCutOffFromStateStore, STATE_STORE_CUT_OFF_MS } from './shardownership.js';
 
-/** Requests for a shard that is being handed over to this node wait no longer than this. */
-const HANDOVER_WAIT_MS = 500;
-const HANDOVER_POLL_MS = 20;
-/** A handover that has not ended after this is no longer waited for. */
-const INCOMING_HANDOVER_VALID_MS = HANDOVER_WAIT_MS * 4;
-
 export interface HandoverOptions {
   readonly context: ControllerContext;
   readonly members: Membership;
   readonly owned: OwnedShards;
   readonly keys: OwnerKeys;
+  readonly incoming: IncomingHandovers;
 }
 
 /** Handovers of shards to a standby that is in sync (docs/standby.md, "Switches"): by this node, and to it. */
 export class Handovers {
-  /** Shards that another node is handing over to this one. */
-  private readonly incoming = new Set<number>();
-
   constructor(private readonly options: HandoverOptions) {}
 
   /**
@@ -73,18 +65,9 @@
     }
   }
 
-  /** Lets a request wait a little for a shard that is being handed over to this node. */
-  async waitForIncoming(shard: number): Promise<void> {
-    const { clock } = this.options.context;
-    const until = clock.now() + HANDOVER_WAIT_MS;
-    const isPending = () => this.incoming.has(shard) && !this.options.owned.shards.get(shard)?.ready;
-    while (isPending() && clock.now() < until) await pause(clock, HANDOVER_POLL_MS);
-  }
-
   /** The owner of a shard hands it over to this node; true when this node has it. `message` is read by the replica. */
   async accept(shard: number, message: unknown): Promise<boolean> {
-    this.incoming.add(shard);
-    this.options.context.clock.after(INCOMING_HANDOVER_VALID_MS, () => this.incoming.delete(shard));
+    this.options.incoming.add(shard);
     return (await this.options.owned.standbyCoordinator?.replicas.onHandover(message)) ?? false;
   }
 }
--- /dev/null
+++ b/src/controller/heartbeatrouting.ts
@@ -0,0 +1,70 @@
+import type { ControllerContext } from '../context/context.js';
+import { KEYS, readMachineRecord } from '../schema/schema.js';
+import type { Heartbeat } from '../wire/workers.js';
+import type { UnregisteredMachine } from './leader.js';
+import type { Membership } from './membership.js';
+import type { Ownership } from './ownership.js';
+import type { PeerConnections } from './peerconnections.js';
+import { PEER_OPS } from './peeroperations.js';
+
+/** What a worker gets in answer to a heartbeat. */
+export type HeartbeatResult =
+  | { readonly kind: 'orders'; readonly body: object }
+  /** The worker is to report to another node, the owner of its machine's shard. */
+  | { readonly kind: 'redirect'; readonly node: string | null }
+  /** Nobody can answer it now; `known` when the machine is one of the cluster's. */
+  | { readonly kind: 'busy'; readonly known: boolean };
+
+/** Takes workers' heartbeats to the shard of their machine: here, or by redirecting them to its owner. */
+export class HeartbeatRouter {
+  constructor(
+    private readonly context: ControllerContext,
+    private readonly members: Membership,
+    private readonly ownership: Ownership,
+    private readonly peers: PeerConnections,
+  ) {}
+
+  /** Answers a heartbeat; those of machines that no record names are reported to the leader. */
+  onHeartbeat(heartbeat: Heartbeat): HeartbeatResult {
+    for (const shard of this.ownership.shards.values()) {
+      const machine = shard.registry.machines.get(heartbeat.machine);
+      if (!machine) continue;
+      this.ownership.workerConnectivity.onHeartbeat(machine.id);
+      const body = shard.onHeartbeat(machine, heartbeat);
+      return body ? { kind: 'orders', body } : { kind: 'busy', known: true };
+    }
+    const entry = this.members.stateCache.entries.get(KEYS.machine(heartbeat.machine));
+    const record = entry && readMachineRecord(entry.value);
+    if (record) return this.redirect(heartbeat.machine, record.shard);
+    this.reportUnregistered(heartbeat);
+    return { kind: 'busy', known: false };
+  }
+
+  private redirect(machine: string, shard: number): HeartbeatResult {
+    const owner = this.members.owner(shard);
+    // A node without its lease has lost touch with the state service. Whom it takes for the owner may be the one that was
+    // cut off together with it: each sent machines to the other, and none to the new owner, until their leases ran out.
+    if (
+      !owner ||
+      owner.node === this.context.settings.node ||
+      !(this.members.holdsLease || this.members.ownerHasAnnounced(shard))
+    )
+      return { kind: 'busy', known: true };
+    this.peers.notify(owner.node, PEER_OPS.redirected, { machine });
+    return { kind: 'redirect', node: owner.node };
+  }
+
+  private reportUnregistered(heartbeat: Heartbeat): void {
+    const machine: UnregisteredMachine = {
+      id: heartbeat.machine,
+      addr: heartbeat.addr,
+      type: heartbeat.type,
+      zone: heartbeat.zone,
+      spot: heartbeat.spot,
+      ageS: 0,
+    };
+    const leader = this.members.leader();
+    if (this.ownership.leader) this.ownership.leader.onUnregisteredMachine(machine);
+    else if (leader) this.peers.notify(leader, PEER_OPS.unregisteredMachine, machine);
+  }
+}
--- a/src/controller/ownedshards.ts
+++ b/src/controller/ownedshards.ts
@@ -9,6 +9,8 @@
 export interface OwnedShardsOptions {
   readonly context: ControllerContext;
   readonly members: Membership;
+  /** Filled and emptied here only; other parts read it. */
+  readonly shards: Map<number, Shard>;
   /** What a shard here needs of the others. */
   readonly peerShards: PeerShards;
   /** Called when this node has begun to own a shard under a term. */
@@ -17,7 +19,7 @@
 
 /** The schedulers of the shards that this node owns, with the owner's side of their standbys. */
 export class OwnedShards {
-  readonly shards = new Map<number, Shard>();
+  readonly shards: Map<number, Shard>;
   /**
    * Terms under which this node has owned a shard and does so no more. None is ever taken up again: tokens and attempts
    * would be those of the former ownership, whose orders may still be under way.
@@ -27,7 +29,9 @@
   standbyCoordinator: StandbyCoordinator | null = null;
   private readonly replicators = new Map<number, StandbyReplicator>();
 
-  constructor(private readonly options: OwnedShardsOptions) {}
+  constructor(private readonly options: OwnedShardsOptions) {
+    this.shards = options.shards;
+  }
 
   /** A shard's key is this node's, under a term; `takeover` is what a standby had replicated of it. */
   startOwning(index: number, term: number, takeover: TakeoverState | null = null): void {
--- a/src/controller/ownerclient.ts
+++ b/src/controller/ownerclient.ts
@@ -1,186 +1,196 @@
 import type { ResourceDemand } from '../autoscaler/shardstatus.js';
 import type { ControllerContext } from '../context/context.js';
 import { UnavailableError } from '../errors/errors.js';
-import type { JobEntry } from '../jobs/job.js';
-import { jobStatusFromStore } from '../jobs/jobstatus.js';
-import { type Mesh, PeerRejectedError } from '../peer/mesh.js';
+import { PeerRejectedError } from '../peer/mesh.js';
 import {
   type DependencyStatus,
   type DependentClaim,
   readDependencyStatuses,
 } from '../scheduler/dependencytracker.js';
-import { NOT_READY, OwnerUnavailableError, type PeerShards } from '../scheduler/responses.js';
+import { NOT_READY, OwnerUnavailableError } from '../scheduler/responses.js';
 import type { Shard } from '../scheduler/shard.js';
 import { MATCH_PROTOCOL_VERSION, PROTOCOL_VERSION } from '../schema/schema.js';
+import type { IncomingHandovers } from './incominghandovers.js';
 import type { Membership } from './membership.js';
+import type { PeerConnections } from './peerconnections.js';
 import { PEER_OPS } from './peeroperations.js';
 import type { StoredRequests } from './storedrequests.js';
 
-const ASK_MS = 3500;
+const REQUEST_TIMEOUT_MS = 3500;
 /**
- * When a question can also be answered by way of the state service, less is spent on the direct way: users wait 2 s for
- * the state of a job and 5 s for other answers.
+ * When a request can also be answered by way of the state service, less time is spent on the direct way: users wait 2 s
+ * for the state of a job and 5 s for other answers.
  */
-const ASK_FIRST_MS = 1800;
-const ASK_STATUS_MS = 900;
-/** An owner that has answered neither directly nor by a stored request is not written to for this long: users are told at once. */
-const NO_STORED_MS = 2500;
-const STORED_MS = 1000;
-export const STORED_OPS = new Set<string>([
+const STORABLE_REQUEST_TIMEOUT_MS = 1800;
+const STATUS_REQUEST_TIMEOUT_MS = 900;
+/** Owners ask each other often what has become of jobs, and the state service when there is no answer. */
+const DEPENDENCY_REQUEST_TIMEOUT_MS = 2000;
+/**
+ * An owner that has answered neither directly nor by a stored request gets no stored request for this long: users are
+ * told at once.
+ */
+const STORED_REQUESTS_PAUSE_MS = 2500;
+const STORED_REQUEST_TIMEOUT_MS = 1000;
+
+/** Requests that may also be sent by way of the state service. */
+export const STORABLE_OPERATIONS: ReadonlySet<string> = new Set([
   PEER_OPS.submit,
   PEER_OPS.submitWithDependencies,
   PEER_OPS.cancel,
 ]);
-/** Owners ask each other often what has become of jobs, and the state service when there is no answer. */
-const ASK_NEEDED_MS = 2000;
 
-export interface OwnerClientHooks {
-  locate(id: string): Promise<JobEntry | null>;
-  /** Waits a little for a shard that is just being handed over to this node. */
-  waitForHandover(shard: number): Promise<void>;
+export interface OwnerClientOptions {
+  readonly context: ControllerContext;
+  readonly members: Membership;
+  readonly storedRequests: StoredRequests;
+  /** The shards that this node owns. */
+  readonly shards: ReadonlyMap<number, Shard>;
+  /** All nodes of the settings. */
+  readonly nodes: readonly string[];
+  readonly incomingHandovers: IncomingHandovers;
+  readonly peers: PeerConnections;
+}
+
+/** A request to a shard's owner. */
+export interface OwnerRequest<T> {
+  readonly shard: number;
+  readonly op: string;
+  readonly args: object;
+  /** Answers it when this node is the owner. */
+  answerHere(shard: Shard): Promise<T>;
+  /** Whether it is not to be sent by way of the state service. */
+  readonly directOnly?: boolean;
 }
 
 /** The way to a shard's owner, wherever it is: here, directly, or by a stored request. */
 export class OwnerClient {
-  mesh: Mesh | null = null;
+  /** Until when an owner gets no stored requests, by its incarnation, in steady milliseconds. */
   private readonly storedRequestsPausedUntil = new Map<string, number>();
 
-  constructor(
-    private readonly context: ControllerContext,
-    private readonly members: Membership,
-    private readonly storedRequests: StoredRequests,
-    /** The shards of this node. */
-    private readonly shards: () => ReadonlyMap<number, Shard>,
-    private readonly nodes: readonly string[],
-    private readonly hooks: OwnerClientHooks,
-  ) {}
-
-  async transferMachine(shard: number, machine: string, to: number): Promise<boolean> {
-    const local = this.shards().get(shard);
-    if (local) return local.transferMachine(machine, to);
-    const owner = this.members.owner(shard);
-    if (!owner) return false;
-    return (
-      (await this.mesh?.request(owner.node, PEER_OPS.transferMachine, { shard, machine, to }, ASK_MS)) ===
-      true
-    );
-  }
+  constructor(private readonly options: OwnerClientOptions) {}
 
-  async evictForTransfer(shard: number, machine: string, to: number, priority: number): Promise<boolean> {
-    const local = this.shards().get(shard);
-    if (local) return local.evictForTransfer(machine, to, priority);
-    const owner = this.members.owner(shard);
-    if (!owner) return false;
-    return (
-      (await this.mesh?.request(
-        owner.node,
-        PEER_OPS.evictForTransfer,
-        { shard, machine, to, priority },
-        ASK_MS,
-      )) === true
+  /** The owner of a shard gives an empty machine to another; false when it does not. */
+  transferMachine(shard: number, machine: string, to: number): Promise<boolean> {
+    return this.requestTransfer(shard, PEER_OPS.transferMachine, { shard, machine, to }, (local) =>
+      local.transferMachine(machine, to),
     );
   }
 
-  async reserveForTransfer(shard: number, to: number, need: ResourceDemand, zone: string): Promise<boolean> {
-    const local = this.shards().get(shard);
-    if (local) return local.reserveForTransfer(to, need, zone);
-    const owner = this.members.owner(shard);
-    if (!owner) return false;
-    return (
-      (await this.mesh?.request(
-        owner.node,
-        PEER_OPS.reserveForTransfer,
-        { shard, to, need, zone },
-        ASK_MS,
-      )) === true
+  /** The owner of a shard clears a machine for another's more urgent work; false when it does not. */
+  evictForTransfer(shard: number, machine: string, to: number, priority: number): Promise<boolean> {
+    return this.requestTransfer(shard, PEER_OPS.evictForTransfer, { shard, machine, to, priority }, (local) =>
+      local.evictForTransfer(machine, to, priority),
     );
   }
 
-  localShard(shard: unknown): Shard {
-    const s = this.shards().get(Number(shard));
-    if (!s) throw new UnavailableError('not the owner');
-    return s;
+  /** The owner of a shard promises a machine whose tasks end soon to another; false when it does not. */
+  reserveForTransfer(shard: number, to: number, need: ResourceDemand, zone: string): Promise<boolean> {
+    return this.requestTransfer(shard, PEER_OPS.reserveForTransfer, { shard, to, need, zone }, (local) =>
+      local.reserveForTransfer(to, need, zone),
+    );
   }
 
-  /** Puts a question to a shard's owner, wherever it is. */
-  async request<T>(
+  private async requestTransfer(
     shard: number,
     op: string,
     args: object,
-    here: (s: Shard) => Promise<T>,
-    mayStore = true,
-  ): Promise<T> {
-    if (this.shards().get(shard)?.ready === false) await this.hooks.waitForHandover(shard);
-    const local = this.shards().get(shard);
-    if (local) return here(local);
-    const owner = this.members.owner(shard);
-    if (!owner || owner.node === this.context.settings.node || !this.mesh)
+    answerHere: (local: Shard) => Promise<boolean> | boolean,
+  ): Promise<boolean> {
+    const local = this.options.shards.get(shard);
+    if (local) return answerHere(local);
+    const owner = this.options.members.owner(shard);
+    if (!owner) return false;
+    return (await this.options.peers.mesh?.request(owner.node, op, args, REQUEST_TIMEOUT_MS)) === true;
+  }
+
+  /** A shard of this node; throws `UnavailableError` when this node does not own it. */
+  localShard(index: number): Shard {
+    const shard = this.options.shards.get(index);
+    if (!shard) throw new UnavailableError('not the owner');
+    return shard;
+  }
+
+  /**
+   * Sends a request to a shard's owner, wherever it is. Throws `OwnerUnavailableError` when nobody who could decide can be
+   * asked now, `UnavailableError` when the owner cannot serve now.
+   */
+  async request<T>(request: OwnerRequest<T>): Promise<T> {
+    const { shard, op, args } = request;
+    const { context, members, shards, incomingHandovers, peers } = this.options;
+    if (shards.get(shard)?.ready === false) await incomingHandovers.wait(shard);
+    const local = shards.get(shard);
+    if (local) return request.answerHere(local);
+    const owner = members.owner(shard);
+    if (!owner || owner.node === context.settings.node || !peers.mesh)
       throw new OwnerUnavailableError('no owner at present');
-    const stored = STORED_OPS.has(op);
-    const ms = stored ? ASK_FIRST_MS : op === PEER_OPS.status ? ASK_STATUS_MS : ASK_MS;
     try {
-      return (await this.mesh.request(owner.node, op, { shard, ...args }, ms)) as T;
+      return (await peers.mesh.request(owner.node, op, { shard, ...args }, requestTimeoutMs(op))) as T;
     } catch (error) {
       // An owner that answers is not to be asked again: it knows best that it cannot serve now.
       const message = error instanceof Error ? error.message : 'owner does not answer';
       if (error instanceof PeerRejectedError)
         throw message === NOT_READY ? new OwnerUnavailableError(message) : new UnavailableError(message);
-      if (stored && mayStore) return await this.requestThroughStore<T>(shard, owner.incarnation, op, args);
+      if (STORABLE_OPERATIONS.has(op) && !request.directOnly)
+        return await this.requestThroughStore<T>(shard, owner.incarnation, op, args);
       throw new OwnerUnavailableError(message);
     }
   }
 
-  async requestThroughStore<T>(shard: number, run: string, op: string, args: object): Promise<T> {
-    const now = this.context.clock.now();
-    if (now < (this.storedRequestsPausedUntil.get(run) ?? 0))
+  /**
+   * Sends a request to the owner of a shard, known by its incarnation, by way of the state service. Throws
+   * `UnavailableError` when there is no answer in time.
+   */
+  async requestThroughStore<T>(shard: number, incarnation: string, op: string, args: object): Promise<T> {
+    const { context, storedRequests, nodes } = this.options;
+    const now = context.clock.now();
+    if (now < (this.storedRequestsPausedUntil.get(incarnation) ?? 0))
       throw new UnavailableError('owner does not answer');
     try {
-      return (await this.storedRequests.send(shard, op, { ...args }, STORED_MS)) as T;
+      return (await storedRequests.send(shard, op, { ...args }, STORED_REQUEST_TIMEOUT_MS)) as T;
     } catch (error) {
-      if (this.storedRequestsPausedUntil.size > this.nodes.length * 4) this.storedRequestsPausedUntil.clear();
-      this.storedRequestsPausedUntil.set(run, this.context.clock.now() + NO_STORED_MS);
+      if (this.storedRequestsPausedUntil.size > nodes.length * 4) this.storedRequestsPausedUntil.clear();
+      this.storedRequestsPausedUntil.set(incarnation, context.clock.now() + STORED_REQUESTS_PAUSE_MS);
       throw new UnavailableError(error instanceof Error ? error.message : 'owner does not answer');
     }
   }
 
+  /** Asks a shard's owner about jobs there that jobs of the shard `from` depend on. Throws `UnavailableError` without an owner. */
+  async requestDependencyStatus(
+    shard: number,
+    from: number,
+    claims: DependentClaim[],
+  ): Promise<DependencyStatus[]> {
+    const local = this.options.shards.get(shard);
+    if (local) return local.dependencyStatus(from, claims);
+    const owner = this.options.members.owner(shard);
+    const { mesh } = this.options.peers;
+    if (!owner || !mesh) throw new UnavailableError('no owner at present');
+    const args = { shard, from, claims };
+    return readDependencyStatuses(
+      await mesh.request(owner.node, PEER_OPS.dependencyStatus, args, DEPENDENCY_REQUEST_TIMEOUT_MS),
+    );
+  }
+
+  /** Notifies a shard's owner how a job ended that jobs there depend on; it may not arrive. */
+  notifyDependencyEnded(shard: number, id: string, status: 'done' | 'cancelled'): void {
+    const local = this.options.shards.get(shard);
+    const owner = this.options.members.owner(shard);
+    if (local) local.onDependencyEnded(id, status);
+    else if (owner) this.options.peers.notify(owner.node, PEER_OPS.dependencyEnded, { shard, id, status });
+  }
+
   /** Whether every node understands what the first version did not. */
   get allSupportLatest(): boolean {
-    return this.members.allSupport(this.nodes, PROTOCOL_VERSION);
+    return this.options.members.allSupport(this.options.nodes, PROTOCOL_VERSION);
   }
 
   /** Whether every node understands jobs with match expressions. */
   get allSupportMatching(): boolean {
-    return this.members.allSupport(this.nodes, MATCH_PROTOCOL_VERSION);
+    return this.options.members.allSupport(this.options.nodes, MATCH_PROTOCOL_VERSION);
   }
+}
 
-  /** What a shard here needs of the others. */
-  readonly peerShards: PeerShards = {
-    allSupportLatest: () => this.allSupportLatest,
-    locate: (id: string) => this.hooks.locate(id),
-    jobStatusFromStore: (id: string) => jobStatusFromStore(this.context.store, id),
-    requestDependencyStatus: async (
-      shard: number,
-      from: number,
-      claims: DependentClaim[],
-    ): Promise<DependencyStatus[]> => {
-      const local = this.shards().get(shard);
-      if (local) return local.dependencyStatus(from, claims);
-      const owner = this.members.owner(shard);
-      if (!owner || !this.mesh) throw new UnavailableError('no owner at present');
-      return readDependencyStatuses(
-        await this.mesh.request(
-          owner.node,
-          PEER_OPS.dependencyStatus,
-          { shard, from, claims },
-          ASK_NEEDED_MS,
-        ),
-      );
-    },
-    notifyDependencyEnded: (shard: number, id: string, status: 'done' | 'cancelled') => {
-      const local = this.shards().get(shard);
-      const owner = this.members.owner(shard);
-      if (local) local.onDependencyEnded(id, status);
-      else if (owner) this.mesh?.notify(owner.node, PEER_OPS.dependencyEnded, { shard, id, status });
-    },
-  };
+function requestTimeoutMs(op: string): number {
+  if (STORABLE_OPERATIONS.has(op)) return STORABLE_REQUEST_TIMEOUT_MS;
+  return op === PEER_OPS.status ? STATUS_REQUEST_TIMEOUT_MS : REQUEST_TIMEOUT_MS;
 }
--- a/src/controller/ownership.ts
+++ b/src/controller/ownership.ts
@@ -6,6 +6,7 @@
 import type { TakeoverState } from '../standby/standbyreplicas.js';
 import { Cordoning } from './cordoning.js';
 import { Handovers } from './handover.js';
+import type { IncomingHandovers } from './incominghandovers.js';
 import { Leader, type LeaderHooks } from './leader.js';
 import { decideLeadership, type LeadershipAction } from './leaderelection.js';
 import type { Membership } from './membership.js';
@@ -28,6 +29,9 @@
 export interface OwnershipOptions {
   readonly context: ControllerContext;
   readonly members: Membership;
+  /** The shards that this node owns: empty at first, filled and emptied here only. */
+  readonly shards: Map<number, Shard>;
+  readonly incomingHandovers: IncomingHandovers;
   /** What a shard here needs of the others. */
   readonly peerShards: PeerShards;
   readonly leaderHooks: LeaderHooks;
@@ -57,7 +61,7 @@
   private reconciling: PeriodicTask | null = null;
 
   constructor(private readonly options: OwnershipOptions) {
-    const { context, members, peerShards } = options;
+    const { context, members, peerShards, shards, incomingHandovers } = options;
     const { settings } = context;
     this.context = context;
     this.members = members;
@@ -68,11 +72,12 @@
     this.owned = new OwnedShards({
       context,
       members,
+      shards,
       peerShards,
       onStarted: (shard, term) => options.announceOwner(shard, term),
     });
     const { owned, keys } = this;
-    this.handovers = new Handovers({ context, members, owned, keys });
+    this.handovers = new Handovers({ context, members, owned, keys, incoming: incomingHandovers });
     this.cordoning = new Cordoning({
       context,
       members,
@@ -89,6 +94,11 @@
     return this.owned.shards;
   }
 
+  /** Shards that another node is handing over to this one. */
+  get incomingHandovers(): IncomingHandovers {
+    return this.options.incomingHandovers;
+  }
+
   /** Where standbys are enabled, from when the node starts. */
   get standbyCoordinator(): StandbyCoordinator | null {
     return this.owned.standbyCoordinator;
--- /dev/null
+++ b/src/controller/peershards.ts
@@ -0,0 +1,21 @@
+import type { ControllerContext } from '../context/context.js';
+import { jobStatusFromStore } from '../jobs/jobstatus.js';
+import type { PeerShards } from '../scheduler/responses.js';
+import type { OwnerClient } from './ownerclient.js';
+import type { Routing } from './routing.js';
+
+/** What a shard of this node needs of the other shards, wherever their owners are. */
+export function peerShards(
+  context: ControllerContext,
+  ownerClient: OwnerClient,
+  routing: Routing,
+): PeerShards {
+  return {
+    allSupportLatest: () => ownerClient.allSupportLatest,
+    locate: (id) => routing.locate(id),
+    jobStatusFromStore: (id) => jobStatusFromStore(context.store, id),
+    requestDependencyStatus: (shard, from, claims) =>
+      ownerClient.requestDependencyStatus(shard, from, claims),
+    notifyDependencyEnded: (shard, id, status) => ownerClient.notifyDependencyEnded(shard, id, status),
+  };
+}
--- a/src/controller/routing.ts
+++ b/src/controller/routing.ts
@@ -27,7 +27,7 @@
     private readonly members: Membership,
     private readonly ownerClient: OwnerClient,
     /** The shards of this node. */
-    private readonly shards: () => ReadonlyMap<number, Shard>,
+    private readonly shards: ReadonlyMap<number, Shard>,
   ) {
     this.ownerlessAdmission = new OwnerlessAdmission(
       context,
@@ -37,10 +37,19 @@
     );
   }
 
+  private requestStatus(shard: number, id: string): Promise<StatusAnswer | null> {
+    return this.ownerClient.request({
+      shard,
+      op: PEER_OPS.status,
+      args: { id },
+      answerHere: (local) => local.status(id),
+    });
+  }
+
   /** Makes a shard's owner read the record of a job that it may not know of. */
   private async confirmWithOwner(shard: number, id: string): Promise<boolean> {
     try {
-      await this.ownerClient.request(shard, PEER_OPS.status, { id }, (s) => s.status(id));
+      await this.requestStatus(shard, id);
       return true;
     } catch (error) {
       if (!(error instanceof UnavailableError || error instanceof StateStoreError)) throw error;
@@ -76,7 +85,7 @@
   async locate(id: string): Promise<JobEntry | null> {
     const known = this.routes.get(id);
     if (known) return known;
-    for (const s of this.shards().values()) if (s.ready && s.job(id)) return { shard: s.index };
+    for (const s of this.shards.values()) if (s.ready && s.job(id)) return { shard: s.index };
     const entry = await findJob((key) => this.context.store.getCoalesced(key), id);
     if (entry) this.remember(id, entry);
     return entry;
@@ -116,11 +125,17 @@
     const op = spec.after.length > 0 ? PEER_OPS.submitWithDependencies : PEER_OPS.submit;
     let answer: SubmitAnswer;
     try {
-      const deputy = this.ownerlessAdmission.mayAccept(spec);
+      const ownerless = this.ownerlessAdmission.mayAccept(spec);
       answer = await this.ownerClient
-        .request<SubmitAnswer>(shard, op, { spec }, (s) => s.submit(spec), !deputy)
+        .request<SubmitAnswer>({
+          shard,
+          op,
+          args: { spec },
+          answerHere: (local) => local.submit(spec),
+          directOnly: ownerless,
+        })
         .catch((error) => {
-          if (!deputy || !(error instanceof OwnerUnavailableError)) throw error;
+          if (!ownerless || !(error instanceof OwnerUnavailableError)) throw error;
           return this.acceptWithoutOwner(shard, op, spec);
         });
     } catch (error) {
@@ -160,7 +175,7 @@
     }
     let answer: StatusAnswer | null;
     try {
-      answer = await this.ownerClient.request(entry.shard, PEER_OPS.status, { id }, (s) => s.status(id));
+      answer = await this.requestStatus(entry.shard, id);
     } catch (error) {
       const stored = error instanceof UnavailableError ? await this.statusFromStore(id) : null;
       if (!stored) throw error;
@@ -188,9 +203,12 @@
     const args = { under, after, most: LIST_PAGE_SIZE };
     const parts = await Promise.all(
       shards.map((shard) =>
-        this.ownerClient.request<ListedJob[]>(shard, PEER_OPS.list, args, async (s) =>
-          s.list(under, after, LIST_PAGE_SIZE),
-        ),
+        this.ownerClient.request<ListedJob[]>({
+          shard,
+          op: PEER_OPS.list,
+          args,
+          answerHere: async (local) => local.list(under, after, LIST_PAGE_SIZE),
+        }),
       ),
     );
     const jobs = parts.flat().sort((a, b) => (a.id < b.id ? -1 : 1));
@@ -204,7 +222,12 @@
     const entry = await this.locate(id);
     if (!entry) return null;
     if (entry.final) return entry.final;
-    const answer = await this.ownerClient.request(entry.shard, PEER_OPS.cancel, { id }, (s) => s.cancel(id));
+    const answer = await this.ownerClient.request({
+      shard: entry.shard,
+      op: PEER_OPS.cancel,
+      args: { id },
+      answerHere: (local) => local.cancel(id),
+    });
     if (answer === null) {
       this.routes.delete(id);
       const again = await this.locate(id);
--- a/src/controller/storedrequests.ts
+++ b/src/controller/storedrequests.ts
@@ -1,5 +1,6 @@
 import * as v from 'valibot';
-import { pause, type Timer } from '../clock/clock.js';
+import type { Timer } from '../clock/clock.js';
+import { type PeriodicTask, startPeriodicTask } from '../clock/periodictask.js';
 import type { ControllerContext } from '../context/context.js';
 import { InvalidInputError, UnreachableError } from '../errors/errors.js';
 import { KEYS } from '../schema/schema.js';
@@ -17,29 +18,34 @@
 
 /** Older requests are not acted on: whoever sent one has given its user another answer by then. */
 const REQUEST_VALID_MS = 4000;
-/** Requests that nobody has taken away are dropped after this. */
+/** Requests that nobody has deleted are deleted by any node after this. */
 const STALE_AFTER_MS = 60_000;
+const SWEEP_INTERVAL_MS = STALE_AFTER_MS / 4;
 const MAX_DELETED_AT_ONCE = 8;
 const MAX_HANDLED_KEYS = 1000;
 
 /**
- * Questions to a shard's owner by way of the state service, for when two controllers cannot reach each other while both
- * reach it: a cut between zones, or a packet filter. A stored request is a key under the prefix that every node watches anyway;
- * the owner replaces it with its answer, and whoever sent it takes it away.
+ * Requests to a shard's owner by way of the state service, for when two controllers cannot reach each other while both
+ * reach it: a cut between zones, or a packet filter. A stored request is a key under the prefix that every node watches
+ * anyway; the owner replaces it with its answer, and whoever sent it deletes it.
  */
 export class StoredRequests {
   private readonly pendingReplies = new Map<string, (answer: unknown) => void>();
   private readonly handledKeys = new Set<string>();
   private next = 0;
+  private sweeping: PeriodicTask | null = null;
 
   constructor(
     private readonly context: ControllerContext,
     private readonly stateCache: ClusterStateCache,
-    /** Answers a question put to a shard of this node; null when the shard is not this node's. */
+    /** Answers a request to a shard of this node; null when the shard is not this node's. */
     private readonly serveLocally: (shard: number, op: string, args: object) => Promise<unknown> | null,
   ) {}
 
-  /** Asks a shard's owner; fails when no answer comes in time. The owner may still act on it a little later. */
+  /**
+   * Sends a request to a shard's owner. Throws `UnreachableError` when no answer comes in time; the owner may still act on
+   * it a little later. Throws `InvalidInputError` when it is too large for the state service.
+   */
   async send(shard: number, op: string, args: Record<string, unknown>, timeoutMs: number): Promise<unknown> {
     const value = { shard, op, args, at: Math.round(this.context.clock.wall()) };
     if (JSON.stringify(value).length > this.context.settings.stateLimits.valueKb * 1000)
@@ -64,7 +70,7 @@
     }
   }
 
-  /** A stored request or an answer has come. */
+  /** A stored request or an answer has been written. */
   onRecordChanged(key: string, entry: Entry): void {
     const answer = v.safeParse(answerValue, entry.value);
     if (answer.success) {
@@ -89,22 +95,30 @@
       await this.context.store.compareAndSwap([{ key, version }], [{ put: key, value }]);
     } catch (error) {
       // Whoever asked tells its user to come back.
-      this.context.log.debug({ err: error }, 'stored request not answered');
+      this.context.log.debug({ err: error }, 'stored request reply failed');
     }
   }
 
-  /** Takes away what a node that has died meanwhile left behind. */
-  async sweep(): Promise<never> {
-    for (;;) {
-      await pause(this.context.clock, STALE_AFTER_MS / 4);
-      const stale: string[] = [];
-      for (const [key, e] of this.stateCache.entries) {
-        if (!key.startsWith(KEYS.requests)) continue;
-        const at = (e.value as { at?: unknown } | null)?.at;
-        if (typeof at !== 'number' || this.context.clock.wall() - at > STALE_AFTER_MS) stale.push(key);
-      }
-      if (stale.length > 0) await this.deleteRecords(stale.slice(0, MAX_DELETED_AT_ONCE));
+  /**
+   * Begins to delete, now and then, what a node that has died meanwhile left behind; the first time finds nothing, as the
+   * copy of the keys is empty then.
+   */
+  start(): void {
+    this.sweeping = startPeriodicTask(this.context.clock, SWEEP_INTERVAL_MS, () => this.sweep());
+  }
+
+  stop(): void {
+    this.sweeping?.stop();
+  }
+
+  private async sweep(): Promise<void> {
+    const stale: string[] = [];
+    for (const [key, entry] of this.stateCache.entries) {
+      if (!key.startsWith(KEYS.requests)) continue;
+      const at = (entry.value as { at?: unknown } | null)?.at;
+      if (typeof at !== 'number' || this.context.clock.wall() - at > STALE_AFTER_MS) stale.push(key);
     }
+    if (stale.length > 0) await this.deleteRecords(stale.slice(0, MAX_DELETED_AT_ONCE));
   }
 
   private async deleteRecords(keys: string[]): Promise<void> {
@@ -114,7 +128,7 @@
         keys.map((key) => ({ delete: key })),
       );
     } catch (error) {
-      this.context.log.debug({ err: error }, 'stored request not taken away');
+      this.context.log.debug({ err: error }, 'stored request deletion failed');
     }
   }
 }
--- a/tests/support/produced.ts
+++ b/tests/support/produced.ts
@@ -6,8 +6,10 @@
 import { Cloud } from '../../src/cloud/cloud.js';
 import { ClusterRecords } from '../../src/condor/records.js';
 import type { ControllerContext } from '../../src/context/context.js';
+import { IncomingHandovers } from '../../src/controller/incominghandovers.js';
 import type { Membership } from '../../src/controller/membership.js';
 import { OwnerClient } from '../../src/controller/ownerclient.js';
+import { PeerConnections } from '../../src/controller/peerconnections.js';
 import { PEER_OPS } from '../../src/controller/peeroperations.js';
 import type { StoredRequests } from '../../src/controller/storedrequests.js';
 import { StateService } from '../../src/emulator/state.js';
@@ -264,16 +266,18 @@
   };
   const context = { settings: { node: 'n0' } } as ControllerContext;
   const members = { owner: () => OWNER } as unknown as Membership;
-  const hooks = { locate: async () => null, waitForHandover: async () => undefined };
-  const owners = new OwnerClient(
+  const shards = new Map();
+  const peers = new PeerConnections();
+  peers.connect(mesh);
+  const owners = new OwnerClient({
     context,
     members,
-    null as unknown as StoredRequests,
-    () => new Map(),
-    [],
-    hooks,
-  );
-  owners.mesh = mesh;
+    storedRequests: null as unknown as StoredRequests,
+    shards,
+    nodes: [],
+    incomingHandovers: new IncomingHandovers(new FakeClock(), shards),
+    peers,
+  });
   const need: Required<ResourceDemand> = {
     types: ['c8'],
     zone: 'a',
@@ -292,14 +296,18 @@
   await owners.transferMachine(1, 'm-1', 2);
   await owners.evictForTransfer(1, 'm-1', 2, 3);
   await owners.reserveForTransfer(1, 2, need, 'a');
-  await owners.peerShards.requestDependencyStatus(1, 2, [
-    { id: 'wk-1', priority: 2, dueWall: 1_700_000_000_000 },
-  ]);
-  owners.peerShards.notifyDependencyEnded(1, 'wk-1', 'cancelled');
+  await owners.requestDependencyStatus(1, 2, [{ id: 'wk-1', priority: 2, dueWall: 1_700_000_000_000 }]);
+  owners.notifyDependencyEnded(1, 'wk-1', 'cancelled');
   for (const op of [PEER_OPS.submit, PEER_OPS.submitWithDependencies])
-    await owners.request(1, op, { spec: fullSpec() }, here);
-  for (const op of [PEER_OPS.status, PEER_OPS.cancel]) await owners.request(1, op, { id: 'wk-1' }, here);
-  await owners.request(1, PEER_OPS.list, { under: 'wk-', after: '', most: 200 }, here);
+    await owners.request({ shard: 1, op, args: { spec: fullSpec() }, answerHere: here });
+  for (const op of [PEER_OPS.status, PEER_OPS.cancel])
+    await owners.request({ shard: 1, op, args: { id: 'wk-1' }, answerHere: here });
+  await owners.request({
+    shard: 1,
+    op: PEER_OPS.list,
+    args: { under: 'wk-', after: '', most: 200 },
+    answerHere: here,
+  });
   frames['not ready'] = frame({ r: 1, e: NOT_READY });
   return frames;
 }
