--- a/src/controller/controllernode.ts
+++ b/src/controller/controllernode.ts
@@ -82,20 +82,22 @@
   private createMembership(): Membership {
     const { context } = this;
     const { settings } = context;
-    return new Membership(
-      context.clock,
-      context.store,
-      settings.node,
-      context.incarnation,
-      context.log,
-      (key, entry) => this.onRecordChanged(key, entry),
-      () => this.ownership.stopOwningAll(),
-      context.matchCompiler ? MATCH_PROTOCOL_VERSION : PROTOCOL_VERSION,
-      this.standbys !== null,
-      nodeLease(settings.workers).leaseMs,
-      (node) => regionOfNode(settings, node),
-      settings.stateLimits.rps / settings.nodes,
-    );
+    return new Membership({
+      clock: context.clock,
+      store: context.store,
+      log: context.log,
+      identity: {
+        node: settings.node,
+        incarnation: context.incarnation,
+        protocolVersion: context.matchCompiler ? MATCH_PROTOCOL_VERSION : PROTOCOL_VERSION,
+        standbyCapable: this.standbys !== null,
+      },
+      leaseMs: nodeLease(settings.workers).leaseMs,
+      requestsPerSecond: settings.stateLimits.rps / settings.nodes,
+      regionOf: (node) => regionOfNode(settings, node),
+      onChange: (key, entry) => this.onRecordChanged(key, entry),
+      onLeaseLost: () => this.ownership.stopOwningAll(),
+    });
   }
 
   private createOwnership(incomingHandovers: IncomingHandovers): Ownership {
--- a/src/controller/standbycoordinator.ts
+++ b/src/controller/standbycoordinator.ts
@@ -59,12 +59,12 @@
       leaseRenewedAgoMs: () => members.leaseRenewedAgoMs,
       claim: (shard, term, revision) => {
         const key = KEYS.standby(shard);
-        return members.compareAndSwapHolder(
-          KEYS.owner(shard),
-          term,
-          [{ key, version: revision }],
-          [{ delete: key }],
-        );
+        return members.compareAndSwapHolder({
+          key: KEYS.owner(shard),
+          version: term,
+          conditions: [{ key, version: revision }],
+          writes: [{ delete: key }],
+        });
       },
       onTakeover: (shard, term, from) => hooks.onTakeover(shard, term, from),
     });
