--- a/src/controller/heartbeatrouting.ts
+++ b/src/controller/heartbeatrouting.ts
@@ -1,7 +1,7 @@
 import type { ControllerContext } from '../context/context.js';
 import { KEYS, readMachineRecord } from '../schema/schema.js';
 import type { Heartbeat } from '../wire/workers.js';
-import type { UnregisteredMachine } from './leader.js';
+import type { UnregisteredMachine } from './machineassignment.js';
 import type { Membership } from './membership.js';
 import type { Ownership } from './ownership.js';
 import type { PeerConnections } from './peerconnections.js';
--- a/src/controller/ownership.ts
+++ b/src/controller/ownership.ts
@@ -219,13 +219,13 @@
   }
 
   private becomeLeader(term: number): void {
-    this.leader = new Leader(
-      this.context,
+    this.leader = new Leader({
+      context: this.context,
       term,
-      this.members.stateCache,
-      (shard) => this.zones.get(this.homeNode(shard)) ?? '',
-      this.options.leaderHooks,
-    );
+      stateCache: this.members.stateCache,
+      zoneOf: (shard) => this.zones.get(this.homeNode(shard)) ?? '',
+      hooks: this.options.leaderHooks,
+    });
     this.leader.start();
     this.leader.onMachineList(this.context.catalog.listedMachines);
   }
--- a/tests/plan/plan.test.ts
+++ b/tests/plan/plan.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { chooseReservation, chooseTransfers, shardFor } from '../../src/autoscaler/rebalancing.js';
-import { assignTeams } from '../../src/controller/leader.js';
+import { assignTeams } from '../../src/controller/teamassignment.js';
 import { makeJob, withinGuarantee } from '../../src/jobs/job.js';
 import { Plan } from '../../src/plan/plan.js';
 import { chooseOption } from '../../src/plan/rentalchoice.js';
