--- a/tests/compatibility/encoders.test.ts
+++ b/tests/compatibility/encoders.test.ts
@@ -15,7 +15,8 @@
 } from '../../src/changefeed/messages.js';
 import { ClusterRecords } from '../../src/condor/records.js';
 import { parseSettings, type Settings, SettingsError } from '../../src/config/settings.js';
-import { MachineTypeCatalog, NameTables } from '../../src/context/context.js';
+import { MachineTypeCatalog } from '../../src/context/machinetypecatalog.js';
+import { NameTables } from '../../src/context/nametables.js';
 import { StateService } from '../../src/emulator/state.js';
 import {
   readChunk,
--- a/tests/condor/matching.ts
+++ b/tests/condor/matching.ts
@@ -4,7 +4,8 @@
  *     node target/check/tests/condor/matching.js
  */
 import { ClassAdMatcher } from '../../src/condor/matcher.js';
-import { MachineTypeCatalog, NameTables } from '../../src/context/context.js';
+import { MachineTypeCatalog } from '../../src/context/machinetypecatalog.js';
+import { NameTables } from '../../src/context/nametables.js';
 import type { Match, PlanJob, PlanMachine } from '../../src/plan/model.js';
 import { Plan } from '../../src/plan/plan.js';
 
