--- a/src/controller/cloudpoller.ts
+++ b/src/controller/cloudpoller.ts
@@ -1,15 +1,19 @@
-import { pause } from '../clock/clock.js';
+import { type PeriodicTask, startPacedTask } from '../clock/periodictask.js';
 import type { ControllerContext } from '../context/context.js';
 import { KEYS } from '../schema/schema.js';
 import type { ClusterStateCache } from './clusterstatecache.js';
 import type { Ownership } from './ownership.js';
 
-const LIST_MS = 5000;
-const TYPES_MS = 30_000;
-const TYPES_AGAIN_MS = 1500;
+const LIST_INTERVAL_MS = 5000;
+/** For nodes that do not lead. */
+const FOLLOWER_LIST_INTERVAL_MS = LIST_INTERVAL_MS * 3;
+const TYPES_INTERVAL_MS = 30_000;
+const TYPES_RETRY_MS = 1500;
 
-/** Keeps what the cloud tells: machine types and the list of machines. */
+/** Polls the cloud for its machine types and for the list of machines. */
 export class CloudPoller {
+  private polling: readonly PeriodicTask[] = [];
+
   constructor(
     private readonly context: ControllerContext,
     private readonly stateCache: ClusterStateCache,
@@ -17,22 +21,28 @@
   ) {}
 
   start(): void {
-    void this.keepTypes();
-    void this.keepList();
+    const { clock } = this.context;
+    this.polling = [
+      startPacedTask(clock, () => this.pollTypes()),
+      startPacedTask(clock, () => this.pollMachines()),
+    ];
+  }
+
+  stop(): void {
+    for (const task of this.polling) task.stop();
   }
 
-  private async keepTypes(): Promise<never> {
-    for (;;) {
-      try {
-        this.context.catalog.set(await this.context.cloud.types());
-        for (const s of this.ownership.shards.values()) s.requestPlan();
-        void this.storeTypes();
-        await pause(this.context.clock, TYPES_MS);
-      } catch (error) {
-        this.context.log.debug({ err: error }, 'machine types not read');
-        this.recallTypes();
-        await pause(this.context.clock, TYPES_AGAIN_MS);
-      }
+  /** Returns after how many milliseconds to poll again, as `pollMachines` does. */
+  private async pollTypes(): Promise<number> {
+    try {
+      this.context.catalog.set(await this.context.cloud.types());
+      for (const shard of this.ownership.shards.values()) shard.requestPlan();
+      void this.storeTypes();
+      return TYPES_INTERVAL_MS;
+    } catch (error) {
+      this.context.log.debug({ err: error }, 'machine type poll failed');
+      this.recallTypes();
+      return TYPES_RETRY_MS;
     }
   }
 
@@ -43,9 +53,10 @@
     if (stored && Array.isArray(stored.value)) this.context.catalog.set(stored.value);
   }
 
+  /** The leader stores the types for nodes that start while the cloud does not answer, unless they are stored already. */
   private async storeTypes(): Promise<void> {
     if (!this.ownership.leader) return;
-    const types = this.context.catalog.all().map(([, t]) => t);
+    const types = this.context.catalog.all().map(([, type]) => type);
     const stored = this.stateCache.entries.get(KEYS.machineTypes);
     if (stored || JSON.stringify(types).length > this.context.settings.stateLimits.valueKb * 1000) return;
     try {
@@ -54,22 +65,20 @@
         [{ put: KEYS.machineTypes, value: types }],
       );
     } catch (error) {
-      this.context.log.debug({ err: error }, 'machine types not stored');
+      this.context.log.debug({ err: error }, 'machine type update failed');
     }
   }
 
-  private async keepList(): Promise<never> {
-    for (;;) {
-      try {
-        const listed = await this.context.cloud.list();
-        this.context.catalog.setListed(listed);
-        for (const s of this.ownership.shards.values()) s.onMachineList();
-        this.ownership.leader?.onMachineList(this.context.catalog.listedMachines);
-      } catch (error) {
-        this.context.log.debug({ err: error }, 'machine list not read');
-      }
-      // The leader looks for machines that nobody has; for the others the list only confirms what reports tell.
-      await pause(this.context.clock, this.ownership.leader ? LIST_MS : LIST_MS * 3);
+  private async pollMachines(): Promise<number> {
+    try {
+      const machines = await this.context.cloud.list();
+      this.context.catalog.setListed(machines);
+      for (const shard of this.ownership.shards.values()) shard.onMachineList();
+      this.ownership.leader?.onMachineList(this.context.catalog.listedMachines);
+    } catch (error) {
+      this.context.log.debug({ err: error }, 'machine list poll failed');
     }
+    // The leader looks for machines that no record names; for the others the list only confirms what heartbeats show.
+    return this.ownership.leader ? LIST_INTERVAL_MS : FOLLOWER_LIST_INTERVAL_MS;
   }
 }
--- a/src/controller/clusterstatecache.ts
+++ b/src/controller/clusterstatecache.ts
@@ -11,7 +11,9 @@
  * depends on is a condition of a transaction.
  */
 export class ClusterStateCache {
+  /** The copy, by key. */
   readonly entries = new Map<string, Entry>();
+  /** Whether all keys have been read; changes may be missing since then. */
   isLoaded = false;
   /** All changes up to this revision are in the copy. */
   revision = 0;
@@ -24,6 +26,7 @@
     private readonly onChange: (key: string, entry: Entry | null) => void,
   ) {}
 
+  /** Loads the copy and keeps it up to date, for as long as the process runs. */
   async run(): Promise<never> {
     for (;;) {
       try {
@@ -33,23 +36,23 @@
           this.isLoaded = false;
           continue;
         }
-        for (const c of result.changes) {
+        for (const change of result.changes) {
           // A copy of what is known already, by way of another source.
-          if (c.version <= this.revision) continue;
-          if ('gone' in c) this.remove(c.key, c.version);
-          else this.apply({ key: c.key, value: c.value, version: c.version });
+          if (change.version <= this.revision) continue;
+          if ('gone' in change) this.remove(change.key, change.version);
+          else this.apply({ key: change.key, value: change.value, version: change.version });
         }
-        // Only with changes: an empty answer whose time was over while this node was refused says nothing of what it was not told.
+        // Only with changes: an empty answer whose time was over while this node was refused says nothing of what it missed.
         if (result.changes.length === 0) continue;
         this.revision = Math.max(this.revision, result.revision);
       } catch (error) {
-        this.log.debug({ err: error }, 'watch failed');
+        this.log.debug({ err: error }, 'state watch failed');
         await pause(this.clock, RETRY_MS);
       }
     }
   }
 
-  /** Takes a change that this node made itself, before the watch tells it. */
+  /** Takes a change: of the watch, or one that this node made itself, before the watch shows it. */
   apply(entry: Entry): void {
     const before = this.entries.get(entry.key);
     if (before && before.version >= entry.version) return;
@@ -57,6 +60,7 @@
     this.onChange(entry.key, entry);
   }
 
+  /** Takes a deletion at a version: of the watch, or this node's own. */
   remove(key: string, version: number): void {
     const before = this.entries.get(key);
     if (!before || before.version > version) return;
--- a/src/controller/cordoning.ts
+++ b/src/controller/cordoning.ts
@@ -42,6 +42,7 @@
   for (const shard of owned.shards.values()) yield* shard.registry.machines.values();
 }
 
+/** What cordoning a node involves. */
 export interface CordoningOptions {
   readonly context: ControllerContext;
   readonly members: Membership;
--- a/src/controller/handover.ts
+++ b/src/controller/handover.ts
@@ -8,6 +8,7 @@
 import type { OwnerKeys } from './ownerkeys.js';
 import { isCutOffFromStateStore, STATE_STORE_CUT_OFF_MS } from './shardownership.js';
 
+/** What a handover involves on this node. */
 export interface HandoverOptions {
   readonly context: ControllerContext;
   readonly members: Membership;
@@ -44,10 +45,10 @@
     owned.stopOwning(shard);
     members.setSuccessor(index, successor, term);
     const startedAt = context.clock.now();
-    const taken = await replicator.handOver();
+    const completed = await replicator.handOver();
     const ms = Math.round(context.clock.now() - startedAt);
-    context.log.info({ shard: index, to: successor.node, taken, ms }, 'shard handover finished');
-    if (taken) return true;
+    context.log.info({ shard: index, to: successor.node, taken: completed, ms }, 'shard handover finished');
+    if (completed) return true;
     members.setSuccessor(index, null, term);
     await keys.release(index, term);
     return false;
--- a/src/controller/leader.ts
+++ b/src/controller/leader.ts
@@ -9,6 +9,7 @@
 
 const LEADER_INTERVAL_MS = 250;
 
+/** What the leader needs of the node that it is part of. */
 export interface LeaderHooks extends TransferHooks {
   /** Whether this node's lease surely lasts. */
   holdsLease(): boolean;
@@ -16,6 +17,7 @@
   allSupportLatest(): boolean;
 }
 
+/** What one leadership, under its term, is made with. */
 export interface LeaderOptions {
   readonly context: ControllerContext;
   /** Version of the leader key: what the leader writes holds only while the key is at it. */
--- a/src/controller/leaderelection.ts
+++ b/src/controller/leaderelection.ts
@@ -6,6 +6,7 @@
 /** For each node before this one in the order of claims, a leadership that nobody holds is left alone for so long. */
 export const LEADER_CLAIM_DELAY_PER_NODE_MS = 300;
 
+/** What this node knows of the leadership. */
 export interface LeadershipState {
   /** The leader key: its version, which is the term, and whether it hangs on this node's present lease; null when nobody holds it. */
   readonly leaderKey: { readonly term: number; readonly heldHere: boolean } | null;
@@ -19,6 +20,7 @@
   readonly nodeIndex: number;
 }
 
+/** What this node does about the leadership. */
 export type LeadershipAction =
   | { readonly kind: 'resign' }
   | { readonly kind: 'lead'; readonly term: number }
--- a/src/controller/leasekeeper.ts
+++ b/src/controller/leasekeeper.ts
@@ -12,6 +12,7 @@
 /** Beside drift, for clocks that are read in steps. */
 const LEASE_MARGIN_MS = 150;
 
+/** Clients and settings of the lease. */
 export interface LeaseKeeperOptions {
   readonly clock: Clock;
   readonly store: StateStore;
--- a/src/controller/machineassignment.ts
+++ b/src/controller/machineassignment.ts
@@ -44,6 +44,7 @@
   probing?: boolean;
 }
 
+/** What the assignment of machines reads and writes. */
 export interface MachineAssignerOptions {
   readonly context: ControllerContext;
   /** The leader's term: what it writes holds only under this. */
--- a/src/controller/machinerebalancing.ts
+++ b/src/controller/machinerebalancing.ts
@@ -22,6 +22,7 @@
   reserveForTransfer(shard: number, to: number, need: ResourceDemand, zone: string): Promise<boolean>;
 }
 
+/** What the rebalancing reads, and how it asks owners. */
 export interface MachineRebalancerOptions {
   readonly context: ControllerContext;
   readonly stateCache: ClusterStateCache;
--- a/src/controller/membership.ts
+++ b/src/controller/membership.ts
@@ -13,6 +13,7 @@
 /** A node whose renewals have not been answered for so long passes no changes on. */
 const STATE_STORE_UNREACHABLE_MS = 1000;
 
+/** Clients and settings of a member, and what it reports to the node that it is part of. */
 export interface MembershipOptions {
   readonly clock: Clock;
   readonly store: StateStore;
--- a/src/controller/ownedshards.ts
+++ b/src/controller/ownedshards.ts
@@ -6,6 +6,7 @@
 import type { Membership } from './membership.js';
 import type { StandbyCoordinator } from './standbycoordinator.js';
 
+/** What the schedulers of shards are made with. */
 export interface OwnedShardsOptions {
   readonly context: ControllerContext;
   readonly members: Membership;
--- a/src/controller/ownerclient.ts
+++ b/src/controller/ownerclient.ts
@@ -39,6 +39,7 @@
   PEER_OPS.cancel,
 ]);
 
+/** What the ways to an owner need. */
 export interface OwnerClientOptions {
   readonly context: ControllerContext;
   readonly members: Membership;
--- a/src/controller/ownerlessadmission.ts
+++ b/src/controller/ownerlessadmission.ts
@@ -23,9 +23,10 @@
  * it takes the shard; an owner that is there all the same, and does not know of it, is asked until it has read it.
  */
 export class OwnerlessAdmission {
+  /** Shards of jobs that their owners have not confirmed yet, by the job's id. */
   private readonly unconfirmed = new Map<string, number>();
   private acceptedCount = 0;
-  private looping = false;
+  private confirmScheduled = false;
 
   constructor(
     private readonly context: ControllerContext,
@@ -40,60 +41,67 @@
     return spec.deadlineS === null;
   }
 
+  /** Accepts and stores a job. Throws `UnavailableError` when it cannot now, or when there is a new owner. */
   async accept(shard: number, spec: JobSpec): Promise<SubmitAnswer> {
-    const { store, settings, clock } = this.context;
     // A node that has lost touch with the state service itself says so at once.
-    if (
-      !this.members.holdsLease ||
-      !this.members.stateCache.isLoaded ||
-      store.writeDelayMs > MAX_WRITE_DELAY_MS
-    )
-      throw new UnavailableError('no owner at present');
-    const seen = this.members.stateCache.entries.get(KEYS.owner(shard))?.version ?? 0;
+    if (!this.canStore()) throw new UnavailableError('no owner at present');
+    const result = await this.storeJob(shard, spec);
+    if (result.kind === 'known') return { kind: 'known', status: result.entry.final ?? 'queued' };
+    const { id, team, tasks, cpus } = spec;
+    this.context.log.info(
+      { job: id, class: spec.class, shard, team, tasks, cpus },
+      'job accepted while its owner is away',
+    );
+    this.unconfirmed.set(spec.id, shard);
+    if (this.unconfirmed.size > MAX_UNCONFIRMED_JOBS)
+      this.unconfirmed.delete(this.unconfirmed.keys().next().value!);
+    this.scheduleConfirm(FIRST_CONFIRM_DELAY_MS);
+    return { kind: 'accepted' };
+  }
+
+  private canStore(): boolean {
+    const { holdsLease, stateCache } = this.members;
+    return holdsLease && stateCache.isLoaded && this.context.store.writeDelayMs <= MAX_WRITE_DELAY_MS;
+  }
+
+  /** Stores the acceptance under the condition that the owner key is as this node sees it. */
+  private async storeJob(shard: number, spec: JobSpec): ReturnType<JobRecords['accept']> {
+    const { store, settings, clock } = this.context;
+    const seenTerm = this.members.stateCache.entries.get(KEYS.owner(shard))?.version ?? 0;
     const limits = { ...settings.stateLimits, layoutKb: settings.layoutKb };
-    const records = new JobRecords(store, shard, seen, limits, this.allSupportLatest);
+    const records = new JobRecords(store, shard, seenTerm, limits, this.allSupportLatest);
     const wall = clock.wall();
     const deadline = Math.round(wall + defaultDueS(this.context, null, spec.estimateS) * 1000);
     try {
       const tag = `${this.context.incarnation}-d${this.acceptedCount++}`;
-      const result = await records.accept({ spec, accepted: wall, deadline }, tag);
-      if (result.kind === 'known') return { kind: 'known', status: result.entry.final ?? 'queued' };
+      return await records.accept({ spec, accepted: wall, deadline }, tag);
     } catch (error) {
       // There is a new owner: it is asked when the user comes back.
       if (error instanceof NotOwnerError) throw new UnavailableError('the shard has moved');
       throw error;
     }
-    const { id, team, tasks, cpus } = spec;
-    this.context.log.info(
-      { job: id, class: spec.class, shard, team, tasks, cpus },
-      'job accepted while its owner is away',
-    );
-    this.unconfirmed.set(spec.id, shard);
-    if (this.unconfirmed.size > MAX_UNCONFIRMED_JOBS)
-      this.unconfirmed.delete(this.unconfirmed.keys().next().value!);
-    this.loop(FIRST_CONFIRM_DELAY_MS);
-    return { kind: 'accepted' };
   }
 
-  private loop(ms: number): void {
-    if (this.looping || this.unconfirmed.size === 0) return;
-    this.looping = true;
-    this.context.clock.after(ms, () => {
+  /** Asks owners after a delay, and again until all jobs are confirmed; nothing runs while there are none. */
+  private scheduleConfirm(delayMs: number): void {
+    if (this.confirmScheduled || this.unconfirmed.size === 0) return;
+    this.confirmScheduled = true;
+    this.context.clock.after(delayMs, () => {
       void this.confirmAll()
         .catch((error) => {
           if (!(error instanceof UnavailableError || error instanceof StateStoreError)) throw error;
         })
         .finally(() => {
-          this.looping = false;
-          this.loop(CONFIRM_INTERVAL_MS);
+          this.confirmScheduled = false;
+          this.scheduleConfirm(CONFIRM_INTERVAL_MS);
         });
     });
   }
 
   private async confirmAll(): Promise<void> {
-    const some = [...this.unconfirmed].slice(0, MAX_CONCURRENT_CONFIRMS);
+    const batch = [...this.unconfirmed].slice(0, MAX_CONCURRENT_CONFIRMS);
     await Promise.all(
-      some.map(async ([id, shard]) => {
+      batch.map(async ([id, shard]) => {
         if (await this.confirmWithOwner(shard, id)) this.unconfirmed.delete(id);
       }),
     );
--- a/src/controller/ownership.ts
+++ b/src/controller/ownership.ts
@@ -26,6 +26,7 @@
 const RECONCILE_INTERVAL_MS = 200;
 const NO_TIMERS: ShardTimers = { unownedSince: null, homeAvailableSince: null };
 
+/** What ownership is decided by and carried out with. */
 export interface OwnershipOptions {
   readonly context: ControllerContext;
   readonly members: Membership;
--- a/src/controller/peerhandlers.ts
+++ b/src/controller/peerhandlers.ts
@@ -62,6 +62,7 @@
 /** Answers an optional part's messages; gets the fields of the arguments, unchecked. */
 export type PeerExtension = (args: Record<string, unknown>) => Promise<unknown>;
 
+/** The parts of the node that answer messages. */
 export interface PeerHandlersOptions {
   readonly members: Membership;
   readonly ownership: Ownership;
--- a/src/controller/peeroperations.ts
+++ b/src/controller/peeroperations.ts
@@ -3,22 +3,25 @@
  * version in production knows them by these.
  */
 export const PEER_OPS = {
-  /** To the leader: what an owner tells of its shard. */
+  /** To the leader: an owner reports its shard's status. */
   shardStatus: 'gossip',
   /** To the leader: a machine that no record names has reported. */
   unregisteredMachine: 'stray',
-  /** A shard is the sender's, under a term. */
+  /** To all nodes: a shard is the sender's, under a term. */
   ownerAnnouncement: 'owns',
-  /** A machine that reported to the sender was sent on to this node. */
+  /** To the owner of a machine's shard: the machine reported to the sender and was redirected to the owner. */
   redirected: 'sent',
-  /** To an owner, for another shard: an empty machine, one to be cleared, one whose tasks end soon. */
+  /** To an owner, for another shard: an empty machine is to move there. */
   transferMachine: 'give',
+  /** To an owner, for another shard's more urgent work: a machine is to be cleared. */
   evictForTransfer: 'vacate',
+  /** To an owner, for another shard: a machine whose tasks end soon is to be promised to it. */
   reserveForTransfer: 'cede',
-  /** Between owners: what a job there needs of one here; how such a job ended. */
+  /** Between owners: the status of jobs that jobs there depend on. */
   dependencyStatus: 'needed',
+  /** Between owners: how a job ended that jobs there depend on. */
   dependencyEnded: 'over',
-  /** Of users, passed on to the owner. */
+  /** Users' requests, forwarded to the owner. */
   submit: 'submit',
   submitWithDependencies: 'submitAfter',
   status: 'status',
--- a/src/controller/routing.ts
+++ b/src/controller/routing.ts
@@ -17,7 +17,7 @@
 /** Jobs on one page of a list: a request must not cost an owner much. */
 const LIST_PAGE_SIZE = 200;
 
-/** Where users' questions go, and what is answered without the owner of the job. */
+/** Takes users' requests to the owner of the job's shard, and answers what can be answered without the owner. */
 export class Routing {
   private readonly ownerlessAdmission: OwnerlessAdmission;
   private readonly routes = new Map<string, JobEntry>();
@@ -26,7 +26,7 @@
     private readonly context: ControllerContext,
     private readonly members: Membership,
     private readonly ownerClient: OwnerClient,
-    /** The shards of this node. */
+    /** The shards that this node owns. */
     private readonly shards: ReadonlyMap<number, Shard>,
   ) {
     this.ownerlessAdmission = new OwnerlessAdmission(
@@ -58,24 +58,28 @@
   }
 
   /**
-   * The shard of a job that is submitted; null while teams have not been parted. Jobs without a team go by a hash of their
-   * id, and so do those of a team with neither a guarantee nor a limit: nothing of theirs has to be counted in one place,
-   * and so their small tasks find what is left on the machines of all shards.
+   * The shard of a job that is submitted; null while teams have not been assigned. Jobs without a team go by a hash of
+   * their id, and so do those of a team with neither a guarantee nor a limit: nothing of theirs has to be counted in one
+   * place, and so their small tasks find what is left on the machines of all shards.
    */
   shardOf(spec: JobSpec): number | null {
     const { teams, nodes } = this.context.settings;
     if (teams.length === 0) return hash(spec.id) % nodes;
-    const parted = readTeamAssignment(this.members.stateCache.entries);
-    const own = parted?.[spec.team];
-    if (!parted || own === undefined) return null;
+    const assignment = readTeamAssignment(this.members.stateCache.entries);
+    const teamShard = assignment?.[spec.team];
+    if (!assignment || teamShard === undefined) return null;
     const team = teams.find((t) => t.name === spec.team);
-    if (!team || !hasNoQuota(team)) return own;
-    const shards = new Set<number>();
-    for (const t of teams) if (!hasNoQuota(t) && parted[t.name] !== undefined) shards.add(parted[t.name]!);
-    const among = [...shards].sort((a, b) => a - b);
-    return among.length === 0 ? own : among[hash(spec.id) % among.length]!;
+    if (!team || !hasNoQuota(team)) return teamShard;
+    const quotaShards = new Set<number>();
+    for (const other of teams) {
+      const shard = assignment[other.name];
+      if (!hasNoQuota(other) && shard !== undefined) quotaShards.add(shard);
+    }
+    const candidates = [...quotaShards].sort((a, b) => a - b);
+    return candidates.length === 0 ? teamShard : candidates[hash(spec.id) % candidates.length]!;
   }
 
+  /** Caches where a job is, or how it ended. */
   private remember(id: string, { shard, final, tasks }: JobEntry): void {
     this.routes.set(id, final ? { shard, final, tasks: tasks ?? 0 } : { shard });
     if (this.routes.size > MAX_CACHED_ROUTES) this.routes.delete(this.routes.keys().next().value!);
@@ -92,9 +96,9 @@
   }
 
   /**
-   * How a job stands as far as the state service knows, for when its owner cannot be reached: behind a cut between
-   * zones a user may see no other node for minutes. An end is durable before anyone hears of it, so this is never
-   * older than what the user was told.
+   * The status of a job as far as the state service knows, for when its owner cannot be reached: behind a cut between
+   * zones a user may see no other node for minutes. An end is durable before it is answered to anyone, so this is never
+   * older than what the user has seen.
    */
   private async statusFromStore(id: string): Promise<StatusAnswer | null> {
     const entry = await findJob((key) => this.context.store.getCoalesced(key), id);
@@ -111,6 +115,9 @@
     return { status: entry.final ?? 'queued', done, running: 0 };
   }
 
+  /**
+   * Submits a job to the owner of its shard. Throws `UnavailableError` when it can be neither accepted nor refused now.
+   */
   async submit(spec: JobSpec): Promise<SubmitAnswer> {
     const known = this.routes.get(spec.id);
     if (known?.final) return { kind: 'known', status: known.final };
@@ -148,7 +155,7 @@
     return answer;
   }
 
-  /** Accepts a job whose owner is away; an owner that only this node cannot reach hears of it by a stored request. */
+  /** Accepts a job whose owner is away; an owner that only this node cannot reach learns of it by a stored request. */
   private async acceptWithoutOwner(shard: number, op: string, spec: JobSpec): Promise<SubmitAnswer> {
     for (const id of spec.after) {
       const entry = await this.locate(id);
@@ -167,6 +174,7 @@
     return answer;
   }
 
+  /** The status of a job; null when there never was one with this id. Throws `UnavailableError` when it is not known now. */
   async status(id: string): Promise<StatusAnswer | null> {
     const entry = await this.locate(id);
     if (!entry) return null;
@@ -195,13 +203,13 @@
   }
 
   /**
-   * Unfinished jobs whose ids begin with `under`, in the order of ids after one; all shards are asked, and when one of
-   * them does not answer, nothing is told.
+   * Unfinished jobs whose ids begin with `under`, in the order of ids after `after`, a page of them. All shards are asked;
+   * throws `UnavailableError` when one of them does not answer.
    */
   async list(under: string, after: string): Promise<{ jobs: ListedJob[]; more: boolean }> {
     const shards = Array.from({ length: this.context.settings.nodes }, (_, i) => i);
     const args = { under, after, most: LIST_PAGE_SIZE };
-    const parts = await Promise.all(
+    const pages = await Promise.all(
       shards.map((shard) =>
         this.ownerClient.request<ListedJob[]>({
           shard,
@@ -211,13 +219,14 @@
         }),
       ),
     );
-    const jobs = parts.flat().sort((a, b) => (a.id < b.id ? -1 : 1));
+    const jobs = pages.flat().sort((a, b) => (a.id < b.id ? -1 : 1));
     return {
       jobs: jobs.slice(0, LIST_PAGE_SIZE),
-      more: jobs.length > LIST_PAGE_SIZE || parts.some((p) => p.length === LIST_PAGE_SIZE),
+      more: jobs.length > LIST_PAGE_SIZE || pages.some((page) => page.length === LIST_PAGE_SIZE),
     };
   }
 
+  /** Cancels a job; how it ended, or null when there never was one with this id. Throws `UnavailableError` when it cannot now. */
   async cancel(id: string): Promise<'done' | 'cancelled' | null> {
     const entry = await this.locate(id);
     if (!entry) return null;
@@ -239,8 +248,9 @@
   }
 }
 
+/** FNV-1a, 32 bits, over UTF-16 code units: the same in all versions, so that all nodes send a job to the same shard. */
 function hash(text: string): number {
-  let h = 2166136261;
-  for (let i = 0; i < text.length; i++) h = Math.imul(h ^ text.charCodeAt(i), 16777619) >>> 0;
-  return h;
+  let value = 2166136261;
+  for (let i = 0; i < text.length; i++) value = Math.imul(value ^ text.charCodeAt(i), 16777619) >>> 0;
+  return value;
 }
--- a/src/controller/shardownership.ts
+++ b/src/controller/shardownership.ts
@@ -64,6 +64,7 @@
   readonly retiredTerms: ReadonlySet<number>;
 }
 
+/** What this node does about a shard. */
 export type ShardAction =
   | { readonly kind: 'stopOwning' }
   | { readonly kind: 'startOwning'; readonly term: number }
--- a/src/controller/standbycoordinator.ts
+++ b/src/controller/standbycoordinator.ts
@@ -1,3 +1,4 @@
+import { type PeriodicTask, startPeriodicTask } from '../clock/periodictask.js';
 import type { ControllerContext } from '../context/context.js';
 import type { Mesh } from '../peer/mesh.js';
 import { KEYS, readMachineRecord } from '../schema/schema.js';
@@ -9,31 +10,35 @@
 import type { Membership } from './membership.js';
 
 const STATUS_LOG_INTERVAL_MS = 15_000;
+const STATUS_CHECK_INTERVAL_MS = STATUS_LOG_INTERVAL_MS / 3;
 /** Machines of the shards are counted no more often than this. */
 const COUNT_INTERVAL_MS = 2000;
 /** A standby whose lease was renewed no longer ago than this reaches the state service. */
 const RECENT_RENEWAL_MS = 3500;
 
+/** What the coordinator needs of the node that it is part of. */
 export interface StandbyCoordinatorHooks {
   /** The node that a shard is at home on. */
   homeNode(shard: number): string;
   nodeOrder: readonly string[];
   zoneOf(node: string): string;
-  /** This node takes no shard, since the workers cannot reach it. */
+  /** Whether this node takes no shard: the workers cannot reach it, or it is leaving. */
   isCordoned(): boolean;
-  /** A shard has been taken over under a new term. */
-  onTakeover(shard: number, term: number, from: TakeoverState): void;
-  /** Somebody else has a shard that was this node's under a term. */
+  /** This node has taken a shard over under a new term. */
+  onTakeover(shard: number, term: number, takeover: TakeoverState): void;
+  /** Another node has a shard that was this node's under a term. */
   onShardLost(shard: number, term: number): void;
   requestPlan(shard: number): void;
 }
 
-/** Who stands by for this node's shards, and for which others' it does; one for a node where that is enabled. */
+/** Chooses the standbys of this node's shards, and holds its replicas of others'; one for a node where standbys are enabled. */
 export class StandbyCoordinator {
   readonly replicas: StandbyReplicas;
   private readonly jobRecords: JobRecordReplica;
   private readonly evictionBackoff = new EvictionBackoff();
   private loggedAt = 0;
+  private statusLogging: PeriodicTask | null = null;
+  /** How many machines each shard has in each zone. */
   private readonly machinesByShard = new Map<number, Map<string, number>>();
   private countedAt = Number.NEGATIVE_INFINITY;
 
@@ -66,13 +71,21 @@
           writes: [{ delete: key }],
         });
       },
-      onTakeover: (shard, term, from) => hooks.onTakeover(shard, term, from),
+      onTakeover: (shard, term, takeover) => hooks.onTakeover(shard, term, takeover),
     });
   }
 
+  /** Begins to watch the owners that this node stands by for. */
   start(): void {
     this.replicas.start();
-    this.logStatus();
+    this.statusLogging = startPeriodicTask(this.context.clock, STATUS_CHECK_INTERVAL_MS, () =>
+      this.logStatus(),
+    );
+  }
+
+  /** Ends the log of the status; replicas go on. */
+  stop(): void {
+    this.statusLogging?.stop();
   }
 
   /** The owner's side of a shard that is this node's now. */
@@ -98,35 +111,36 @@
     return this.members.presenceOf(node)?.standbyCapable === true;
   }
 
-  /** The node that can take a shard over at once and reaches the state service; null when there is none. */
+  /** The standby that can take a shard over at once and reaches the state service; null when there is none. */
   successor(replicator: StandbyReplicator): string | null {
-    const ago = replicator.standbyLeaseRenewedAgoMs;
-    return ago !== null && ago < RECENT_RENEWAL_MS ? replicator.inSyncStandby : null;
+    const renewedAgoMs = replicator.standbyLeaseRenewedAgoMs;
+    return renewedAgoMs !== null && renewedAgoMs < RECENT_RENEWAL_MS ? replicator.inSyncStandby : null;
   }
 
+  /** Whether a node may be a standby of this node's shards now. */
   private isEligible(node: string): boolean {
     if (this.evictionBackoff.isBackingOff(node, this.context.clock.now())) return false;
     return this.isStandbyCapable(node) && !this.members.isNodeCordoned(node) && this.mesh.connected(node);
   }
 
-  /** Machines of each shard by zone, counted now and then. */
+  /** How many machines a shard has in each zone; counted anew every 2 s at most. */
   private machinesByZone(shard: number): ReadonlyMap<string, number> {
     const now = this.context.clock.now();
     if (now - this.countedAt > COUNT_INTERVAL_MS) {
       this.countedAt = now;
       this.machinesByShard.clear();
       for (const [key, e] of this.members.stateCache.entries) {
-        const m = key.startsWith(KEYS.machines) ? readMachineRecord(e.value) : null;
-        if (!m) continue;
-        const zones = this.machinesByShard.get(m.shard) ?? new Map<string, number>();
-        zones.set(m.zone, (zones.get(m.zone) ?? 0) + 1);
-        this.machinesByShard.set(m.shard, zones);
+        const machine = key.startsWith(KEYS.machines) ? readMachineRecord(e.value) : null;
+        if (!machine) continue;
+        const zones = this.machinesByShard.get(machine.shard) ?? new Map<string, number>();
+        zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
+        this.machinesByShard.set(machine.shard, zones);
       }
     }
     return this.machinesByShard.get(shard) ?? new Map();
   }
 
-  /** What a shard costs its owner; one without machines is a little work too. */
+  /** What a shard costs its owner: its machines, and one for the shard itself. */
   private weight(shard: number): number {
     let sum = 1;
     for (const n of this.machinesByZone(shard).values()) sum += n;
@@ -134,15 +148,16 @@
   }
 
   /**
-   * Whether a shard is better off at home. Each way costs a question to each of its machines, so it goes there only when that takes
-   * more off this node than it puts on the home node, or when that is where most of its machines are and this one is not.
+   * Whether a shard is better off on its home node. Each move costs a request to each of its machines, so it goes there only
+   * when that takes more load off this node than it puts on the home node, or when more of its machines are in the home
+   * node's zone than in this one's.
    */
   shouldReturnHome(shard: number): boolean {
     const here = this.context.settings.node;
     const home = this.hooks.homeNode(shard);
     const zones = this.machinesByZone(shard);
-    const near = (node: string) => zones.get(this.hooks.zoneOf(node)) ?? 0;
-    if (near(home) !== near(here)) return near(home) > near(here);
+    const inZoneOf = (node: string) => zones.get(this.hooks.zoneOf(node)) ?? 0;
+    if (inZoneOf(home) !== inZoneOf(here)) return inZoneOf(home) > inZoneOf(here);
     const load = (node: string) => {
       let sum = 0;
       for (let k = 0; k < this.context.settings.nodes; k++)
@@ -155,12 +170,12 @@
   private chooseStandby(shard: number): string | null {
     const { entries } = this.members.stateCache;
     const load = new Map<string, number>();
-    const count = (node: string | undefined, n: number) => {
-      if (node !== undefined) load.set(node, (load.get(node) ?? 0) + n);
+    const addLoad = (node: string | undefined, weight: number) => {
+      if (node !== undefined) load.set(node, (load.get(node) ?? 0) + weight);
     };
     for (let k = 0; k < this.context.settings.nodes; k++) {
-      count(this.members.owner(k)?.node, this.weight(k));
-      count(readStandbyRecord(entries.get(KEYS.standby(k))?.value)?.node, this.weight(k));
+      addLoad(this.members.owner(k)?.node, this.weight(k));
+      addLoad(readStandbyRecord(entries.get(KEYS.standby(k))?.value)?.node, this.weight(k));
     }
     return chooseStandby({
       owner: this.context.settings.node,
@@ -179,9 +194,8 @@
       this.loggedAt = now;
       this.context.log.info(
         { shards: this.replicas.status(), records: this.jobRecords.size },
-        'standing by for',
+        'standby status',
       );
     }
-    this.context.clock.after(STATUS_LOG_INTERVAL_MS / 3, () => this.logStatus());
   }
 }
--- a/src/controller/teamassignment.ts
+++ b/src/controller/teamassignment.ts
@@ -63,6 +63,7 @@
     .reverse();
 }
 
+/** What the assignment of teams reads and writes. */
 export interface TeamAssignerOptions {
   readonly context: ControllerContext;
   /** The leader's term: what it writes holds only under this. */
