--- a/src/controller/routing.ts
+++ b/src/controller/routing.ts
@@ -17,7 +17,7 @@
 /** Jobs on one page of a list: a request must not cost an owner much. */
 const LIST_PAGE_SIZE = 200;
 
-/** Where users' questions go, and what is answered without the owner of the job. */
+/** Takes users' requests to the owner of the job's shard, and answers what can be answered without the owner. */
 export class Routing {
   private readonly ownerlessAdmission: OwnerlessAdmission;
   private readonly routes = new Map<string, JobEntry>();
@@ -26,8 +26,8 @@
     private readonly context: ControllerContext,
     private readonly members: Membership,
     private readonly ownerClient: OwnerClient,
-    /** The shards of this node. */
-    private readonly shards: () => ReadonlyMap<number, Shard>,
+    /** The shards that this node owns. */
+    private readonly shards: ReadonlyMap<number, Shard>,
   ) {
     this.ownerlessAdmission = new OwnerlessAdmission(
       context,
@@ -37,10 +37,19 @@
     );
   }
 
+  private requestStatus(shard: number, id: string): Promise<StatusAnswer | null> {
+    return this.ownerClient.request({
+      shard,
+      op: PEER_OPS.status,
+      args: { id },
+      answerHere: (local) => local.status(id),
+    });
+  }
+
   /** Makes a shard's owner read the record of a job that it may not know of. */
   private async confirmWithOwner(shard: number, id: string): Promise<boolean> {
     try {
-      await this.ownerClient.request(shard, PEER_OPS.status, { id }, (s) => s.status(id));
+      await this.requestStatus(shard, id);
       return true;
     } catch (error) {
       if (!(error instanceof UnavailableError || error instanceof StateStoreError)) throw error;
@@ -49,24 +58,28 @@
   }
 
   /**
-   * The shard of a job that is submitted; null while teams have not been parted. Jobs without a team go by a hash of their
-   * id, and so do those of a team with neither a guarantee nor a limit: nothing of theirs has to be counted in one place,
-   * and so their small tasks find what is left on the machines of all shards.
+   * The shard of a job that is submitted; null while teams have not been assigned. Jobs without a team go by a hash of
+   * their id, and so do those of a team with neither a guarantee nor a limit: nothing of theirs has to be counted in one
+   * place, and so their small tasks find what is left on the machines of all shards.
    */
   shardOf(spec: JobSpec): number | null {
     const { teams, nodes } = this.context.settings;
     if (teams.length === 0) return hash(spec.id) % nodes;
-    const parted = readTeamAssignment(this.members.stateCache.entries);
-    const own = parted?.[spec.team];
-    if (!parted || own === undefined) return null;
+    const assignment = readTeamAssignment(this.members.stateCache.entries);
+    const teamShard = assignment?.[spec.team];
+    if (!assignment || teamShard === undefined) return null;
     const team = teams.find((t) => t.name === spec.team);
-    if (!team || !hasNoQuota(team)) return own;
-    const shards = new Set<number>();
-    for (const t of teams) if (!hasNoQuota(t) && parted[t.name] !== undefined) shards.add(parted[t.name]!);
-    const among = [...shards].sort((a, b) => a - b);
-    return among.length === 0 ? own : among[hash(spec.id) % among.length]!;
+    if (!team || !hasNoQuota(team)) return teamShard;
+    const quotaShards = new Set<number>();
+    for (const other of teams) {
+      const shard = assignment[other.name];
+      if (!hasNoQuota(other) && shard !== undefined) quotaShards.add(shard);
+    }
+    const candidates = [...quotaShards].sort((a, b) => a - b);
+    return candidates.length === 0 ? teamShard : candidates[hash(spec.id) % candidates.length]!;
   }
 
+  /** Caches where a job is, or how it ended. */
   private remember(id: string, { shard, final, tasks }: JobEntry): void {
     this.routes.set(id, final ? { shard, final, tasks: tasks ?? 0 } : { shard });
     if (this.routes.size > MAX_CACHED_ROUTES) this.routes.delete(this.routes.keys().next().value!);
@@ -76,16 +89,16 @@
   async locate(id: string): Promise<JobEntry | null> {
     const known = this.routes.get(id);
     if (known) return known;
-    for (const s of this.shards().values()) if (s.ready && s.job(id)) return { shard: s.index };
+    for (const s of this.shards.values()) if (s.ready && s.job(id)) return { shard: s.index };
     const entry = await findJob((key) => this.context.store.getCoalesced(key), id);
     if (entry) this.remember(id, entry);
     return entry;
   }
 
   /**
-   * How a job stands as far as the state service knows, for when its owner cannot be reached: behind a cut between
-   * zones a user may see no other node for minutes. An end is durable before anyone hears of it, so this is never
-   * older than what the user was told.
+   * The status of a job as far as the state service knows, for when its owner cannot be reached: behind a cut between
+   * zones a user may see no other node for minutes. An end is durable before it is answered to anyone, so this is never
+   * older than what the user has seen.
    */
   private async statusFromStore(id: string): Promise<StatusAnswer | null> {
     const entry = await findJob((key) => this.context.store.getCoalesced(key), id);
@@ -102,6 +115,9 @@
     return { status: entry.final ?? 'queued', done, running: 0 };
   }
 
+  /**
+   * Submits a job to the owner of its shard. Throws `UnavailableError` when it can be neither accepted nor refused now.
+   */
   async submit(spec: JobSpec): Promise<SubmitAnswer> {
     const known = this.routes.get(spec.id);
     if (known?.final) return { kind: 'known', status: known.final };
@@ -116,11 +132,17 @@
     const op = spec.after.length > 0 ? PEER_OPS.submitWithDependencies : PEER_OPS.submit;
     let answer: SubmitAnswer;
     try {
-      const deputy = this.ownerlessAdmission.mayAccept(spec);
+      const ownerless = this.ownerlessAdmission.mayAccept(spec);
       answer = await this.ownerClient
-        .request<SubmitAnswer>(shard, op, { spec }, (s) => s.submit(spec), !deputy)
+        .request<SubmitAnswer>({
+          shard,
+          op,
+          args: { spec },
+          answerHere: (local) => local.submit(spec),
+          directOnly: ownerless,
+        })
         .catch((error) => {
-          if (!deputy || !(error instanceof OwnerUnavailableError)) throw error;
+          if (!ownerless || !(error instanceof OwnerUnavailableError)) throw error;
           return this.acceptWithoutOwner(shard, op, spec);
         });
     } catch (error) {
@@ -133,7 +155,7 @@
     return answer;
   }
 
-  /** Accepts a job whose owner is away; an owner that only this node cannot reach hears of it by a stored request. */
+  /** Accepts a job whose owner is away; an owner that only this node cannot reach learns of it by a stored request. */
   private async acceptWithoutOwner(shard: number, op: string, spec: JobSpec): Promise<SubmitAnswer> {
     for (const id of spec.after) {
       const entry = await this.locate(id);
@@ -152,6 +174,7 @@
     return answer;
   }
 
+  /** The status of a job; null when there never was one with this id. Throws `UnavailableError` when it is not known now. */
   async status(id: string): Promise<StatusAnswer | null> {
     const entry = await this.locate(id);
     if (!entry) return null;
@@ -160,7 +183,7 @@
     }
     let answer: StatusAnswer | null;
     try {
-      answer = await this.ownerClient.request(entry.shard, PEER_OPS.status, { id }, (s) => s.status(id));
+      answer = await this.requestStatus(entry.shard, id);
     } catch (error) {
       const stored = error instanceof UnavailableError ? await this.statusFromStore(id) : null;
       if (!stored) throw error;
@@ -180,31 +203,40 @@
   }
 
   /**
-   * Unfinished jobs whose ids begin with `under`, in the order of ids after one; all shards are asked, and when one of
-   * them does not answer, nothing is told.
+   * Unfinished jobs whose ids begin with `under`, in the order of ids after `after`, a page of them. All shards are asked;
+   * throws `UnavailableError` when one of them does not answer.
    */
   async list(under: string, after: string): Promise<{ jobs: ListedJob[]; more: boolean }> {
     const shards = Array.from({ length: this.context.settings.nodes }, (_, i) => i);
     const args = { under, after, most: LIST_PAGE_SIZE };
-    const parts = await Promise.all(
+    const pages = await Promise.all(
       shards.map((shard) =>
-        this.ownerClient.request<ListedJob[]>(shard, PEER_OPS.list, args, async (s) =>
-          s.list(under, after, LIST_PAGE_SIZE),
-        ),
+        this.ownerClient.request<ListedJob[]>({
+          shard,
+          op: PEER_OPS.list,
+          args,
+          answerHere: async (local) => local.list(under, after, LIST_PAGE_SIZE),
+        }),
       ),
     );
-    const jobs = parts.flat().sort((a, b) => (a.id < b.id ? -1 : 1));
+    const jobs = pages.flat().sort((a, b) => (a.id < b.id ? -1 : 1));
     return {
       jobs: jobs.slice(0, LIST_PAGE_SIZE),
-      more: jobs.length > LIST_PAGE_SIZE || parts.some((p) => p.length === LIST_PAGE_SIZE),
+      more: jobs.length > LIST_PAGE_SIZE || pages.some((page) => page.length === LIST_PAGE_SIZE),
     };
   }
 
+  /** Cancels a job; how it ended, or null when there never was one with this id. Throws `UnavailableError` when it cannot now. */
   async cancel(id: string): Promise<'done' | 'cancelled' | null> {
     const entry = await this.locate(id);
     if (!entry) return null;
     if (entry.final) return entry.final;
-    const answer = await this.ownerClient.request(entry.shard, PEER_OPS.cancel, { id }, (s) => s.cancel(id));
+    const answer = await this.ownerClient.request({
+      shard: entry.shard,
+      op: PEER_OPS.cancel,
+      args: { id },
+      answerHere: (local) => local.cancel(id),
+    });
     if (answer === null) {
       this.routes.delete(id);
       const again = await this.locate(id);
@@ -216,8 +248,9 @@
   }
 }
 
+/** FNV-1a, 32 bits, over UTF-16 code units: the same in all versions, so that all nodes send a job to the same shard. */
 function hash(text: string): number {
-  let h = 2166136261;
-  for (let i = 0; i < text.length; i++) h = Math.imul(h ^ text.charCodeAt(i), 16777619) >>> 0;
-  return h;
+  let value = 2166136261;
+  for (let i = 0; i < text.length; i++) value = Math.imul(value ^ text.charCodeAt(i), 16777619) >>> 0;
+  return value;
 }
