--- a/src/controller/rateallocator.ts
+++ b/src/controller/rateallocator.ts
@@ -22,9 +22,10 @@
 /** A node whose demand is older than this gets an even share. */
 const DEMAND_VALID_MS = 2000;
 
+/** A node's last demand, and when it came, in steady milliseconds. */
 interface NodeDemand {
-  at: number;
-  demand: StateRates;
+  readonly at: number;
+  readonly demand: StateRates;
 }
 
 /**
@@ -42,10 +43,15 @@
     private readonly isLeader: () => boolean,
   ) {}
 
+  /** Begins to report this node's demand, and to use its allocations. */
   start(): void {
-    this.allocating = startPeriodicTask(this.context.clock, ALLOCATION_INTERVAL_MS, () => this.renew());
+    const { clock, log } = this.context;
+    this.allocating = startPeriodicTask(clock, ALLOCATION_INTERVAL_MS, () =>
+      this.renew().catch((error) => log.error({ err: error }, 'rate allocation failed')),
+    );
   }
 
+  /** Ends it; the last allocation holds until its time is over. */
   stop(): void {
     this.allocating?.stop();
   }
