--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -7,8 +7,7 @@
 import { OwnerWrites, type OwnerWritesOptions, type RecordLimits } from './ownerwrites.js';
 import { findJob, type LoadedJob, loadJobs, type StoredChunk } from './storedjob.js';
 
-export type { AcceptResult } from './jobacceptance.js';
-export { type RecordLimits, valueBytes } from './ownerwrites.js';
+export { valueBytes } from './ownerwrites.js';
 export {
   findJob,
   type LoadedJob,
@@ -17,7 +16,7 @@
   readLoaded,
   readParts,
   readSpec,
-  type StoredChunk,
+  
   shardOfRecord,
 } from './storedjob.js';
 
--- a/src/schema/schema.ts
+++ b/src/schema/schema.ts
@@ -4,5 +4,5 @@
 export { type LeaseHolder, readLeaseHolder, writeLeaseHolder } from './leaseholder.js';
 export { type MachineRecord, readMachineRecord } from './machinerecord.js';
 export { MATCH_PROTOCOL_VERSION, PROTOCOL_VERSION } from './protocolversion.js';
-export { readStandbyRecord, type StandbyRecord, writeStandbyRecord } from './standbyrecord.js';
+export { readStandbyRecord, writeStandbyRecord } from './standbyrecord.js';
 export { readTeamAssignment } from './teamassignment.js';
