--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -1,6 +1,6 @@
 // This package: the commands that people give: a cluster on one machine, jobs, load.
 import { Command, CommanderError } from 'commander';
-import { Rejected, Unreachable } from '../client/client.js';
+import { ClientUnreachableError, RequestRejectedError } from '../client/client.js';
 import { JobFileError } from '../client/jobfile.js';
 import { SettingsError } from '../config/settings.js';
 import { version } from '../config/version.js';
@@ -37,8 +37,8 @@
 } catch (error) {
   if (error instanceof CommanderError) process.exit(error.exitCode === 0 ? EXIT.ok : EXIT.usage);
   if (error instanceof SettingsError || error instanceof JobFileError) fail(EXIT.usage, error.message);
-  if (error instanceof Rejected) fail(EXIT.usage, `${error.status}: ${error.message}`);
-  if (error instanceof Unreachable) fail(EXIT.unreachable, error.message);
+  if (error instanceof RequestRejectedError) fail(EXIT.usage, `${error.status}: ${error.message}`);
+  if (error instanceof ClientUnreachableError) fail(EXIT.unreachable, error.message);
   if ((error as NodeJS.ErrnoException).code === 'EADDRINUSE') fail(EXIT.bind, (error as Error).message);
   throw error;
 }
--- a/src/cli/files.ts
+++ b/src/cli/files.ts
@@ -1,5 +1,5 @@
 import { readFileSync } from 'node:fs';
-import { JobFileError, type JobOrder, readJobFile } from '../client/jobfile.js';
+import { type JobFileEntry, JobFileError, readJobFile } from '../client/jobfile.js';
 
 /** The text of a file, or of standard input for `-`. Fails with `JobFileError`. */
 export function readText(path: string, what: string): string {
@@ -11,6 +11,6 @@
 }
 
 /** The jobs of a file, by its ending TOML or else JSON. Fails with `JobFileError`. */
-export function loadJobs(path: string): JobOrder[] {
+export function loadJobs(path: string): JobFileEntry[] {
   return readJobFile(readText(path, path), path.endsWith('.toml') ? 'toml' : 'json');
 }
--- a/src/cli/runfile.ts
+++ b/src/cli/runfile.ts
@@ -1,11 +1,11 @@
 import { SpartrayClient } from '../client/client.js';
-import type { JobOrder } from '../client/jobfile.js';
+import type { JobFileEntry } from '../client/jobfile.js';
 import type { LocalCluster } from '../emulator/local.js';
 import { HttpClient } from '../http/client.js';
 import { say, table } from './output.js';
 
 /** Runs jobs on a cluster on this machine; true when all are done. */
-export async function runJobs(cluster: LocalCluster, orders: readonly JobOrder[]): Promise<boolean> {
+export async function runJobs(cluster: LocalCluster, orders: readonly JobFileEntry[]): Promise<boolean> {
   const http = new HttpClient(cluster.clock, { maxSockets: 64, bodyBytes: 1024 * 1024 });
   const client = new SpartrayClient(cluster.clock, http, { servers: [cluster.users], depot: cluster.depot });
   for (const { spec, upload } of orders) {
--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -14,10 +14,10 @@
 } from '../wire/users.js';
 
 /** Nobody could take the request within the time that users try for; nothing is known of what became of it. */
-export class Unreachable extends UnreachableError {}
+export class ClientUnreachableError extends UnreachableError {}
 
 /** Refused for good: 400 malformed, 404 unknown, 422 can never run. */
-export class Rejected extends InvalidInputError {
+export class RequestRejectedError extends InvalidInputError {
   constructor(
     readonly status: number,
     message: string,
@@ -41,19 +41,19 @@
   /** For how long a request is repeated, in seconds. */
   retryS?: number;
   /** Told of every answer, with how long it took. */
-  seen?: (request: string, status: number, ms: number) => void;
+  onAnswer?: (request: string, status: number, ms: number) => void;
 }
 
-const ANSWER_MS = 5000;
-const POLL_ANSWER_MS = 2000;
-const POLL_MS = 5000;
-const RETRY_MS = 1000;
-const RETRY_AFTER_MOST_S = 30;
-const RETRY_S = 60;
+const ANSWER_TIMEOUT_MS = 5000;
+const POLL_TIMEOUT_MS = 2000;
+const POLL_INTERVAL_MS = 5000;
+const RETRY_DELAY_MS = 1000;
+const MAX_RETRY_AFTER_S = 30;
+const DEFAULT_RETRY_S = 60;
 
 /** A user of a cluster, over HTTP. Every method may be called at any time; retries use the same id. */
 export class SpartrayClient {
-  private turn = 0;
+  private nextServer = 0;
 
   constructor(
     private readonly clock: Clock,
@@ -67,7 +67,7 @@
    */
   async submit(spec: JobSpec, upload: Upload = {}): Promise<JobView> {
     await this.upload(spec, upload);
-    const answer = await this.repeat('POST', USER_PATHS.jobs, writeJob(spec), [200, 201, 400, 422]);
+    const answer = await this.requestUntil('POST', USER_PATHS.jobs, writeJob(spec), [200, 201, 400, 422]);
     return this.view(answer);
   }
 
@@ -76,27 +76,27 @@
     const { depot } = this.options;
     if (depot === null) return;
     const body = { job: writeJob(spec), ...upload };
-    const until = this.clock.now() + (this.options.retryS ?? RETRY_S) * 1000;
+    const until = this.clock.now() + (this.options.retryS ?? DEFAULT_RETRY_S) * 1000;
     for (;;) {
-      const answer = await this.try(depot, 'PUT', `/jobs/${spec.id}`, body, ANSWER_MS);
+      const answer = await this.requestOnce(depot, 'PUT', `/jobs/${spec.id}`, body, ANSWER_TIMEOUT_MS);
       if (answer?.status === 200) return;
-      if (answer?.status === 400) throw new Rejected(400, errorOf(answer));
-      if (this.clock.now() >= until) throw new Unreachable('the description cannot be uploaded');
-      await pause(this.clock, RETRY_MS);
+      if (answer?.status === 400) throw new RequestRejectedError(400, errorOf(answer));
+      if (this.clock.now() >= until) throw new ClientUnreachableError('the description cannot be uploaded');
+      await pause(this.clock, RETRY_DELAY_MS);
     }
   }
 
   /** How a job stands; null when it was never accepted. Fails with `Unreachable`. */
   async status(id: string): Promise<JobView | null> {
     const path = pathOf(id);
-    const answer = await this.repeat('GET', path, null, [200, 404], POLL_ANSWER_MS);
+    const answer = await this.requestUntil('GET', path, null, [200, 404], POLL_TIMEOUT_MS);
     return answer.status === 404 ? null : this.view(answer);
   }
 
   /** Asks once; undefined when there was no answer to go by. */
   async poll(id: string): Promise<JobView | null | undefined> {
     const path = pathOf(id);
-    const answer = await this.try(this.server(), 'GET', path, null, POLL_ANSWER_MS);
+    const answer = await this.requestOnce(this.server(), 'GET', path, null, POLL_TIMEOUT_MS);
     if (answer?.status === 404) return null;
     return answer?.status === 200 ? (readStatus(answer.body) ?? undefined) : undefined;
   }
@@ -113,14 +113,14 @@
       if (!view || view.status === 'done' || view.status === 'cancelled' || this.clock.now() >= until)
         return view;
       seen?.(view);
-      await pause(this.clock, Math.max(0, Math.min(POLL_MS, until - this.clock.now())));
+      await pause(this.clock, Math.max(0, Math.min(POLL_INTERVAL_MS, until - this.clock.now())));
     }
   }
 
   /** Cancels a job; it stays `done` when it was. Fails with `Rejected` (404) or `Unreachable`. */
   async cancel(id: string): Promise<JobView> {
     const path = `${pathOf(id)}/${USER_PATHS.cancel}`;
-    return this.view(await this.repeat('POST', path, {}, [200, 404]));
+    return this.view(await this.requestUntil('POST', path, {}, [200, 404]));
   }
 
   /** Unfinished jobs whose ids begin with `under`, in the order of ids. */
@@ -128,9 +128,9 @@
     const all: ListedJob[] = [];
     for (let after = ''; ; ) {
       const query = new URLSearchParams({ under, after });
-      const answer = await this.repeat('GET', `${USER_PATHS.jobs}?${query}`, null, [200, 400]);
+      const answer = await this.requestUntil('GET', `${USER_PATHS.jobs}?${query}`, null, [200, 400]);
       const page = answer.status === 200 ? readJobList(answer.body) : null;
-      if (!page) throw new Rejected(answer.status, errorOf(answer));
+      if (!page) throw new RequestRejectedError(answer.status, errorOf(answer));
       all.push(...page.jobs);
       const last = page.jobs.at(-1);
       if (!page.more || !last) return all;
@@ -139,26 +139,26 @@
   }
 
   /** Sends a request until one of these statuses answers it, as users do. Fails with `Unreachable`. */
-  async repeat(
+  async requestUntil(
     method: string,
     path: string,
     body: object | null,
     final: readonly number[],
-    answerMs = ANSWER_MS,
+    answerMs = ANSWER_TIMEOUT_MS,
   ): Promise<HttpAnswer> {
-    const until = this.clock.now() + (this.options.retryS ?? RETRY_S) * 1000;
+    const until = this.clock.now() + (this.options.retryS ?? DEFAULT_RETRY_S) * 1000;
     let why = 'no answer';
     for (;;) {
-      const answer = await this.try(this.server(), method, path, body, answerMs);
+      const answer = await this.requestOnce(this.server(), method, path, body, answerMs);
       if (answer && final.includes(answer.status)) return answer;
       if (answer) why = `${answer.status} ${errorOf(answer)}`;
-      const wait = Math.max(RETRY_MS, Math.min(RETRY_AFTER_MOST_S, retryAfter(answer)) * 1000);
-      if (this.clock.now() + wait > until) throw new Unreachable(why);
+      const wait = Math.max(RETRY_DELAY_MS, Math.min(MAX_RETRY_AFTER_S, retryAfter(answer)) * 1000);
+      if (this.clock.now() + wait > until) throw new ClientUnreachableError(why);
       await pause(this.clock, wait);
     }
   }
 
-  private async try(
+  private async requestOnce(
     addr: string,
     method: string,
     path: string,
@@ -171,19 +171,19 @@
       answer = await this.http.request(addr, method, path, body, answerMs);
     } catch (error) {
       if (!(error instanceof HttpRequestError)) throw error;
-      this.turn++;
+      this.nextServer++;
     }
-    this.options.seen?.(`${method} ${path}`, answer?.status ?? 0, this.clock.now() - sent);
+    this.options.onAnswer?.(`${method} ${path}`, answer?.status ?? 0, this.clock.now() - sent);
     return answer;
   }
 
   private server(): string {
-    return this.options.servers[this.turn % this.options.servers.length]!;
+    return this.options.servers[this.nextServer % this.options.servers.length]!;
   }
 
   private view(answer: HttpAnswer): JobView {
     const view = answer.status < 300 ? readStatus(answer.body) : null;
-    if (!view) throw new Rejected(answer.status, errorOf(answer));
+    if (!view) throw new RequestRejectedError(answer.status, errorOf(answer));
     return view;
   }
 }
--- a/src/client/jobfile.ts
+++ b/src/client/jobfile.ts
@@ -8,7 +8,7 @@
 /** A file of jobs that cannot be used; the message says where and why. */
 export class JobFileError extends InvalidInputError {}
 
-export interface JobOrder {
+export interface JobFileEntry {
   spec: JobSpec;
   upload: Upload;
 }
@@ -42,7 +42,7 @@
  * Jobs from a file: TOML with `[[jobs]]` or one job at the top, or JSON with one job or a list. The fields are those of
  * a submission, and `runS` and `fails` for emulated workers; `id` is drawn when it is not there.
  */
-export function readJobFile(text: string, format: 'toml' | 'json'): JobOrder[] {
+export function readJobFile(text: string, format: 'toml' | 'json'): JobFileEntry[] {
   const raw = format === 'json' ? fromJson(text) : fromToml(text);
   const jobs = Array.isArray(raw) ? raw : isObject(raw) && Array.isArray(raw.jobs) ? raw.jobs : [raw];
   if (jobs.length === 0) throw new JobFileError('no job in it');
--- a/src/load/play.ts
+++ b/src/load/play.ts
@@ -1,6 +1,6 @@
 // This package: users and faults of a scenario on an emulated cluster, what becomes of them, and the rules they are held to.
 import type { Histogram } from 'hdr-histogram-js';
-import { Rejected, SpartrayClient, Unreachable } from '../client/client.js';
+import { ClientUnreachableError, RequestRejectedError, SpartrayClient } from '../client/client.js';
 import { type Clock, pause } from '../clock/clock.js';
 import type { LocalCluster } from '../emulator/local.js';
 import type { Platform } from '../emulator/platform.js';
@@ -147,7 +147,7 @@
 
   private arrive(c: JobClass): void {
     const user = this.user(c).catch((error) => {
-      if (!(error instanceof Unreachable)) throw error;
+      if (!(error instanceof ClientUnreachableError)) throw error;
     });
     this.users.add(user);
     void user.finally(() => this.users.delete(user));
@@ -168,8 +168,8 @@
       await this.client.submit(spec, { runS });
     } catch (error) {
       t.refused++;
-      if (error instanceof Rejected) this.note(spec.id, 'refused');
-      if (!(error instanceof Rejected || error instanceof Unreachable)) throw error;
+      if (error instanceof RequestRejectedError) this.note(spec.id, 'refused');
+      if (!(error instanceof RequestRejectedError || error instanceof ClientUnreachableError)) throw error;
       return;
     }
     t.accepted++;
--- a/tests/upgrade/jobs.ts
+++ b/tests/upgrade/jobs.ts
@@ -1,4 +1,4 @@
-import type { JobOrder } from '../../src/client/jobfile.js';
+import type { JobFileEntry } from '../../src/client/jobfile.js';
 import { readJobFile } from '../../src/client/jobfile.js';
 
 /** Every id of this check begins so. */
@@ -8,7 +8,7 @@
 export interface Submission {
   /** Seconds after the beginning of the step. */
   atS: number;
-  orders: JobOrder[];
+  orders: JobFileEntry[];
   /** The first job is cancelled so many seconds after the last one was submitted. */
   cancelAfterS?: number;
 }
@@ -30,7 +30,7 @@
 
 type JobFields = Record<string, unknown>;
 
-function order(fields: JobFields): JobOrder {
+function order(fields: JobFields): JobFileEntry {
   return readJobFile(JSON.stringify(fields), 'json')[0]!;
 }
 
--- a/tests/upgrade/users.ts
+++ b/tests/upgrade/users.ts
@@ -1,5 +1,5 @@
-import { Rejected, SpartrayClient, Unreachable } from '../../src/client/client.js';
-import type { JobOrder } from '../../src/client/jobfile.js';
+import { ClientUnreachableError, RequestRejectedError, SpartrayClient } from '../../src/client/client.js';
+import type { JobFileEntry } from '../../src/client/jobfile.js';
 import { type Clock, pause } from '../../src/clock/clock.js';
 import { HttpClient } from '../../src/http/client.js';
 import type { UserEvent, Violation } from '../../src/load/check.js';
@@ -87,7 +87,7 @@
     await this.cancel(submission.orders[0]!.spec.id);
   }
 
-  private async submitOne(step: string, { spec, upload }: JobOrder): Promise<TrackedJob> {
+  private async submitOne(step: string, { spec, upload }: JobFileEntry): Promise<TrackedJob> {
     const job: TrackedJob = { spec, step, outcome: 'pending', view: null };
     this.jobs.set(spec.id, job);
     this.specs.set(spec.id, spec);
@@ -97,9 +97,9 @@
       job.outcome = 'accepted';
       this.note(spec.id, 'accepted');
     } catch (error) {
-      if (!(error instanceof Rejected || error instanceof Unreachable)) throw error;
-      job.outcome = error instanceof Rejected ? 'refused' : 'undecided';
-      if (error instanceof Rejected) this.note(spec.id, 'refused');
+      if (!(error instanceof RequestRejectedError || error instanceof ClientUnreachableError)) throw error;
+      job.outcome = error instanceof RequestRejectedError ? 'refused' : 'undecided';
+      if (error instanceof RequestRejectedError) this.note(spec.id, 'refused');
     }
     return job;
   }
@@ -111,8 +111,8 @@
       const view = await this.client.cancel(id);
       if (view.status === 'cancelled') this.hear(id, view, asked);
     } catch (error) {
-      if (!(error instanceof Rejected || error instanceof Unreachable)) throw error;
-      if (error instanceof Rejected) this.note(id, 'unknown', asked);
+      if (!(error instanceof RequestRejectedError || error instanceof ClientUnreachableError)) throw error;
+      if (error instanceof RequestRejectedError) this.note(id, 'unknown', asked);
     }
   }
 
