--- a/src/cli/connect.ts
+++ b/src/cli/connect.ts
@@ -1,12 +1,17 @@
+/** The options and the client of commands that send requests to a cluster. */
+
 import { type Command, Option } from 'commander';
 import { SpartrayClient } from '../client/client.js';
 import { systemClock } from '../clock/clock.js';
 import { HttpClient } from '../http/client.js';
 
+/** The options that `serverOptions` adds. */
 export interface ServerOptions {
+  /** Addresses, separated by commas. */
   server: string;
   depot?: string;
   json?: boolean;
+  /** Seconds. */
   timeout: string;
 }
 
@@ -27,11 +32,13 @@
     .option('--json', 'print JSON instead of text');
 }
 
+/** A client, and what ends its connections. */
 export interface Connected {
   client: SpartrayClient;
   close: () => void;
 }
 
+/** A client of the cluster that the options name; nothing is sent yet. */
 export function connect(options: ServerOptions): Connected {
   const http = new HttpClient(systemClock, { maxSockets: 16, bodyBytes: 4 * 1024 * 1024 });
   const client = new SpartrayClient(systemClock, http, {
--- a/src/cli/local.ts
+++ b/src/cli/local.ts
@@ -9,6 +9,7 @@
 import { loadJobs } from './files.js';
 import { EXIT, fail, say } from './output.js';
 
+/** The flags of `spartray local`. */
 export interface LocalFlags {
   controllers: number;
   machines: string;
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,13 +1,17 @@
+/** Exit codes of the commands, and what they print. */
+
 import Table from 'cli-table3';
 
 /** What the commands end with. */
 export const EXIT = { ok: 0, failed: 1, usage: 2, bind: 3, unreachable: 4 } as const;
 
+/** Reports an error on standard error and exits the process. */
 export function fail(code: number, message: string): never {
   process.stderr.write(`spartray: ${message}\n`);
   process.exit(code);
 }
 
+/** Prints a line on standard output. */
 export function say(line: string): void {
   process.stdout.write(`${line}\n`);
 }
--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -1,4 +1,4 @@
-// This package: what users do: submit as the protocol says they do, ask, wait, cancel.
+/** A client for users: submits jobs with the retries that the protocol asks for, polls, waits and cancels. */
 
 import { type Clock, pause } from '../clock/clock.js';
 import { InvalidInputError, UnreachableError } from '../errors/errors.js';
@@ -26,6 +26,7 @@
   }
 }
 
+/** What emulated workers need to know of a job beside its specification. */
 export interface Upload {
   /** How long a task truly runs, for emulated workers. */
   runS?: number | undefined;
@@ -33,6 +34,7 @@
   fails?: boolean | undefined;
 }
 
+/** Where a client sends its requests, and for how long. */
 export interface ClientOptions {
   /** `host:port` of controllers or of the load balancer before them; tried in turn. */
   servers: readonly string[];
--- a/src/client/jobfile.ts
+++ b/src/client/jobfile.ts
@@ -1,3 +1,5 @@
+/** Files of jobs that users submit. */
+
 import { randomUUID } from 'node:crypto';
 import { parse, TomlError } from 'smol-toml';
 import * as v from 'valibot';
@@ -8,6 +10,7 @@
 /** A file of jobs that cannot be used; the message says where and why. */
 export class JobFileError extends InvalidInputError {}
 
+/** One job of a file. */
 export interface JobFileEntry {
   spec: JobSpec;
   upload: Upload;
--- a/src/condor/analyze.ts
+++ b/src/condor/analyze.ts
@@ -10,6 +10,7 @@
   ad: Ad;
 }
 
+/** One clause of a process's requirements. */
 export interface Clause {
   text: string;
   /** How many kinds it alone holds for. */
@@ -18,8 +19,11 @@
   nearest?: string;
 }
 
+/** What the requirements of a process match. */
 export interface Analysis {
+  /** Number of kinds of machines. */
   kinds: number;
+  /** Number of those that match all clauses. */
   matches: number;
   clauses: Clause[];
   /** What keeps the process from starting, in one sentence; null when some kind matches. */
--- a/src/condor/expander.ts
+++ b/src/condor/expander.ts
@@ -27,6 +27,7 @@
 const AT_ONCE = 4;
 const LOOKED_AT_ONCE = 500;
 
+/** What a user may do to processes. */
 export type Act = 'hold' | 'release' | 'remove';
 
 /** Turns processes into jobs, one node for all clusters; and keeps what was held, released and removed. */
--- a/src/condor/language.ts
+++ b/src/condor/language.ts
@@ -10,6 +10,7 @@
   | { kind: 'from'; file: string | null; rows: string[] | null }
   | { kind: 'matching'; what: 'any' | 'files' | 'dirs'; globs: string[]; rows: string[] | null };
 
+/** A queue statement. */
 export interface Queue {
   line: number;
   column: number;
--- a/src/condor/procs.ts
+++ b/src/condor/procs.ts
@@ -18,6 +18,7 @@
   at: number;
 }
 
+/** What processes are checked against. */
 export interface ProcOptions {
   teams: readonly string[];
   /** The team of processes whose accounting group names none; null refuses them. */
@@ -26,6 +27,7 @@
   never: (spec: JobSpec) => string | null;
 }
 
+/** One process of a cluster, expanded. */
 export interface Proc {
   ad: Ad;
   /** Without its id, which says which start of the process it is. */
--- a/src/condor/records.ts
+++ b/src/condor/records.ts
@@ -1,3 +1,5 @@
+/** The records of clusters of submit files in the state service. */
+
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import * as v from 'valibot';
 import { KEYS } from '../schema/schema.js';
@@ -22,6 +24,7 @@
   exceptions: (n: number) => `condor/x/${padded(n)}/`,
   chunk: (n: number, i: number) => `condor/x/${padded(n)}/${padded(i)}`,
 } as const;
+/** The key that names the node that expands clusters. */
 export const EXPANDER = CONDOR.expander;
 
 function padded(n: number): string {
@@ -42,6 +45,7 @@
   /** Of one that is over: how its processes ended. */
   removed: v.optional(v.number(), 0),
 });
+/** The record of one cluster. */
 export type ClusterRecord = v.InferOutput<typeof clusterValue>;
 
 const exceptionValue = v.object({
@@ -60,6 +64,7 @@
 const TXN_BYTES = 40 * 1024;
 const MOST_INFLATED = 4 * 1024 * 1024;
 
+/** A cluster's record as it was read. */
 export interface Loaded {
   number: number;
   record: ClusterRecord;
@@ -80,20 +85,10 @@
   async create(id: string, s: Submission, total: number, batch: string | null): Promise<number> {
     const known = await this.numberOf(id);
     if (known !== null) return known;
-    const bytes = deflateRawSync(JSON.stringify(s));
-    const per = Math.floor((this.limits.valueKb * 1000 * 3) / 4) - 16;
-    const writes: Write[] = [];
-    for (let i = 0; i * per < bytes.length; i++)
-      writes.push({
-        put: CONDOR.part(id, i),
-        value: bytes.subarray(i * per, (i + 1) * per).toString('base64'),
-      });
-    const together = Math.max(1, Math.min(this.limits.txnOps, Math.floor(TXN_BYTES / (per * 1.4))));
-    for (let i = 0; i < writes.length; i += together)
-      await this.store.compareAndSwap([], writes.slice(i, i + together));
+    const parts = await this.writeParts(id, s);
     const record: ClusterRecord = {
       submission: id,
-      parts: writes.length,
+      parts,
       user: s.user,
       batch,
       at: s.at,
@@ -104,30 +99,51 @@
       removed: 0,
     };
     for (let i = 0; i < TRIES; i++) {
-      const next = await this.store.get(CONDOR.next);
-      const number = next ? Number(next.value) : 1;
-      try {
-        const made = await this.store.compareAndSwap(
-          [
-            { key: CONDOR.next, version: next?.version ?? 0 },
-            { key: CONDOR.submission(id), version: 0 },
-          ],
-          [
-            { put: CONDOR.next, value: number + 1 },
-            { put: CONDOR.submission(id), value: number },
-            { put: CONDOR.cluster(number), value: record },
-          ],
-        );
-        if (made.ok) return number;
-      } catch (error) {
-        if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
-      }
-      const mine = await this.numberOf(id);
-      if (mine !== null) return mine;
+      const number = await this.tryCreate(id, record);
+      if (number !== null) return number;
     }
     throw new StateStoreError('too many clusters at once', false);
   }
 
+  /** Stores the text of a submission in parts; returns how many. */
+  private async writeParts(id: string, s: Submission): Promise<number> {
+    const bytes = deflateRawSync(JSON.stringify(s));
+    const per = Math.floor((this.limits.valueKb * 1000 * 3) / 4) - 16;
+    const writes: Write[] = [];
+    for (let i = 0; i * per < bytes.length; i++)
+      writes.push({
+        put: CONDOR.part(id, i),
+        value: bytes.subarray(i * per, (i + 1) * per).toString('base64'),
+      });
+    const together = Math.max(1, Math.min(this.limits.txnOps, Math.floor(TXN_BYTES / (per * 1.4))));
+    for (let i = 0; i < writes.length; i += together)
+      await this.store.compareAndSwap([], writes.slice(i, i + together));
+    return writes.length;
+  }
+
+  /** Stores a record under the next free number. Null when another cluster got that number first. */
+  private async tryCreate(id: string, record: ClusterRecord): Promise<number | null> {
+    const next = await this.store.get(CONDOR.next);
+    const number = next ? Number(next.value) : 1;
+    try {
+      const made = await this.store.compareAndSwap(
+        [
+          { key: CONDOR.next, version: next?.version ?? 0 },
+          { key: CONDOR.submission(id), version: 0 },
+        ],
+        [
+          { put: CONDOR.next, value: number + 1 },
+          { put: CONDOR.submission(id), value: number },
+          { put: CONDOR.cluster(number), value: record },
+        ],
+      );
+      if (made.ok) return number;
+    } catch (error) {
+      if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
+    }
+    return this.numberOf(id);
+  }
+
   private async numberOf(id: string): Promise<number | null> {
     const e = await this.store.get(CONDOR.submission(id));
     return e ? Number(e.value) : null;
--- a/src/condor/service.ts
+++ b/src/condor/service.ts
@@ -20,6 +20,7 @@
 import { ClusterPlan, type ProcOptions } from './procs.js';
 import { ClusterRecords, EXPANDER } from './records.js';
 
+/** The options of a controller that concern HTCondor. */
 export interface CondorOptions {
   /** The team of processes whose accounting group names none. */
   team: string | null;
--- a/src/federation/lending.ts
+++ b/src/federation/lending.ts
@@ -1,4 +1,4 @@
-// This package: jobs lent to partner clusters: who may run one, and whose answer counts. Pure; no I/O yet.
+/** Jobs lent to partner clusters: who may run one, and whose answer counts. Pure functions; no I/O yet. */
 
 /**
  * One job that may run at home or at a partner. Both clusters keep a durable record of it; every function here takes a
@@ -15,8 +15,10 @@
   stopMs: number;
 }
 
+/** How a job ended. */
 export type Final = 'done' | 'cancelled';
 
+/** The record of the cluster that accepted the job. */
 export interface HomeRecord {
   /** Grows with each time that the job comes back: what is done under an earlier one counts no more. */
   epoch: number;
@@ -24,6 +26,7 @@
   final: Final | null;
 }
 
+/** The record of the cluster that it is lent to. */
 export interface PartnerRecord {
   epoch: number;
   /** The lease, in the home cluster's time of day. */
--- a/src/tls/certs.ts
+++ b/src/tls/certs.ts
@@ -1,16 +1,21 @@
-// The certificate library needs it to be there first.
+/** Makes certificates for links to partner clusters (`spartray certs`). */
+
+// The certificate library needs it to be loaded first.
 import 'reflect-metadata';
 import { randomBytes, webcrypto } from 'node:crypto';
 import * as x509 from '@peculiar/x509';
 
 const ALGORITHM = { name: 'ECDSA', namedCurve: 'P-256', hash: 'SHA-256' } as const;
 
+/** A key and its certificate, in PEM. */
 export interface Issued {
   key: string;
   cert: string;
+  /** Serial number of the certificate. */
   serial: string;
 }
 
+/** One that signs other certificates. */
 export interface Issuer extends Issued {
   keys: CryptoKeyPair;
   certificate: x509.X509Certificate;
--- a/src/tls/credentials.ts
+++ b/src/tls/credentials.ts
@@ -1,4 +1,4 @@
-// This package: links to partner clusters over TLS: certificates, who is let in, and bounded frames.
+/** Keys and certificates of a cluster, and which partners' certificates are accepted. */
 
 import { createPrivateKey, X509Certificate } from 'node:crypto';
 import { readFileSync, statSync } from 'node:fs';
@@ -8,6 +8,7 @@
 /** Keys or certificates that cannot be used; the message names the file. */
 export class TlsError extends InvalidInputError {}
 
+/** Paths of PEM files. */
 export interface TlsFiles {
   key: string;
   cert: string;
@@ -17,6 +18,7 @@
   revoked: string | null;
 }
 
+/** The contents of the files, checked. */
 export interface Credentials {
   key: string;
   cert: string;
@@ -106,6 +108,7 @@
   return c.revoked.has(serial(cert.serialNumber)) ? 'revoked' : null;
 }
 
+/** What a credential store calls. */
 export interface CredentialHooks {
   /** New files are in use from now on. */
   changed(c: Credentials): void;
--- a/src/tls/links.ts
+++ b/src/tls/links.ts
@@ -1,3 +1,5 @@
+/** Links between partner clusters: TLS 1.3 with certificates of both sides, and bounded frames. */
+
 import type { X509Certificate } from 'node:crypto';
 import type { AddressInfo, Socket } from 'node:net';
 import tls from 'node:tls';
@@ -6,20 +8,25 @@
 import { encodeFrame, FrameReader, type PeerMessage } from '../peer/frames.js';
 import { type Credentials, clusterOf, refusal } from './credentials.js';
 
+/** Bounds of links; times in milliseconds. */
 export interface LinkLimits {
-  /** Connections at once that have not shown who they are, and of one partner. */
+  /** Connections at once whose handshake is not complete. */
   connections: number;
+  /** Connections at once of one partner. */
   ofOne: number;
+  /** The longest time for a handshake. */
   handshakeMs: number;
-  /** A connection on which nothing is asked ends after this. */
+  /** A connection without requests is ended after this time. */
   idleMs: number;
+  /** The longest frame. */
   frameBytes: number;
-  /** Answers that the other side does not take. */
+  /** Responses that the other side has not received. */
   unsentBytes: number;
-  /** Questions of one connection that are being answered at once. */
+  /** Requests of one connection that are being answered at once. */
   asked: number;
 }
 
+/** The bounds in production. */
 export const LINK_LIMITS: LinkLimits = {
   connections: 64,
   ofOne: 8,
@@ -30,12 +37,14 @@
   asked: 32,
 };
 
-/** The version of what partners say to each other. A partner of another one is answered so, and not understood by guess. */
+/** The version of the protocol between partners. Requests of another version are answered with `WRONG_VERSION`. */
 const PARTNER_VERSION = 1;
+/** The error text of the response to a request of another version. */
 export const WRONG_VERSION = 'another version';
 
+/** What a server of links calls. */
 export interface ServerHooks {
-  /** Answers a partner's question. What it throws is told as an error without its text. */
+  /** Answers a partner's request. What it throws is answered as an error without its text. */
   answer(partner: string, op: string, args: unknown): Promise<unknown>;
   /** A connection was refused or ended for what the other side did. */
   refused(why: string, address: string): void;
@@ -277,6 +286,7 @@
     return answer;
   }
 
+  /** Ends the connection; a later request opens another one. */
   close(): void {
     this.socket?.destroy();
   }
@@ -297,7 +307,7 @@
         host: this.addr.host,
         port: this.addr.port,
         ...context(c),
-        // The partner's name is that of its cluster, looked at below with all else.
+        // The partner's name is that of its cluster, which `refusal` checks with all else.
         rejectUnauthorized: false,
         checkServerIdentity: () => undefined,
       });
@@ -313,30 +323,37 @@
         this.socket = socket;
         resolve(socket);
       });
-      const reader = new FrameReader(this.limits.frameBytes);
-      socket.on('data', (data) => {
-        try {
-          for (const m of reader.feed(data)) if ('r' in m) this.settle(m);
-        } catch {
-          socket.destroy();
-        }
-      });
+      this.readResponses(socket);
       socket.on('error', () => socket.destroy());
       socket.on('close', () => {
         timer.cancel();
         reject(new PartnerAway(`${this.partner} cannot be reached`));
-        if (this.socket !== socket) return;
-        this.socket = null;
-        this.ready = null;
-        for (const w of this.waiting.values()) {
-          w.timer.cancel();
-          w.reject(new PartnerAway(`${this.partner} was cut off`));
-        }
-        this.waiting.clear();
+        if (this.socket === socket) this.onClosed();
       });
     });
   }
 
+  private readResponses(socket: tls.TLSSocket): void {
+    const reader = new FrameReader(this.limits.frameBytes);
+    socket.on('data', (data) => {
+      try {
+        for (const m of reader.feed(data)) if ('r' in m) this.settle(m);
+      } catch {
+        socket.destroy();
+      }
+    });
+  }
+
+  private onClosed(): void {
+    this.socket = null;
+    this.ready = null;
+    for (const w of this.waiting.values()) {
+      w.timer.cancel();
+      w.reject(new PartnerAway(`${this.partner} was cut off`));
+    }
+    this.waiting.clear();
+  }
+
   private settle(m: Extract<PeerMessage, { r: number }>): void {
     const w = this.waiting.get(m.r);
     if (!w) return;
