--- a/src/modelcheck/lending.ts
+++ b/src/modelcheck/lending.ts
@@ -28,8 +28,10 @@
   | 'giveBack'
   | 'drop'
 >;
+/** The transitions of production. */
 export const PRODUCTION: Transitions = lending;
 
+/** How far the model goes. */
 export interface Bounds {
   /** A job is lent no more from this epoch on. */
   epochs: number;
@@ -39,39 +41,41 @@
   writes: number;
   cancels: boolean;
   limits: LendingLimits;
-  /** What is told and sent before it is stored, to see that this is found: production stores first. */
-  tellsFirst?: boolean;
+  /** Answers and messages go out before it is stored, to see that this is found: production stores first. */
+  answersBeforeStoring?: boolean;
 }
 
 type Side = 'home' | 'partner';
 
 /** A conditional change of one side's record, which may be applied late, or after whoever sent it has died. */
-interface Pending {
+interface PendingWrite {
   side: Side;
   version: number;
   record: HomeRecord | PartnerRecord;
   say: LendingMessage | null;
 }
 
+/** A state of the model. */
 export interface State {
   t: number;
   home: HomeRecord;
   homeVersion: number;
   partner: PartnerRecord | null;
   partnerVersion: number;
-  pending: Pending[];
+  pendingWrites: PendingWrite[];
   /** To home and to the partner. */
-  net: { to: Side; m: LendingMessage }[];
+  messages: { to: Side; m: LendingMessage }[];
   /** Whether tasks are on machines. */
   runsHome: boolean;
   runsPartner: boolean;
   /** When the partner's controllers began to stop its tasks, or all died. */
   stoppingAt: number | null;
   partnerDown: number | null;
-  /** What the user has been told, and when of a cancellation. */
-  told: lending.Final | null;
-  toldAt: number;
-  wentBack: boolean;
+  /** What the user has been answered, and when; of a cancellation, for how long it may run on. */
+  answered: lending.Final | null;
+  answeredAt: number;
+  /** The user was answered something else than before. */
+  answerChanged: boolean;
   /** Tasks ran to their end, under these epochs. */
   finished: number[];
 }
@@ -87,18 +91,18 @@
 
   const copy = (s: State): State => ({
     ...s,
-    pending: [...s.pending],
-    net: [...s.net],
+    pendingWrites: [...s.pendingWrites],
+    messages: [...s.messages],
     finished: [...s.finished],
   });
   const send = (s: State, from: Side, m: LendingMessage | null) => {
-    if (m && s.net.length < b.messages) s.net.push({ to: from === 'home' ? 'partner' : 'home', m });
+    if (m && s.messages.length < b.messages) s.messages.push({ to: from === 'home' ? 'partner' : 'home', m });
   };
-  const tell = (s: State, final: lending.Final | null) => {
+  const answerUser = (s: State, final: lending.Final | null) => {
     if (final === null) return;
-    if (s.told !== null && s.told !== final) s.wentBack = true;
-    if (s.told === null) s.toldAt = s.t;
-    s.told ??= final;
+    if (s.answered !== null && s.answered !== final) s.answerChanged = true;
+    if (s.answered === null) s.answeredAt = s.t;
+    s.answered ??= final;
   };
   /** Stores what a step says, at some later moment, and says it after that. */
   const write = (s: State, side: Side, step: Step<HomeRecord | PartnerRecord>): State | null => {
@@ -108,24 +112,24 @@
       send(n, side, step.say);
       return n;
     }
-    if (s.pending.length >= b.writes) return null;
+    if (s.pendingWrites.length >= b.writes) return null;
     const n = copy(s);
     const version = side === 'home' ? s.homeVersion : s.partnerVersion;
-    n.pending.push({ side, version, record: step.record, say: step.say });
-    if (b.tellsFirst) {
+    n.pendingWrites.push({ side, version, record: step.record, say: step.say });
+    if (b.answersBeforeStoring) {
       send(n, side, step.say);
-      if (side === 'home') tell(n, (step.record as HomeRecord).final);
+      if (side === 'home') answerUser(n, (step.record as HomeRecord).final);
     }
     return n;
   };
-  const apply = (s: State, p: Pending, answered: boolean): State => {
+  const apply = (s: State, p: PendingWrite, answered: boolean): State => {
     const n = copy(s);
-    n.pending.splice(n.pending.indexOf(p), 1);
+    n.pendingWrites.splice(n.pendingWrites.indexOf(p), 1);
     if (p.side === 'home') {
       if (p.version !== s.homeVersion) return n;
       n.home = p.record as HomeRecord;
       n.homeVersion++;
-      if (answered) tell(n, n.home.final);
+      if (answered) answerUser(n, n.home.final);
     } else {
       if (p.version !== s.partnerVersion) return n;
       n.partner = p.record as PartnerRecord;
@@ -136,14 +140,14 @@
   };
 
   /** The steps of one side on one job go one after the other, under a lock. */
-  const locked = (s: State, side: Side) => s.pending.some((p) => p.side === side);
+  const locked = (s: State, side: Side) => s.pendingWrites.some((p) => p.side === side);
 
   function* atHome(s: State): Generator<{ what: string; state: State | null }> {
     if (locked(s, 'home')) {
       // Another owner has a later term: what the one before had not stored by then is never applied.
       yield {
         what: 'home has a new owner',
-        state: { ...copy(s), pending: s.pending.filter((p) => p.side !== 'home') },
+        state: { ...copy(s), pendingWrites: s.pendingWrites.filter((p) => p.side !== 'home') },
       };
       return;
     }
@@ -159,7 +163,7 @@
     if (b.cancels) yield { what: 'cancel', state: write(s, 'home', f.cancel(s.home)) };
     if (s.home.final !== null) {
       const asked = copy(s);
-      tell(asked, s.home.final);
+      answerUser(asked, s.home.final);
       yield { what: 'user asks', state: asked };
     }
     for (const now of clocks(s.t)) {
@@ -179,8 +183,8 @@
       yield { what: 'partner is back', state: { ...copy(s), partnerDown: null } };
       return;
     }
-    const kept = s.pending.filter((p) => p.side !== 'partner');
-    yield { what: 'partner ends', state: { ...copy(s), partnerDown: s.t, pending: kept } };
+    const kept = s.pendingWrites.filter((p) => p.side !== 'partner');
+    yield { what: 'partner ends', state: { ...copy(s), partnerDown: s.t, pendingWrites: kept } };
     if (locked(s, 'partner')) return;
     const r = s.partner;
     if (!r) return;
@@ -253,15 +257,15 @@
 
   function* next(s: State): Generator<{ what: string; state: State }> {
     yield { what: 'time', state: tick(s) };
-    for (const p of s.pending) {
+    for (const p of s.pendingWrites) {
       yield { what: `${p.side} stores`, state: apply(s, p, true) };
       yield { what: `${p.side} stores, and its answer is lost`, state: apply(s, p, false) };
     }
     for (const step of [...atHome(s), ...atPartner(s)])
       if (step.state) yield { what: step.what, state: step.state };
-    for (const [i, { to, m }] of s.net.entries()) {
+    for (const [i, { to, m }] of s.messages.entries()) {
       const gone = copy(s);
-      gone.net.splice(i, 1);
+      gone.messages.splice(i, 1);
       yield { what: `${m.kind} is lost`, state: gone };
       for (const step of deliver(gone, to, m)) if (step.state) yield { what: step.what, state: step.state };
       for (const step of deliver(s, to, m))
@@ -276,26 +280,28 @@
       homeVersion: 0,
       partner: null,
       partnerVersion: 0,
-      pending: [],
-      net: [],
+      pendingWrites: [],
+      messages: [],
       runsHome: false,
       runsPartner: false,
       stoppingAt: null,
       partnerDown: null,
-      told: null,
-      toldAt: 0,
-      wentBack: false,
+      answered: null,
+      answeredAt: 0,
+      answerChanged: false,
       finished: [],
     },
     next,
-    wrong(s) {
+    violationIn(s) {
       if (s.runsHome && s.runsPartner) return 'runs in two clusters';
-      if (s.wentBack) return 'an answer changed';
-      if (s.told !== null && s.home.final !== null && s.told !== s.home.final)
+      if (s.answerChanged) return 'an answer changed';
+      if (s.answered !== null && s.home.final !== null && s.answered !== s.home.final)
         return 'told what is not stored';
       if (s.home.final === 'done' && !s.finished.includes(s.home.epoch)) return 'done by what counts no more';
       const over =
-        s.told === 'cancelled' ? s.toldAt + limits.leaseMs + 2 * limits.skewMs : Number.POSITIVE_INFINITY;
+        s.answered === 'cancelled'
+          ? s.answeredAt + limits.leaseMs + 2 * limits.skewMs
+          : Number.POSITIVE_INFINITY;
       if (s.runsPartner && s.t > over) return 'runs long after its cancellation was told';
       return null;
     },
@@ -307,25 +313,26 @@
       const partner = (r: PartnerRecord) => `${r.epoch}${r.state}${left(r.until)}`;
       const said = (m: LendingMessage | null) =>
         m && `${m.kind}${m.epoch}${'until' in m ? `l${left(m.until)}` : ''}`;
-      const writes = s.pending.map((p) => {
+      const writes = s.pendingWrites.map((p) => {
         const fits = p.version === (p.side === 'home' ? s.homeVersion : s.partnerVersion);
         const r = p.side === 'home' ? home(p.record as HomeRecord) : partner(p.record as PartnerRecord);
         return `${p.side}${fits}${r}${said(p.say)}`;
       });
-      const net = s.net.map(({ to, m }) => `${to}${said(m)}`);
-      const told = s.told === 'cancelled' ? since(s.toldAt, limits.leaseMs + 2 * limits.skewMs + 1) : '';
+      const net = s.messages.map(({ to, m }) => `${to}${said(m)}`);
+      const sinceAnswer =
+        s.answered === 'cancelled' ? since(s.answeredAt, limits.leaseMs + 2 * limits.skewMs + 1) : '';
       const runs = `${s.runsHome}${s.runsPartner}${since(s.stoppingAt, limits.stopMs)}${since(s.partnerDown, limits.stopMs)}`;
       const parts = [
         home(s.home),
         s.partner ? partner(s.partner) : '',
         runs,
-        s.told,
-        told,
-        s.wentBack,
+        s.answered,
+        sinceAnswer,
+        s.answerChanged,
         [...new Set(s.finished)].sort(),
       ];
       return `${parts.join()};${net.sort().join()};${writes.sort().join()}`;
     },
-    ended: (s) => s.home.final !== null,
+    isGoodEnd: (s) => s.home.final !== null,
   };
 }
--- a/src/modelcheck/standbylease.ts
+++ b/src/modelcheck/standbylease.ts
@@ -19,14 +19,16 @@
 > &
   Pick<typeof checks, 'surelyNotRunning'> &
   Pick<typeof machine, 'classifyHeartbeat'>;
+/** The transitions of production. */
 export const PRODUCTION: Transitions = {
   ...promise,
   ...checks,
   classifyHeartbeat: machine.classifyHeartbeat,
 };
 
+/** How far the model goes. */
 export interface Bounds {
-  /** Steps of time, each a quarter of the promise. */
+  /** Steps of time, each a quarter of the standby's lease. */
   ticks: number;
   messages: number;
   writes: number;
@@ -37,7 +39,7 @@
   returns: boolean;
   /** Reports of the machine; each may come at any later time, and again. */
   reports: number;
-  /** Whether the task and its machine are looked at too, or the promise alone. */
+  /** Whether the task and its machine are looked at too, or the lease alone. */
   task: boolean;
   /** Guards that are no function of their own; production has them all. */
   guards: {
@@ -45,7 +47,7 @@
     run: boolean;
     /** A claim holds only while the key that names the standby is as it was. */
     named: boolean;
-    /** A striking off without an answer is looked up before it counts. */
+    /** An eviction without an answer is looked up before it counts. */
     lookedUp: boolean;
     /** A start is announced, and that acknowledged, before its order is sent. */
     announced: boolean;
@@ -58,6 +60,7 @@
   };
 }
 
+/** All guards, as in production. */
 export const GUARDED: Bounds['guards'] = {
   run: true,
   named: true,
@@ -76,42 +79,43 @@
   | { kind: 'answer'; revision: number; sentAt: number; started: boolean }
   | { kind: 'release'; revision: number };
 
-type Write = { kind: 'claim' | 'strike'; revision: number };
+type Write = { kind: 'claim' | 'evict'; revision: number };
 
+/** A state of the model. */
 export interface State {
   t: number;
   ownerLease: OwnerLease;
   /** Revision under which the owner has named its standby; 0: it has none. */
-  named: number;
+  namedRevision: number;
   /** The owner acts no more, for good. */
   stopped: boolean;
   replicaState: ReplicaState | null;
-  run: number;
-  namedRun: number;
+  incarnation: number;
+  namedIncarnation: number;
   /** The mark that ends the snapshot has been sent to the standby that is named. */
-  complete: boolean;
-  /** What the standby has been told of the one task, and whether its copy is level. */
-  level: boolean;
-  knows: boolean;
-  net: Message[];
+  snapshotSent: boolean;
+  /** Whether the standby's replica is in sync, and whether it knows of the one task's start. */
+  inSync: boolean;
+  knowsStart: boolean;
+  messages: Message[];
   writes: Write[];
   /** The state service: whose the shard is, and the revision of the key that names the standby. */
-  own: 'owner' | 'standby' | 'nobody';
-  stand: number;
-  revisions: number;
+  shardOwner: 'owner' | 'standby' | 'nobody';
+  standbyRevision: number;
+  namings: number;
   /** The task's start by the owner: announced, its order under way, running on the machine. */
   order: 'none' | 'announced' | 'sent' | 'runs';
-  announcedOk: boolean;
+  startAcknowledged: boolean;
   /** The machine has seen the token of the standby's term; it reports it from then on. */
-  tokened: boolean;
+  tokenSeen: boolean;
   /** Reports of the machine under way: what each shows, in the order in which they were made. */
   reports: { seq: number; tokened: boolean; there: boolean }[];
-  made: number;
+  reportsMade: number;
   /** Sequence number of the newest report that the standby knows, and whether one under the new token was among them. */
-  heard: number;
-  reached: boolean;
+  latestReport: number;
+  reportedUnderToken: boolean;
   /** That report showed the task. */
-  seen: boolean;
+  taskReported: boolean;
   startedAgain: boolean;
 }
 
@@ -120,94 +124,105 @@
  * reordered, writes applied late and without an answer, the standby starts anew, either side stands still at any point, and the
  * clocks drift apart as far as they may: the owner's is slow, the standby's fast.
  */
-export function promiseModel(f: Transitions, b: Bounds): Model<State> {
+export function standbyLeaseModel(f: Transitions, b: Bounds): Model<State> {
   const ownerClock = (s: State) => s.t * TICK_MS * (1 - DRIFT);
   const standbyClock = (s: State) => s.t * TICK_MS * (1 + DRIFT);
   const acts = (s: State) => !s.stopped && f.leaseCovers(s.ownerLease, ownerClock(s));
   const copy = (s: State, change: Partial<State>): State => ({
     ...s,
-    net: [...s.net],
+    messages: [...s.messages],
     writes: [...s.writes],
     ...change,
   });
   const send = (s: State, m: Message): State => {
-    if (s.net.length < b.messages) s.net.push(m);
+    if (s.messages.length < b.messages) s.messages.push(m);
     return s;
   };
   const write = (s: State, w: Write): State => {
     if (!s.writes.some((x) => x.kind === w.kind && x.revision === w.revision)) s.writes.push(w);
     return s;
   };
-  const struck = (s: State, revision: number) => {
+  const evicted = (s: State, revision: number) => {
     s.ownerLease = f.onEvicted(s.ownerLease, revision);
-    if (s.named === revision) s.named = 0;
+    if (s.namedRevision === revision) s.namedRevision = 0;
   };
 
   function* byOwner(s: State): Generator<{ what: string; state: State }> {
     if (s.stopped) return;
     const now = ownerClock(s);
-    if (b.returns && s.own === 'owner')
+    if (b.returns && s.shardOwner === 'owner')
       yield {
         what: 'owner is back as a new run',
         state: copy(
           s,
           b.guards.fresh
-            ? { stopped: true, own: 'nobody', stand: 0 }
-            : { ownerLease: promise.NO_STANDBY, named: 0, announcedOk: false },
+            ? { stopped: true, shardOwner: 'nobody', standbyRevision: 0 }
+            : { ownerLease: promise.NO_STANDBY, namedRevision: 0, startAcknowledged: false },
         ),
       };
-    if (s.named === 0 && s.own === 'owner' && s.revisions < b.namings) {
-      const revision = s.revisions + 1;
-      const again = s.order === 'announced' ? false : s.announcedOk;
+    if (s.namedRevision === 0 && s.shardOwner === 'owner' && s.namings < b.namings) {
+      const revision = s.namings + 1;
+      const again = s.order === 'announced' ? false : s.startAcknowledged;
       yield {
         what: 'owner names its standby',
         state: copy(s, {
-          named: revision,
-          revisions: revision,
-          stand: revision,
-          namedRun: s.run,
-          announcedOk: again,
-          complete: false,
+          namedRevision: revision,
+          namings: revision,
+          standbyRevision: revision,
+          namedIncarnation: s.incarnation,
+          startAcknowledged: again,
+          snapshotSent: false,
         }),
       };
     }
-    if (s.named > 0) {
-      const ask = { kind: 'ask' as const, revision: s.named, run: s.namedRun, sentAt: now };
-      const ownerLease = f.onSend(s.ownerLease, s.named, now);
+    if (s.namedRevision > 0) {
+      const ask = { kind: 'ask' as const, revision: s.namedRevision, run: s.namedIncarnation, sentAt: now };
+      const ownerLease = f.onSend(s.ownerLease, s.namedRevision, now);
       const started = s.order !== 'none';
-      if (b.task && !s.complete)
+      if (b.task && !s.snapshotSent)
         yield {
           what: 'owner asks, with a piece of the snapshot',
           state: send(copy(s, { ownerLease }), { ...ask, complete: false, started: false }),
         };
       yield {
         what: 'owner asks',
-        state: send(copy(s, { ownerLease, complete: true }), { ...ask, complete: true, started }),
+        state: send(copy(s, { ownerLease, snapshotSent: true }), { ...ask, complete: true, started }),
       };
       if (s.writes.length < b.writes)
-        yield { what: 'owner strikes off', state: write(copy(s, {}), { kind: 'strike', revision: s.named }) };
-      if (s.own === 'owner' && (s.stand === 0 || !b.guards.lookedUp)) {
+        yield {
+          what: 'owner evicts its standby',
+          state: write(copy(s, {}), { kind: 'evict', revision: s.namedRevision }),
+        };
+      if (s.shardOwner === 'owner' && (s.standbyRevision === 0 || !b.guards.lookedUp)) {
         const known = copy(s, {});
-        struck(known, s.named);
-        yield { what: 'owner finds it struck off', state: known };
+        evicted(known, s.namedRevision);
+        yield { what: 'owner finds it evicted', state: known };
       }
       yield {
         what: 'owner hands over',
-        state: send(copy(s, { stopped: b.guards.stopsFirst }), { kind: 'release', revision: s.named }),
+        state: send(copy(s, { stopped: b.guards.stopsFirst }), {
+          kind: 'release',
+          revision: s.namedRevision,
+        }),
       };
     }
     if (b.task && s.order === 'none' && acts(s))
       yield { what: 'owner announces', state: copy(s, { order: 'announced' }) };
-    const free = !s.complete || (s.ownerLease.boundRevision === null && s.named === 0);
-    if (s.order === 'announced' && acts(s) && (free || s.announcedOk || !b.guards.announced))
+    const free = !s.snapshotSent || (s.ownerLease.boundRevision === null && s.namedRevision === 0);
+    if (s.order === 'announced' && acts(s) && (free || s.startAcknowledged || !b.guards.announced))
       yield { what: 'owner sends the order', state: copy(s, { order: 'sent' }) };
   }
 
   function* byStandby(s: State): Generator<{ what: string; state: State }> {
-    if (s.run < b.runs)
+    if (s.incarnation < b.runs)
       yield {
         what: 'standby starts anew',
-        state: copy(s, { run: s.run + 1, replicaState: null, level: false, knows: false }),
+        state: copy(s, {
+          incarnation: s.incarnation + 1,
+          replicaState: null,
+          inSync: false,
+          knowsStart: false,
+        }),
       };
     const { replicaState } = s;
     if (
@@ -222,95 +237,107 @@
           revision: replicaState.revision,
         }),
       };
-    if (!b.task || s.own !== 'standby') return;
-    if (!s.tokened) yield { what: 'machine sees the new token', state: copy(s, { tokened: true }) };
-    const on = new Set(s.knows ? ['m'] : []);
-    const snapshot = { machinesOf: () => (s.level ? on : null) } as unknown as Parameters<
+    if (!b.task || s.shardOwner !== 'standby') return;
+    if (!s.tokenSeen) yield { what: 'machine sees the new token', state: copy(s, { tokenSeen: true }) };
+    const on = new Set(s.knowsStart ? ['m'] : []);
+    const snapshot = { machinesOf: () => (s.inSync ? on : null) } as unknown as Parameters<
       Transitions['surelyNotRunning']
     >[1];
-    const nowhere = f.surelyNotRunning({ fresh: false, id: 'j' }, snapshot, s.reached, () => !s.reached);
-    if (!s.startedAgain && nowhere && !s.seen)
+    const notRunning = f.surelyNotRunning(
+      { fresh: false, id: 'j' },
+      snapshot,
+      s.reportedUnderToken,
+      () => !s.reportedUnderToken,
+    );
+    if (!s.startedAgain && notRunning && !s.taskReported)
       yield { what: 'standby starts the task', state: copy(s, { startedAgain: true }) };
   }
 
   /** A report reaches the standby as owner, now or as a copy. */
-  function hear(s: State, r: State['reports'][number]): State | null {
-    if (s.own !== 'standby') return null;
-    const known = { incarnation: 1, minIncarnation: 0, heartbeatSequence: s.heard, fencingToken: 2 };
+  function onReport(s: State, r: State['reports'][number]): State | null {
+    if (s.shardOwner !== 'standby') return null;
+    const known = { incarnation: 1, minIncarnation: 0, heartbeatSequence: s.latestReport, fencingToken: 2 };
     const weight = f.classifyHeartbeat(known, {
       incarnation: 1,
       sequence: r.seq,
       fencingToken: r.tokened ? 2 : 1,
     });
     if (weight === 'late' || weight === 'foreign') return null;
-    if (weight === 'untokened') return copy(s, { heard: r.seq });
-    return copy(s, { heard: r.seq, reached: true, seen: r.there });
+    if (weight === 'untokened') return copy(s, { latestReport: r.seq });
+    return copy(s, { latestReport: r.seq, reportedUnderToken: true, taskReported: r.there });
   }
 
   function* byMachine(s: State): Generator<{ what: string; state: State }> {
-    if (s.made < b.reports && s.order !== 'none') {
-      const made = s.made + 1;
-      const report = { seq: made, tokened: s.tokened, there: s.order === 'runs' };
-      yield { what: 'machine reports', state: copy(s, { made, reports: [...s.reports, report] }) };
+    if (s.reportsMade < b.reports && s.order !== 'none') {
+      const made = s.reportsMade + 1;
+      const report = { seq: made, tokened: s.tokenSeen, there: s.order === 'runs' };
+      yield {
+        what: 'machine reports',
+        state: copy(s, { reportsMade: made, reports: [...s.reports, report] }),
+      };
     }
     // One that is lost is one that never arrives.
     for (const r of s.reports) {
-      const heard = hear(s, r);
-      if (heard) yield { what: `report ${r.seq} arrives, and may again`, state: heard };
+      const arrived = onReport(s, r);
+      if (arrived) yield { what: `report ${r.seq} arrives, and may again`, state: arrived };
     }
   }
 
   function deliver(s: State, m: Message): State | null {
     if (m.kind === 'answer') {
-      if (s.stopped || s.named !== m.revision) return null;
+      if (s.stopped || s.namedRevision !== m.revision) return null;
       const ownerLease = f.onAcknowledged(s.ownerLease, m.revision, m.sentAt);
-      return copy(s, { ownerLease, announcedOk: s.announcedOk || m.started });
+      return copy(s, { ownerLease, startAcknowledged: s.startAcknowledged || m.started });
     }
     if (m.kind === 'release') {
       const replicaState = f.onRelease(s.replicaState, TERM, m.revision);
       return replicaState && copy(s, { replicaState });
     }
-    if (b.guards.run && m.run !== s.run) return null;
+    if (b.guards.run && m.run !== s.incarnation) return null;
     const replicaState = f.onMessage(s.replicaState, TERM, m.revision, standbyClock(s));
     if (!replicaState) return null;
     const fresh = s.replicaState?.revision !== replicaState.revision;
-    const knows = (fresh ? false : s.knows) || m.started;
-    const level = (fresh ? false : s.level) || m.complete;
+    const knows = (fresh ? false : s.knowsStart) || m.started;
+    const inSync = (fresh ? false : s.inSync) || m.complete;
     const answer: Message = { kind: 'answer', revision: m.revision, sentAt: m.sentAt, started: knows };
-    return send(copy(s, { replicaState, level, knows }), answer);
+    return send(copy(s, { replicaState, inSync, knowsStart: knows }), answer);
   }
 
   function apply(s: State, w: Write): State {
-    const holds = s.own === 'owner' && (s.stand === w.revision || (w.kind === 'claim' && !b.guards.named));
+    const holds =
+      s.shardOwner === 'owner' &&
+      (s.standbyRevision === w.revision || (w.kind === 'claim' && !b.guards.named));
     if (!holds) return s;
-    return w.kind === 'claim' ? { ...s, own: 'standby', stand: 0 } : { ...s, stand: 0 };
+    return w.kind === 'claim'
+      ? { ...s, shardOwner: 'standby', standbyRevision: 0 }
+      : { ...s, standbyRevision: 0 };
   }
 
   return {
     initial: {
       t: 0,
       ownerLease: promise.NO_STANDBY,
-      named: 0,
+      namedRevision: 0,
       stopped: false,
       replicaState: null,
-      run: 1,
-      namedRun: 0,
-      complete: false,
-      level: false,
-      knows: false,
-      net: [],
+      incarnation: 1,
+      namedIncarnation: 0,
+      snapshotSent: false,
+      inSync: false,
+      knowsStart: false,
+      messages: [],
       writes: [],
-      own: 'owner',
-      stand: 0,
-      revisions: 0,
+      shardOwner: 'owner',
+      standbyRevision: 0,
+      namings: 0,
       order: 'none',
-      announcedOk: false,
-      tokened: false,
+      startAcknowledged: false,
+      tokenSeen: false,
       reports: [],
-      made: 0,
-      heard: 0,
-      reached: false,
-      seen: false,
+      reportsMade: 0,
+      latestReport: 0,
+      reportedUnderToken: false,
+      taskReported: false,
       startedAgain: false,
     },
     *next(s) {
@@ -318,8 +345,8 @@
       yield* byOwner(s);
       yield* byStandby(s);
       if (b.task) yield* byMachine(s);
-      for (const [i, m] of s.net.entries()) {
-        const without = copy(s, { net: s.net.filter((_, j) => j !== i) });
+      for (const [i, m] of s.messages.entries()) {
+        const without = copy(s, { messages: s.messages.filter((_, j) => j !== i) });
         yield { what: `${m.kind} is lost`, state: without };
         const once = deliver(without, m);
         if (once) yield { what: `${m.kind} arrives`, state: once };
@@ -329,22 +356,22 @@
       for (const [i, w] of s.writes.entries()) {
         const applied = apply(copy(s, { writes: s.writes.filter((_, j) => j !== i) }), w);
         yield { what: `${w.kind} is applied, unanswered`, state: applied };
-        if (w.kind === 'strike' && applied.own === 'owner' && s.stand === w.revision) {
+        if (w.kind === 'evict' && applied.shardOwner === 'owner' && s.standbyRevision === w.revision) {
           const answered = copy(applied, {});
-          struck(answered, w.revision);
-          yield { what: 'strike is applied', state: answered };
+          evicted(answered, w.revision);
+          yield { what: 'eviction is applied', state: answered };
         }
       }
-      if (s.order === 'sent' && (!s.tokened || !b.guards.token))
+      if (s.order === 'sent' && (!s.tokenSeen || !b.guards.token))
         yield { what: 'the order is executed', state: copy(s, { order: 'runs' }) };
     },
-    wrong(s) {
-      if (s.own === 'standby' && acts(s)) return 'two may act';
-      const there = s.order === 'runs' || (s.order === 'sent' && (!s.tokened || !b.guards.token));
+    violationIn(s) {
+      if (s.shardOwner === 'standby' && acts(s)) return 'two may act';
+      const there = s.order === 'runs' || (s.order === 'sent' && (!s.tokenSeen || !b.guards.token));
       if (s.startedAgain && there) return 'the task may run twice';
       return null;
     },
     key: (s) => JSON.stringify(s),
-    ended: (s) => s.own === 'standby' || s.t === b.ticks,
+    isGoodEnd: (s) => s.shardOwner === 'standby' || s.t === b.ticks,
   };
 }
--- a/tests/modelcheck/lending.test.ts
+++ b/tests/modelcheck/lending.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { Random } from '../../src/emulator/random.js';
 import * as lending from '../../src/federation/lending.js';
-import { explore, wander } from '../../src/modelcheck/explore.js';
+import { explore, randomWalk } from '../../src/modelcheck/explore.js';
 import { type Bounds, lendingModel, PRODUCTION, type Transitions } from '../../src/modelcheck/lending.js';
 
 const limits = { leaseMs: 5, skewMs: 1, stopMs: 1 };
@@ -14,7 +14,7 @@
   assert.equal(lending.leaseFits(limits, 6), false, 'a cancellation would not hold');
   assert.equal(lending.leaseFits({ ...limits, stopMs: 3 }, 7), false, 'nothing is left to run in');
   const found = explore(lendingModel(PRODUCTION, BOUNDS), STATES);
-  assert.deepEqual([found.wrong, found.hopeless, found.cut], [null, null, false]);
+  assert.deepEqual([found.violation, found.deadEnds, found.truncated], [null, null, false]);
   assert.ok(found.states > 20_000);
 });
 
@@ -23,7 +23,7 @@
   for (let seed = 1; seed <= 150; seed++) {
     const random = new Random(seed);
     assert.equal(
-      wander(model, () => random.next(), 300),
+      randomWalk(model, () => random.next(), 300),
       null,
       `seed ${seed}`,
     );
@@ -87,7 +87,7 @@
   {
     what: 'told before it is stored',
     f: {},
-    bounds: { tellsFirst: true, cancels: true },
+    bounds: { answersBeforeStoring: true, cancels: true },
     wrong: /answer changed|told what/,
   },
 ];
@@ -96,7 +96,7 @@
 for (const b of BROKEN) {
   test(`found when it is so: ${b.what}`, () => {
     const found = explore(lendingModel({ ...PRODUCTION, ...b.f }, { ...BOUNDS, ...b.bounds }), STATES);
-    assert.match(found.wrong?.what ?? 'nothing wrong', b.wrong);
-    assert.ok(found.wrong!.steps.length > 2);
+    assert.match(found.violation?.what ?? 'nothing wrong', b.wrong);
+    assert.ok(found.violation!.steps.length > 2);
   });
 }
--- a/tests/modelcheck/standbylease.test.ts
+++ b/tests/modelcheck/standbylease.test.ts
@@ -1,12 +1,12 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { Random } from '../../src/emulator/random.js';
-import { explore, wander } from '../../src/modelcheck/explore.js';
+import { explore, randomWalk } from '../../src/modelcheck/explore.js';
 import {
   type Bounds,
   GUARDED,
   PRODUCTION,
-  promiseModel,
+  standbyLeaseModel,
   type Transitions,
 } from '../../src/modelcheck/standbylease.js';
 import * as promise from '../../src/standby/standbylease.js';
@@ -32,8 +32,8 @@
 
 test('never may two act for a shard, nor a task be started beside one that may run', () => {
   for (const bounds of [ALONE, { ...ALONE, runs: 2 }, { ...ALONE, namings: 2 }, WITH_TASK]) {
-    const found = explore(promiseModel(PRODUCTION, bounds), STATES);
-    assert.deepEqual([found.wrong, found.cut], [null, false], `${found.states} states`);
+    const found = explore(standbyLeaseModel(PRODUCTION, bounds), STATES);
+    assert.deepEqual([found.violation, found.truncated], [null, false], `${found.states} states`);
     assert.ok(found.states > 5000, `${found.states} states`);
   }
 });
@@ -50,10 +50,10 @@
     task: true,
     guards: GUARDED,
   };
-  const model = promiseModel(PRODUCTION, bounds);
+  const model = standbyLeaseModel(PRODUCTION, bounds);
   for (let seed = 1; seed <= 300; seed++) {
     const random = new Random(seed);
-    const wrong = wander(model, () => random.next(), 250);
+    const wrong = randomWalk(model, () => random.next(), 250);
     assert.equal(wrong, null, `seed ${seed}`);
   }
 });
@@ -168,18 +168,21 @@
   test(`found when it is so: ${b.what}`, () => {
     const f = { ...PRODUCTION, ...b.f };
     if (b.far) {
-      const model = promiseModel(f, { ...FAR, ...b.bounds });
-      let wrong: ReturnType<typeof wander> = null;
+      const model = standbyLeaseModel(f, { ...FAR, ...b.bounds });
+      let wrong: ReturnType<typeof randomWalk> = null;
       for (let seed = 1; seed <= SEEDS && !wrong; seed++) {
         const random = new Random(seed);
-        wrong = wander(model, () => random.next(), 120);
+        wrong = randomWalk(model, () => random.next(), 120);
       }
       assert.match(wrong?.what ?? 'nothing wrong', b.wrong);
       return;
     }
     const bounds = { ...(b.bounds?.task ? WITH_TASK : ALONE), ...b.bounds };
-    const found = explore(promiseModel(f, bounds), STATES);
-    assert.match(found.wrong?.what ?? `nothing wrong in ${found.states} states, cut ${found.cut}`, b.wrong);
-    assert.ok(found.wrong!.steps.length > 2);
+    const found = explore(standbyLeaseModel(f, bounds), STATES);
+    assert.match(
+      found.violation?.what ?? `nothing wrong in ${found.states} states, cut ${found.truncated}`,
+      b.wrong,
+    );
+    assert.ok(found.violation!.steps.length > 2);
   });
 }
--- a/tests/standby/check.ts
+++ b/tests/standby/check.ts
@@ -1,6 +1,6 @@
 import { Random } from '../../src/emulator/random.js';
-import { explore, wander } from '../../src/modelcheck/explore.js';
-import { type Bounds, GUARDED, PRODUCTION, promiseModel } from '../../src/modelcheck/standbylease.js';
+import { explore, randomWalk } from '../../src/modelcheck/explore.js';
+import { type Bounds, GUARDED, PRODUCTION, standbyLeaseModel } from '../../src/modelcheck/standbylease.js';
 
 // Walks the promise between owner and standby much further than the tests do; some minutes, in a process of its own.
 const STATES = 1_500_000;
@@ -24,13 +24,13 @@
 let bad = 0;
 const print = (line: string) => process.stdout.write(`${line}\n`);
 for (const { what, bounds } of WALKS) {
-  const found = explore(promiseModel(PRODUCTION, bounds), STATES);
-  print(`${what}: ${found.states} states${found.cut ? ', cut at the bound' : ', all of them'}`);
-  if (!found.wrong) continue;
+  const found = explore(standbyLeaseModel(PRODUCTION, bounds), STATES);
+  print(`${what}: ${found.states} states${found.truncated ? ', cut at the bound' : ', all of them'}`);
+  if (!found.violation) continue;
   bad++;
-  print(`  ${found.wrong.what}: ${found.wrong.steps.join('; ')}`);
+  print(`  ${found.violation.what}: ${found.violation.steps.join('; ')}`);
 }
-const far = promiseModel(PRODUCTION, {
+const far = standbyLeaseModel(PRODUCTION, {
   ...base,
   ticks: 60,
   messages: 5,
@@ -44,7 +44,7 @@
 const SEEDS = 20_000;
 for (let seed = 1; seed <= SEEDS; seed++) {
   const random = new Random(seed);
-  const wrong = wander(far, () => random.next(), 400);
+  const wrong = randomWalk(far, () => random.next(), 400);
   if (!wrong) continue;
   bad++;
   print(`seed ${seed}: ${wrong.what}: ${wrong.steps.join('; ')}`);
