--- a/src/changefeed/changefeed.ts
+++ b/src/changefeed/changefeed.ts
@@ -279,8 +279,8 @@
    */
   private async compareProgress(): Promise<void> {
     const { witnesses } = this.order();
-    const others = witnesses.filter((c) => c !== this.following && this.mesh?.connected(c));
-    const node = this.nextWitness(others);
+    const reachable = witnesses.filter((c) => c !== this.following && this.mesh?.connected(c));
+    const node = this.nextWitness(reachable);
     if (node === null) {
       this.witness = null;
       return;
@@ -302,10 +302,10 @@
   }
 
   /** The same node as long as it watches, else the next one. */
-  private nextWitness(others: readonly string[]): string | null {
-    if (others.length === 0) return null;
-    const at = this.witness ? others.indexOf(this.witness.node) : -1;
-    if (at < 0) return others[0]!;
-    return this.witness?.watches ? others[at]! : others[(at + 1) % others.length]!;
+  private nextWitness(nodes: readonly string[]): string | null {
+    if (nodes.length === 0) return null;
+    const at = this.witness ? nodes.indexOf(this.witness.node) : -1;
+    if (at < 0) return nodes[0]!;
+    return this.witness?.watches ? nodes[at]! : nodes[(at + 1) % nodes.length]!;
   }
 }
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -29,7 +29,7 @@
   acceptedWall: number;
   /** Its own deadline, or the one that it was given on acceptance. */
   deadlineWall: number;
-  /** Accepted under the present ownership, so that no task of it can be anywhere unseen. */
+  /** Accepted under the present ownership, so that no task of it can be on a machine without this owner's knowledge. */
   acceptedUnderThisTerm: boolean;
   /** Tasks known to be done. */
   done: TaskSet;
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -251,8 +251,8 @@
   get mayAct(): boolean {
     return mayAct({
       stopped: this.stopped,
-      leased: this.leaseCovers(),
-      promised: this.replicator?.leaseCovers ?? true,
+      holdsLease: this.leaseCovers(),
+      standbyLeaseCovers: this.replicator?.leaseCovers ?? true,
     });
   }
 
--- a/src/standby/standbylease.ts
+++ b/src/standby/standbylease.ts
@@ -1,9 +1,10 @@
-// This package: who stands by for a shard, what it replicates, and when it may take over; nothing of how a shard is run.
+// This package: who stands by for a shard, what is replicated to it, and when it may take over; nothing of how a shard is run.
+
 import { DRIFT } from '../clock/clock.js';
 
 /**
- * The lease between the owner of a shard and its standby (the promise of docs/standby.md): pure steps, taken alike by the nodes and by
- * the model check. All times are steady milliseconds of the node that takes the step.
+ * The lease between the owner of a shard and its standby (docs/standby.md calls it the promise): pure steps, taken alike by
+ * the nodes and by the model check. All times are steady milliseconds of the node that takes the step.
  */
 
 /** How long an owner may act after it sent a message that its standby acknowledged. */
--- a/src/standby/takeoverchecks.ts
+++ b/src/standby/takeoverchecks.ts
@@ -18,23 +18,37 @@
   return readUpTo >= term;
 }
 
-/** Asked just before each step, so that a freeze or a drifting clock between two steps is found. */
-export function mayAct(facts: { stopped: boolean; leased: boolean; promised: boolean }): boolean {
-  return !facts.stopped && facts.leased && facts.promised;
+/** What counts for whether an owner may act. */
+export interface ActingFacts {
+  /** It acts no more, for good. */
+  readonly stopped: boolean;
+  /** Its lease with the state service lasts, by its clock. */
+  readonly holdsLease: boolean;
+  /** Its lease with its standby lasts, or none binds it. */
+  readonly standbyLeaseCovers: boolean;
+}
+
+/** Whether an owner may act. Asked just before each step, so that a freeze or a drifting clock between two steps is found. */
+export function mayAct(facts: ActingFacts): boolean {
+  return !facts.stopped && facts.holdsLease && facts.standbyLeaseCovers;
 }
 
 /** What counts of a machine for whether tasks may be started on it. */
 export interface MachineFacts {
-  reconciled: boolean;
-  decommissioning: boolean;
-  leaseExpired: boolean;
-  mayHoldUnreportedTasks: boolean;
-  addr: string;
-  reclaimAt: number | null;
+  /** It has reported under the new token. */
+  readonly reconciled: boolean;
+  /** It is being given back, and is never used again. */
+  readonly decommissioning: boolean;
+  readonly leaseExpired: boolean;
+  readonly mayHoldUnreportedTasks: boolean;
+  /** Empty while it has not reported. */
+  readonly addr: string;
+  /** When the cloud takes it back, by its notice; null without one. */
+  readonly reclaimAt: number | null;
 }
 
 /**
- * Only a report under the new token makes sure that no order of the former owner's can still be executed there; a machine
+ * Whether tasks may be started on a machine. Only a report under the new token makes sure that no order of the former owner's can still be executed there; a machine
  * that is leaving or under notice is on its way to somebody else.
  */
 export function machineUsable(m: MachineFacts): boolean {
@@ -48,7 +62,7 @@
   );
 }
 
-/** Not before all that it needs is durably done, and never what is about to be cancelled with one of those. */
+/** Whether a job may start: not before all that it needs is durably done, and never what is about to be cancelled with one of those. */
 export function dependenciesMet(job: {
   pendingDependencies: { size: number };
   cancelledByDependency: boolean;
