--- a/src/standby/jobrecordreplica.ts
+++ b/src/standby/jobrecordreplica.ts
@@ -9,15 +9,29 @@
 /** Changes are read no more often than this while there are some, and not at all while there are none. */
 const MIN_READ_INTERVAL_MS = 5000;
 
+/** The unfinished jobs of a shard with all changes up to a revision. */
+export interface ReplicatedJobs {
+  readonly jobs: LoadedJob[];
+  /** How many changes had to be read for it. */
+  readonly changes: number;
+}
+
+/** An unfinished job, and the shard whose it is. */
+interface ShardJob {
+  readonly shard: number;
+  readonly loaded: LoadedJob;
+}
+
 /**
  * The unfinished jobs of the shards that this node stands by for, as the state service has them: read once, and from then on
  * the changes since, all with one request. Nothing depends on how old it is: whoever takes a shard reads on to the revision of its claim.
  */
 export class JobRecordReplica {
-  private readonly jobs = new Map<string, { shard: number; loaded: LoadedJob }>();
+  private readonly jobs = new Map<string, ShardJob>();
   private readonly shards = new Set<number>();
-  /** All changes up to it are in the copy; 0 when all has to be read. */
+  /** All changes up to this revision are in the replica; 0 when all has to be read. */
   private revision = 0;
+  /** When something was last read, in steady milliseconds. */
   private readAt = Number.NEGATIVE_INFINITY;
   /**
    * Reads go one after the other: of two at once the older could put back a job that had ended, and a new owner would
@@ -48,13 +62,13 @@
   }
 
   /** The shard is no longer followed; its jobs are dropped. */
-  leave(shard: number): void {
+  unfollow(shard: number): void {
     if (!this.shards.delete(shard)) return;
     for (const [id, j] of this.jobs) if (j.shard === shard) this.jobs.delete(id);
   }
 
   /** An owner has changed something since: it is read, unless that was done just now. */
-  changed(): void {
+  onRecordsChanged(): void {
     if (this.mutex.isLocked() || this.context.clock.now() - this.readAt < MIN_READ_INTERVAL_MS) return;
     void this.mutex
       .runExclusive(() => this.read())
@@ -65,7 +79,7 @@
    * All unfinished jobs of a shard with all changes up to a revision; null when they have to be read anew. Throws when the
    * state service does not answer.
    */
-  upTo(revision: number, shard: number): Promise<{ jobs: LoadedJob[]; changes: number } | null> {
+  upTo(revision: number, shard: number): Promise<ReplicatedJobs | null> {
     return this.mutex.runExclusive(async () => {
       if (!this.shards.has(shard) || this.revision === 0) return null;
       const changes = recordsComplete(this.revision, revision) ? 0 : await this.read();
--- a/src/standby/standbyreplicas.ts
+++ b/src/standby/standbyreplicas.ts
@@ -1,8 +1,7 @@
 import type { Clock } from '../clock/clock.js';
 import { type PeriodicTask, startPacedTask } from '../clock/periodictask.js';
 import type { Log } from '../config/log.js';
-import type { LoadedJob } from '../jobs/records.js';
-import type { JobRecordReplica } from './jobrecordreplica.js';
+import type { JobRecordReplica, ReplicatedJobs } from './jobrecordreplica.js';
 import {
   type ReplicationMessage,
   readHandoverMessage,
@@ -51,7 +50,7 @@
 export interface TakeoverState {
   readonly snapshot: ReplicaSnapshot;
   /** Its unfinished jobs with all changes up to a revision; null when they are to be read anew. */
-  jobs(revision: number): Promise<{ jobs: LoadedJob[]; changes: number } | null>;
+  jobs(revision: number): Promise<ReplicatedJobs | null>;
   /** The former owner has said that it acts no more. */
   readonly released: boolean;
   /** The former owner's node. */
@@ -125,7 +124,7 @@
     s.replica.applyBatch(m.from, m.records);
     if (m.recordChanges !== s.recordChanges) {
       s.recordChanges = m.recordChanges;
-      this.records.changed();
+      this.records.onRecordsChanged();
     }
     return writeReplicationResponse({
       nextSequence: s.replica.nextSequence,
@@ -216,7 +215,7 @@
   private stopFollowing(shard: number, s: ReplicatedShard): void {
     if (this.shards.get(shard) !== s) return;
     this.shards.delete(shard);
-    this.records.leave(shard);
+    this.records.unfollow(shard);
   }
 
   /** Claims the shard: true once it is this node's, false when it is not or that is not known. */
@@ -230,7 +229,7 @@
       const newTerm = await this.hooks.claim(shard, term, revision);
       if (this.shards.get(shard) === s) this.shards.delete(shard);
       if (newTerm === null) {
-        this.records.leave(shard);
+        this.records.unfollow(shard);
         return false;
       }
       this.hooks.onTakeover(shard, newTerm, this.takeoverState(shard, s, released));
@@ -250,7 +249,7 @@
         try {
           return await this.records.upTo(revision, shard);
         } finally {
-          this.records.leave(shard);
+          this.records.unfollow(shard);
         }
       },
       released,
