--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -16,7 +16,6 @@
   readLoaded,
   readParts,
   readSpec,
-  
   shardOfRecord,
 } from './storedjob.js';
 
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -70,8 +70,8 @@
   get mayAct(): boolean {
     return mayAct({
       stopped: this.stopped,
-      leased: this.options.leaseCovers(),
-      promised: this.options.replicator?.leaseCovers ?? true,
+      holdsLease: this.options.leaseCovers(),
+      standbyLeaseCovers: this.options.replicator?.leaseCovers ?? true,
     });
   }
 
