--- a/src/plan/capacityprofile.ts
+++ b/src/plan/capacityprofile.ts
@@ -5,13 +5,14 @@
   memoryGb: number;
 }
 
+/** By so much a sum of fractions may exceed what is free. */
 const ROUNDING_TOLERANCE = 1e-6;
-/** Load counts booked time no further ahead than this, so that a service does not outweigh everything. */
+/** Load counts reserved time no further ahead than this, so that a service does not outweigh everything. */
 const LOAD_HORIZON_S = 3600;
 
 /**
- * Booked use of one machine, or of one team, over time, as steps of what is free: questions cost one walk along the
- * steps, whatever the number of bookings. Times are seconds on the steady clock.
+ * Reserved use of one machine, or of one team, over time, as steps of what is free: a query costs one walk along the
+ * steps, whatever the number of reservations. Times are seconds on the steady clock.
  */
 export class CapacityProfile {
   /** `cpus[i]`, `gpus[i]` and `memory[i]` are free from `times[i]` until `times[i + 1]`, the last ones for good. */
@@ -22,6 +23,7 @@
   private reservationCount = 0;
   private reservedLoad = 0;
 
+  /** `cap` is free from `readyAt` until `until`; load counts from `now`. */
   constructor(
     private readonly cap: Amounts,
     private readonly now: number,
@@ -33,33 +35,35 @@
     this.memory = [cap.memoryGb];
   }
 
-  /** How many bookings there are. */
+  /** How many reservations there are. */
   get size(): number {
     return this.reservationCount;
   }
 
-  /** Booked time left, weighted by the share of the machine that it takes. */
+  /** Reserved time left, in seconds, weighted by the share of the machine that it takes. */
   get load(): number {
     return this.reservedLoad;
   }
 
+  /** Reserves `need` from `start` until `end`. */
   add(start: number, end: number, need: Amounts): void {
     this.reservationCount++;
     this.reservedLoad += this.weight(start, end, need);
     this.change(start, end, need, -1);
   }
 
+  /** Takes back what `add` has reserved. */
   remove(start: number, end: number, need: Amounts): void {
     this.reservationCount--;
     this.reservedLoad -= this.weight(start, end, need);
     this.change(start, end, need, 1);
   }
 
-  /** How many times `need` fits throughout [t, t + span), up to `most`. */
-  capacityFor(t: number, span: number, need: Amounts, most: number): number {
+  /** How many times `need` fits throughout [t, t + span), up to `max`. */
+  capacityFor(t: number, span: number, need: Amounts, max: number): number {
     const end = t + span;
     if (t < this.readyAt || end > this.until) return 0;
-    let count = most;
+    let count = max;
     let i = this.stepAt(t);
     do {
       count = Math.min(count, this.countAt(i, need, count));
@@ -88,7 +92,7 @@
     }
   }
 
-  /** From when on nothing is booked any more. */
+  /** From when on nothing is reserved any more. */
   get freeFrom(): number {
     return Math.max(this.readyAt, this.now, this.times.at(-1)!);
   }
@@ -144,8 +148,8 @@
     );
   }
 
-  private countAt(i: number, need: Amounts, most: number): number {
-    let count = most;
+  private countAt(i: number, need: Amounts, max: number): number {
+    let count = max;
     if (need.cpus > 0) count = Math.min(count, Math.floor((this.cpus[i]! + ROUNDING_TOLERANCE) / need.cpus));
     if (need.gpus > 0) count = Math.min(count, Math.floor((this.gpus[i]! + ROUNDING_TOLERANCE) / need.gpus));
     if (need.memoryGb > 0)
@@ -160,9 +164,9 @@
   list[at] = value;
 }
 
-/** How many times `need` fits into `free`, up to `most`. */
-export function fitCount(free: Amounts, need: Amounts, most: number): number {
-  let count = most;
+/** How many times `need` fits into `free`, up to `max`. */
+export function fitCount(free: Amounts, need: Amounts, max: number): number {
+  let count = max;
   if (need.cpus > 0) count = Math.min(count, Math.floor((free.cpus + ROUNDING_TOLERANCE) / need.cpus));
   if (need.gpus > 0) count = Math.min(count, Math.floor((free.gpus + ROUNDING_TOLERANCE) / need.gpus));
   if (need.memoryGb > 0)
--- a/src/scheduler/resourcedemand.ts
+++ b/src/scheduler/resourcedemand.ts
@@ -253,7 +253,7 @@
   const counts = plan.countLateTasks(
     late.map((tasks) => ({
       job: tasks.lateReservations[0]!.job,
-      bookings: tasks.lateReservations,
+      reservations: tasks.lateReservations,
       by: rentedBy(tasks, nowS),
     })),
   );
