--- a/src/scheduler/dependencymessages.ts
+++ b/src/scheduler/dependencymessages.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
 
-/** What owners of shards tell each other of jobs that depend on each other across shards. */
+// Messages between the owners of shards on jobs that depend on each other across shards.
 
 const dependentClaimValue = v.object({ id: v.string(), priority: v.number(), dueWall: v.number() });
 /**
--- a/src/scheduler/schedulingorder.ts
+++ b/src/scheduler/schedulingorder.ts
@@ -73,22 +73,22 @@
     // What has aged is little, and would wait for ever behind what others are guaranteed.
     const rank = ({ job, part }: QueueEntry) => (partly.has(job) || (job.aged && part !== 'rest') ? 0 : 1);
     const entries = jobs.flatMap((job) => queueEntriesOf(job));
-    const turnAt = this.turns(entries);
+    const deferredUntil = this.deferrals(entries);
     return entries.sort(
       (a, b) =>
         b.priority - a.priority ||
         rank(a) - rank(b) ||
         bySlo(a.job, b.job) ||
-        turnAt.get(a)! - turnAt.get(b)! ||
+        deferredUntil.get(a)! - deferredUntil.get(b)! ||
         a.job.order - b.job.order,
     );
   }
 
   /** When each entry was accepted, put off by its size; milliseconds of the time of day. */
-  private turns(entries: readonly QueueEntry[]): Map<QueueEntry, number> {
+  private deferrals(entries: readonly QueueEntry[]): Map<QueueEntry, number> {
     const inUse = this.machinesInUse();
     const cpus = Math.max(1, this.cpus(inUse));
-    const turnAt = ({ job, part, priority }: QueueEntry): number => {
+    const deferredUntil = ({ job, part, priority }: QueueEntry): number => {
       const tasks = part === 'first' ? 1 : job.spec.tasks - job.done.count;
       const runS = this.estimates.runS(job.spec);
       // What was accepted for a deadline stays before what is accepted later.
@@ -99,7 +99,7 @@
           : ((tasks * job.need.cpus * runS) / cpus) * LOW_PRIORITY_DEFERRAL_FACTOR;
       return job.acceptedWall + deferralS * 1000;
     };
-    return new Map(entries.map((e) => [e, turnAt(e)]));
+    return new Map(entries.map((e) => [e, deferredUntil(e)]));
   }
 
   /** Whether any kind of machine there is may take a job; only match expressions can ask for what there is not. */
--- a/src/scheduler/shardstatusreport.ts
+++ b/src/scheduler/shardstatusreport.ts
@@ -31,7 +31,7 @@
   readonly isIdle: (m: Machine) => boolean;
 }
 
-/** What the leader is told of a shard, which moves machines between shards by it. */
+/** The status of a shard for the leader, which moves machines between shards by it. */
 export class ShardStatusReport {
   constructor(private readonly parts: ShardStatusReportParts) {}
 
--- a/src/scheduler/taskprogress.ts
+++ b/src/scheduler/taskprogress.ts
@@ -1,22 +1,16 @@
-import { pause } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
 import type { ControllerContext } from '../context/context.js';
-import { NotOwnerError } from '../errors/errors.js';
 import type { Job } from '../jobs/job.js';
 import type { JobRecords, LoadedJob } from '../jobs/records.js';
 import { type Machine, noteImage, type TaskAttempt } from '../workers/machine.js';
 import type { MachineRegistry } from '../workers/machineregistry.js';
 import type { GoneReason } from '../workers/registryhooks.js';
+import { CompletionStore } from './completionstore.js';
 import type { FailureTracker } from './failuretracker.js';
 import type { JobTable } from './jobtable.js';
 import type { RuntimeEstimates } from './runtimeestimates.js';
 
-/** Completed tasks of a job are stored no more often than this, until the last one. */
-const STORE_INTERVAL_MS = 2000;
-/** How often it is looked whether that is over. */
-const STORE_POLL_MS = 100;
-const STORE_RETRY_MS = 400;
-/** A machine that had no room for a task takes no other for so long. */
+/** After the exit cause `no_room` a machine takes no other task for so long. */
 const NO_ROOM_QUARANTINE_MS = 4000;
 /** After the exit causes `busy` and `unknown` no task of the job starts for so long. */
 const BUSY_RETRY_MS = 3000;
@@ -56,7 +50,23 @@
 
 /** What becomes of tasks on machines, as reported, and how that is made durable before machines may forget it. */
 export class TaskProgress {
-  constructor(private readonly parts: TaskProgressParts) {}
+  private readonly completions: CompletionStore;
+
+  constructor(private readonly parts: TaskProgressParts) {
+    const { context, jobTable, records, log, hooks } = parts;
+    this.completions = new CompletionStore({
+      context,
+      jobTable,
+      records,
+      log,
+      hooks: {
+        stopped: () => hooks.stopped(),
+        lostOwnership: () => hooks.lostOwnership(),
+        onStoredEnd: (job, status) => this.endJob(job, status),
+        onAttemptLeft: (job, h) => hooks.onAttemptLeft(job, h),
+      },
+    });
+  }
 
   /** A machine reports an attempt that was not known to be there. */
   onAttemptFound(h: TaskAttempt): void {
@@ -120,27 +130,33 @@
 
   private onExited(job: Job, h: TaskAttempt): void {
     this.removePlacement(job, h);
-    const m = h.machine;
-    const now = this.parts.context.clock.now();
     this.parts.log.debug(
-      { task: `${h.job}/${h.index}`, attempt: h.attempt, machine: m.id, cause: h.cause },
+      { task: `${h.job}/${h.index}`, attempt: h.attempt, machine: h.machine.id, cause: h.cause },
       'task exited',
     );
-    if (h.cause === 'done') {
-      this.parts.failures.onTaskSucceeded(job, m);
-      if (h.runningAt !== null && h.exitedAt !== null) {
-        this.parts.estimates.learn(job, (h.exitedAt - h.runningAt) / 1000);
-        this.parts.hooks.onRuntimeLearnt(job);
-      }
-      // The tasks of a gang complete together: if one is done, all are.
-      job.unacknowledgedExits.push(h);
-      const indexes = job.spec.kind === 'gang' ? [...Array(job.spec.tasks).keys()] : [h.index];
-      for (const i of indexes) {
-        if (job.done.add(i)) job.dirtyChunks.add(this.parts.records.chunkOf(job, i));
-      }
-      void this.storeCompletions(job);
-      return;
+    if (h.cause === 'done') this.onCompleted(job, h);
+    else this.onNotCompleted(job, h);
+  }
+
+  private onCompleted(job: Job, h: TaskAttempt): void {
+    const { failures, estimates, records, hooks } = this.parts;
+    failures.onTaskSucceeded(job, h.machine);
+    if (h.runningAt !== null && h.exitedAt !== null) {
+      estimates.learn(job, (h.exitedAt - h.runningAt) / 1000);
+      hooks.onRuntimeLearnt(job);
+    }
+    job.unacknowledgedExits.push(h);
+    // The tasks of a gang complete together: if one is done, all are.
+    const indexes = job.spec.kind === 'gang' ? [...Array(job.spec.tasks).keys()] : [h.index];
+    for (const i of indexes) {
+      if (job.done.add(i)) job.dirtyChunks.add(records.chunkOf(job, i));
     }
+    void this.completions.store(job);
+  }
+
+  private onNotCompleted(job: Job, h: TaskAttempt): void {
+    const m = h.machine;
+    const now = this.parts.context.clock.now();
     h.exitRecorded = true;
     if (h.cause === 'error') this.parts.failures.onTaskFailed(job, m, now);
     if (h.cause === 'no_room') m.quarantinedUntil = Math.max(m.quarantinedUntil, now + NO_ROOM_QUARANTINE_MS);
@@ -202,57 +218,10 @@
     this.parts.records.restore(job, l.chunks);
     this.parts.jobTable.jobs.set(id, job);
     if (job.done.count === job.spec.tasks || job.storedCount < job.done.count)
-      void this.storeCompletions(job);
+      void this.completions.store(job);
     return job;
   }
 
-  /**
-   * Makes done tasks durable; only then may the machines forget them. Completions that come close together are stored
-   * together: an array of tiny tasks would take the state service's rate away from acceptances.
-   */
-  private async storeCompletions(job: Job): Promise<void> {
-    if (job.storing) return;
-    job.storing = true;
-    const unfinished = () =>
-      !this.parts.hooks.stopped() && job.state === 'active' && job.done.count < job.spec.tasks;
-    try {
-      while (unfinished() && this.parts.context.clock.now() < job.storeAfter)
-        await pause(this.parts.context.clock, STORE_POLL_MS);
-      await this.parts.jobTable.exclusive(job.spec.id, async () => {
-        if (this.parts.hooks.stopped() || job.state !== 'active' || job.storedCount >= job.done.count) return;
-        try {
-          if (job.done.count === job.spec.tasks)
-            this.endJob(job, await this.parts.records.finish(job, 'done'));
-          else await this.parts.records.storeDone(job);
-        } catch (error) {
-          if (error instanceof NotOwnerError) throw this.parts.hooks.lostOwnership();
-          this.parts.log.debug({ job: job.spec.id, err: error }, 'storing task completions failed');
-          await pause(this.parts.context.clock, STORE_RETRY_MS);
-        }
-      });
-    } catch (error) {
-      if (!(error instanceof NotOwnerError))
-        this.parts.log.error({ err: error }, 'storing task completions gave up');
-    } finally {
-      job.storeAfter = this.parts.context.clock.now() + STORE_INTERVAL_MS;
-      job.storing = false;
-      this.acknowledgeExits(job);
-    }
-  }
-
-  private acknowledgeExits(job: Job): void {
-    // A shard that is lost leaves what it could not store to its next owner; to try on would never end.
-    if (this.parts.hooks.stopped()) return;
-    if (job.storedCount < job.done.count && job.state === 'active') {
-      void this.storeCompletions(job);
-      return;
-    }
-    for (const h of job.unacknowledgedExits.splice(0)) {
-      h.exitRecorded = true;
-      this.parts.hooks.onAttemptLeft(job, h);
-    }
-  }
-
   /**
    * A job's user has asked to cancel it. That is enough to stop it: its tasks end whether or not the cancellation can be stored
    * soon, and before anybody else can have read it. The job is reported as cancelled only once that is stored.
--- a/src/workers/heartbeats.ts
+++ b/src/workers/heartbeats.ts
@@ -37,7 +37,7 @@
     // shows itself in the answer to a command outlasts the last answered report, which was of the incarnation before it.
     if (isNew) m.leaseRenewedAt = Math.max(m.leaseRenewedAt, now);
     // A new incarnation begins with no tasks.
-    if (isNew && m.incarnation > 0) this.attempts.forgetAll(m, 'new session');
+    if (isNew && m.incarnation > 0) this.attempts.forgetAll(m, 'new incarnation');
     m.incarnation = incarnation;
     if (isNew) this.parts.hooks.onIncarnation(m);
   }
--- a/src/workers/machineleases.ts
+++ b/src/workers/machineleases.ts
@@ -52,7 +52,7 @@
     m.mayHoldUnreportedTasks = false;
     // What its present incarnation still reports is from before its lease ended.
     if (m.incarnation > 0) m.minIncarnation = m.incarnation + 1;
-    this.attempts.forgetAll(m, 'lease over');
+    this.attempts.forgetAll(m, 'lease expired');
     this.parts.hooks.requestPlan();
   }
 }
--- a/src/workers/machineregistry.ts
+++ b/src/workers/machineregistry.ts
@@ -141,7 +141,7 @@
   remove(m: Machine): void {
     this.machines.delete(m.id);
     this.reconciliation.forget(m);
-    this.attempts.forgetAll(m, 'machine gone');
+    this.attempts.forgetAll(m, 'machine removed');
     m.mayHoldUnreportedTasks = false;
   }
 
--- a/src/workers/registryhooks.ts
+++ b/src/workers/registryhooks.ts
@@ -8,9 +8,9 @@
   | 'never sent'
   | 'not executed'
   | 'not reported'
-  | 'new session'
-  | 'lease over'
-  | 'machine gone';
+  | 'new incarnation'
+  | 'lease expired'
+  | 'machine removed';
 
 /** What the registry asks of its shard, and what it reports to it. */
 export interface MachineRegistryHooks {
