--- a/src/workers/attemptreconciliation.ts
+++ b/src/workers/attemptreconciliation.ts
@@ -2,15 +2,12 @@
 import { attemptKey, type Machine, type TaskAttempt } from './machine.js';
 import type { GoneReason, RegistryParts } from './registryhooks.js';
 
-/** How a heartbeat came: by itself as a report, or in the answer to a command. */
-export type HeartbeatChannel = 'report' | 'command';
-
 /** Matches the task attempts that are known to be on a machine with those that it reports. */
 export class AttemptReconciliation {
   constructor(private readonly parts: Pick<RegistryParts, 'clock' | 'hooks'>) {}
 
   /** Takes up what a machine holds by a heartbeat under the present token. */
-  reconcile(m: Machine, r: Heartbeat, via: HeartbeatChannel): void {
+  reconcile(m: Machine, r: Heartbeat): void {
     const now = this.parts.clock.now();
     const reported = new Set<string>();
     for (const task of r.tasks) {
@@ -20,7 +17,7 @@
       if (known) this.update(known, task, now);
       else this.addFound(m, key, task, now);
     }
-    this.dropUnreported(m, reported, via);
+    this.dropUnreported(m, reported);
     if (m.attempts.size === 0) m.idleSince ??= now;
     else m.idleSince = null;
   }
@@ -40,7 +37,6 @@
       machine: m,
       state: task.state,
       cause: task.cause,
-      saved: task.saved,
       startPhase: 'known',
       fencingToken: m.fencingToken,
       orderedAt: now,
@@ -58,16 +54,15 @@
     if (h.state === task.state && h.cause === task.cause) return;
     h.state = task.state;
     h.cause = task.cause;
-    h.saved = task.saved;
     if (task.state === 'running' && h.runningAt === null) h.runningAt = now;
     if (task.state === 'exited') h.exitedAt = now;
     this.parts.hooks.onAttemptChanged(h);
   }
 
   /** Drops the attempts that are surely not on the machine, since it has not reported them. */
-  private dropUnreported(m: Machine, reported: ReadonlySet<string>, via: HeartbeatChannel): void {
+  private dropUnreported(m: Machine, reported: ReadonlySet<string>): void {
     for (const [key, h] of [...m.attempts]) {
-      if (reported.has(key) || mayStillArrive(m, h, via)) continue;
+      if (reported.has(key) || mayStillArrive(m, h)) continue;
       m.attempts.delete(key);
       if (!(h.state === 'exited' && h.exitRecorded)) this.parts.hooks.onAttemptGone(h, 'not reported');
     }
@@ -75,9 +70,7 @@
 }
 
 /** Whether the start of an attempt that a machine does not report may reach it after this heartbeat. */
-function mayStillArrive(m: Machine, h: TaskAttempt, via: HeartbeatChannel): boolean {
+function mayStillArrive(m: Machine, h: TaskAttempt): boolean {
   if (h.startPhase === 'sending') return true;
-  // An answer under way to the worker is not yet in what a direct command returns.
-  if (h.startPhase === 'answer' && via === 'command') return true;
   return h.startPhase === 'unsure' && h.fencingToken >= m.fencingToken;
 }
--- a/src/workers/heartbeats.ts
+++ b/src/workers/heartbeats.ts
@@ -1,8 +1,11 @@
 import type { Heartbeat } from '../wire/workers.js';
-import type { AttemptReconciliation, HeartbeatChannel } from './attemptreconciliation.js';
+import type { AttemptReconciliation } from './attemptreconciliation.js';
 import { classifyHeartbeat, type HeartbeatValidity, type Machine, nextHeartbeatWithinMs } from './machine.js';
 import type { RegistryParts } from './registryhooks.js';
 
+/** How a heartbeat came: by itself as a report, or in the answer to a command. */
+export type HeartbeatChannel = 'report' | 'command';
+
 /** Takes up what machines report, by themselves and in the answers to commands. */
 export class HeartbeatIntake {
   constructor(
@@ -26,7 +29,7 @@
       m.reconciled = true;
       this.parts.hooks.requestPlan();
     }
-    this.attempts.reconcile(m, r, via);
+    this.attempts.reconcile(m, r);
     m.mayHoldUnreportedTasks = false;
     return 'ok';
   }
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -10,22 +10,22 @@
   machine: Machine;
   state: TaskState;
   cause: ExitCause | null;
-  /** Whether the machine has reported that the state of the task was saved. */
-  saved: boolean;
   /**
-   * How sure it is that the start arrived: `sending`: its command is under way. `answer`: it went with the answer to a
-   * report, and the next report shows it. `unsure`: the command got no answer and may yet be executed, until the machine
-   * has a newer token or incarnation. `known`: the machine has reported it.
+   * How sure it is that the start arrived: `sending`: its command is under way. `unsure`: the command got no answer and
+   * may yet be executed, until the machine has a newer token or incarnation. `known`: the machine has reported it.
    */
-  startPhase: 'sending' | 'answer' | 'unsure' | 'known';
+  startPhase: 'sending' | 'unsure' | 'known';
   /** Token that the start was sent under. */
   fencingToken: number;
   /** When the start was ordered, and when the attempt was first reported as running and as exited; steady milliseconds. */
   orderedAt: number;
   runningAt: number | null;
   exitedAt: number | null;
-  /** How the task is to stop, with so many seconds to save its state; null when it is not. Times in steady milliseconds. */
-  stop: { graceS: number; since: number; sentAt: number; hard: boolean } | null;
+  /**
+   * How the task is to stop: with so many seconds to save its state, and when that was last sent straight to the machine (steady
+   * milliseconds, 0 for not yet). Null when it is not to stop.
+   */
+  stop: { graceS: number; sentAt: number } | null;
   /** The exit is recorded as far as it needs to be: the machine may forget it. */
   exitRecorded: boolean;
 }
--- a/src/workers/taskstarts.ts
+++ b/src/workers/taskstarts.ts
@@ -34,7 +34,6 @@
         machine: m,
         state: 'fetching',
         cause: null,
-        saved: false,
         startPhase: 'sending',
         fencingToken: m.fencingToken,
         orderedAt: now,
--- a/src/workers/workercommands.ts
+++ b/src/workers/workercommands.ts
@@ -43,10 +43,8 @@
 
   /** Stops a task with so many seconds to save its state; a later call can only shorten the grace. */
   stopTask(h: TaskAttempt, graceS: number): void {
-    const now = this.parts.clock.now();
     if (h.state === 'exited') return;
-    if (!h.stop) h.stop = { graceS, since: now, sentAt: 0, hard: graceS === 0 };
-    else if (graceS < h.stop.graceS) h.stop = { graceS, since: h.stop.since, sentAt: 0, hard: graceS === 0 };
+    if (!h.stop || graceS < h.stop.graceS) h.stop = { graceS, sentAt: 0 };
     this.stopping.add(h);
   }
 
