--- a/src/changefeed/changefeed.ts
+++ b/src/changefeed/changefeed.ts
@@ -1,4 +1,4 @@
-// This package: every change under a prefix of the state service, at every controller: a few watch, the others follow them.
+// This package: every change under a prefix of the key-value store, at every controller: a few watch, the others follow them.
 
 import { type Clock, pause } from '../clock/clock.js';
 import { type PeriodicTask, startPeriodicTask } from '../clock/periodictask.js';
@@ -20,7 +20,7 @@
 import { Subscribers } from './subscribers.js';
 import { watchPaceMs } from './watchpacing.js';
 
-/** What a cache of the keys reads from; the state service itself serves as well. */
+/** What a cache of the keys reads from; the key-value store itself serves as well. */
 export type ChangeSource = Pick<StateStore, 'list' | 'watch'>;
 
 /** What a `ChangeFeed` goes by. */
@@ -30,11 +30,11 @@
   /** The prefix of the keys whose changes are passed on. */
   readonly prefix: string;
   readonly regionOf: (node: string) => string;
-  /** This node's even share of the state service's requests, a second. */
+  /** This node's even share of the key-value store's requests, a second. */
   readonly requestsPerSecond: number;
   /** Nodes that are present and pass changes on, as this node's cache of the keys shows them. */
   readonly presentNodes: () => PresentNode[];
-  /** Whether the state service serves this node at present, as far as it knows by other requests. */
+  /** Whether the key-value store serves this node at present, as far as it knows by other requests. */
   readonly isStateStoreReachable: () => boolean;
 }
 
@@ -49,13 +49,13 @@
  * source is behind.
  */
 const BEHIND_CONFIRM_MS = 100;
-/** Without any source, nodes watch the state service one after the other, so far apart; meanwhile they look again. */
+/** Without any source, nodes watch the key-value store one after the other, so far apart; meanwhile they look again. */
 const DIRECT_STAGGER_MS = 150;
 const UNDECIDED_RETRY_MS = 100;
-/** A node that had to watch the state service itself does so for this long. */
+/** A node that had to watch the key-value store itself does so for this long. */
 const MIN_DIRECT_MS = 3000;
 
-/** What the state service tells of the changes after a revision; null when it no longer keeps changes that old. */
+/** What the key-value store tells of the changes after a revision; null when it no longer keeps changes that old. */
 type WatchResult = Awaited<ReturnType<ChangeSource['watch']>>;
 
 /** Where the next changes are to come from. */
@@ -68,7 +68,7 @@
 /** How one request for changes ended. */
 type RequestOutcome =
   | { readonly kind: 'changes'; readonly revision: number; readonly changes: Change[] }
-  /** The state service no longer keeps changes that old. */
+  /** The key-value store no longer keeps changes that old. */
   | { readonly kind: 'compacted' }
   /** It came to nothing, and the source is chosen anew. */
   | { readonly kind: 'failed' }
@@ -78,24 +78,24 @@
 const FAILED: RequestOutcome = { kind: 'failed' };
 
 /**
- * Gives a cache of the keys the changes under its prefix, by way of a source or from the state service itself. All of it
+ * Gives a cache of the keys the changes under its prefix, by way of a source or from the key-value store itself. All of it
  * is a hint, as the cache is: what comes late, twice or not at all never decides anything.
  */
 export class ChangeFeed implements ChangeSource {
   private readonly log = new ChangeLog();
   private readonly subscribers: Subscribers;
   private readonly sourceHealth: SourceHealth;
-  /** Whom this node follows; null while it watches the state service itself. */
+  /** Whom this node follows; null while it watches the key-value store itself. */
   private following: string | null = null;
   /** Since when there is no source to follow; null while there is one. */
   private sourcelessSince: number | null = null;
-  /** Until when this node watches the state service itself, since there was no source. */
+  /** Until when this node watches the key-value store itself, since there was no source. */
   private directUntil = Number.NEGATIVE_INFINITY;
   /** When the last watch of this node's own returned changes. */
   private watchedAt = Number.NEGATIVE_INFINITY;
   /** Ends the wait for the request under way, if there is one. */
   private interrupt: (() => void) | null = null;
-  /** A node whose progress this node's own is compared with, and whether it watches the state service itself. */
+  /** A node whose progress this node's own is compared with, and whether it watches the key-value store itself. */
   private witness: { readonly node: string; readonly watches: boolean } | null = null;
   private mesh: Mesh | null = null;
   private progressChecks: PeriodicTask | null = null;
@@ -110,7 +110,7 @@
     this.sourceHealth = new SourceHealth(clock);
   }
 
-  /** Connects the node to the others; before that it watches the state service itself. */
+  /** Connects the node to the others; before that it watches the key-value store itself. */
   start(mesh: Mesh): void {
     this.mesh = mesh;
     this.progressChecks ??= startPeriodicTask(this.clock, PROGRESS_CHECK_INTERVAL_MS, () =>
@@ -123,19 +123,19 @@
     this.progressChecks?.stop();
   }
 
-  /** Whom this node follows at present; null while it watches the state service itself. */
+  /** Whom this node follows at present; null while it watches the key-value store itself. */
   get source(): string | null {
     return this.following;
   }
 
-  /** Reads all entries from the state service itself. Fails with `StateStoreError`. */
+  /** Reads all entries from the key-value store itself. Fails with `StateStoreError`. */
   list(prefix: string): ReturnType<ChangeSource['list']> {
     return this.store.list(prefix);
   }
 
   /**
-   * Changes after a revision, as soon as there are some, or none after `waitMs`; null when the state service no longer
-   * keeps changes that old. Fails with `StateStoreError` when the state service did not answer. One call at a time.
+   * Changes after a revision, as soon as there are some, or none after `waitMs`; null when the key-value store no longer
+   * keeps changes that old. Fails with `StateStoreError` when the key-value store did not answer. One call at a time.
    */
   async watch(prefix: string, since: number, waitMs: number): Promise<WatchResult> {
     this.log.startFrom(since);
@@ -190,7 +190,7 @@
     if (order.source || now < this.directUntil) return this.switchSource(null);
     this.sourcelessSince ??= now;
     if (now - this.sourcelessSince < (order.position - SOURCES_PER_REGION) * DIRECT_STAGGER_MS) {
-      // Those before this one may watch the state service by now.
+      // Those before this one may watch the key-value store by now.
       this.sourceHealth.retry(order.candidates);
       return { kind: 'undecided' };
     }
@@ -199,10 +199,10 @@
     return this.switchSource(null);
   }
 
-  /** Changes come from a node from now on, or from the state service itself (null). */
+  /** Changes come from a node from now on, or from the key-value store itself (null). */
   private switchSource(source: string | null): SourceChoice {
     if (source !== this.following) {
-      this.logger.info({ source: source ?? 'state service' }, 'change source switched');
+      this.logger.info({ source: source ?? 'key-value store' }, 'change source switched');
       this.following = source;
     }
     this.subscribers.setOpen(source === null);
@@ -266,7 +266,7 @@
       this.sourcelessSince = null;
       return { kind: 'changes', revision: response.revision, changes: response.changes };
     }
-    // Also where it does not keep what follows `since`: in the end the state service does.
+    // Also where it does not keep what follows `since`: in the end the key-value store does.
     this.sourceHealth.onFailure(source);
     return FAILED;
   }
@@ -274,7 +274,7 @@
   // --- whether the others are further
 
   /**
-   * Asks another source for its latest revision: a source that the state service refuses, or that stands still, does not
+   * Asks another source for its latest revision: a source that the key-value store refuses, or that stands still, does not
    * show that itself. Where this node's own source is behind, another one is chosen at once.
    */
   private async compareProgress(): Promise<void> {
--- a/src/changefeed/messages.ts
+++ b/src/changefeed/messages.ts
@@ -21,14 +21,14 @@
 ]);
 const batch = v.object({ since: v.number(), revision: v.number(), changes: v.array(change) });
 
-/** `follows`: the node does not watch the state service itself, or is not served by it. `gap`: its changes do not reach back so far. */
+/** `follows`: the node does not watch the key-value store itself, or is not served by it. `gap`: its changes do not reach back so far. */
 const refusal = v.object({ refused: v.picklist(['follows', 'gap']) });
 const changesResponse = v.union([batch, refusal]);
 /** Changes in whole revisions, or why there are none. */
 export type ChangesResponse = Batch | v.InferOutput<typeof refusal>;
 
 const latestRevisionResponse = v.object({
-  /** The revision of the last change that the node knows; null while it does not watch the state service itself. */
+  /** The revision of the last change that the node knows; null while it does not watch the key-value store itself. */
   lastChange: v.nullable(v.number()),
 });
 /** How far a node is. */
--- a/src/changefeed/sourceorder.ts
+++ b/src/changefeed/sourceorder.ts
@@ -5,12 +5,12 @@
   readonly version: number;
 }
 
-/** How many nodes of each region watch the state service. */
+/** How many nodes of each region watch the key-value store. */
 export const SOURCES_PER_REGION = 2;
 
 /** Who watches and who follows whom, as one node sees it. */
 export interface SourceOrder {
-  /** How many nodes of this node's region come before it; 0 and 1 watch the state service themselves. */
+  /** How many nodes of this node's region come before it; 0 and 1 watch the key-value store themselves. */
   position: number;
   /** Whom this node may follow, in the order in which it tries them; of two that watch, each may follow the other. */
   candidates: string[];
@@ -23,7 +23,7 @@
 }
 
 /**
- * Who watches the state service and who follows whom, by the order of presence alone: all nodes that know the same
+ * Who watches the key-value store and who follows whom, by the order of presence alone: all nodes that know the same
  * presences come to the same order, and a node that was restarted goes to its end. Only a node that watches the state
  * service itself answers followers, so that they never form a circle, however their views of the order differ.
  */
--- a/src/changefeed/subscribers.ts
+++ b/src/changefeed/subscribers.ts
@@ -12,7 +12,7 @@
 /** The most requests that wait for a change at once; each ends within the time that it gives. */
 const MAX_PENDING_REQUESTS = 256;
 
-/** Answers followers from the log of a node that watches the state service itself. */
+/** Answers followers from the log of a node that watches the key-value store itself. */
 export class Subscribers {
   private readonly pending = new Set<PendingRequest>();
   private open = false;
@@ -24,14 +24,14 @@
   ) {}
 
   /**
-   * A node that is cut off from the state service keeps its watch, and learns nothing by it: two such sources would keep
+   * A node that is cut off from the key-value store keeps its watch, and learns nothing by it: two such sources would keep
    * all their followers where they are.
    */
   private get isServing(): boolean {
     return this.open && this.isStateStoreReachable();
   }
 
-  /** Whether this node passes changes on: only while it watches the state service itself. */
+  /** Whether this node passes changes on: only while it watches the key-value store itself. */
   setOpen(open: boolean): void {
     this.open = open;
     if (open) return;
--- a/src/changefeed/watchpacing.ts
+++ b/src/changefeed/watchpacing.ts
@@ -6,7 +6,7 @@
 const MIN_PACE_MS = 80;
 
 /**
- * The least time between two watches of one node, in milliseconds: each counts against the state service's rate, which
+ * The least time between two watches of one node, in milliseconds: each counts against the key-value store's rate, which
  * all nodes share. `firsts` is the number of regions, `evenShare` the node's even share of the requests, a second.
  */
 export function watchPaceMs(first: boolean, firsts: number, evenShare: number): number {
--- a/src/controller/claims.ts
+++ b/src/controller/claims.ts
@@ -35,7 +35,7 @@
 
   /**
    * Takes a key at a version. Returns the key's new version when this node has it under its present lease, null when it
-   * surely has not and never will by this try; throws `StateStoreError` when the state service did not say.
+   * surely has not and never will by this try; throws `StateStoreError` when the key-value store did not say.
    */
   async compareAndSwapHolder({ key, version, conditions, writes }: HolderSwap): Promise<number | null> {
     const lease = this.lease.leaseId;
--- a/src/controller/clusterstatecache.ts
+++ b/src/controller/clusterstatecache.ts
@@ -7,7 +7,7 @@
 const RETRY_MS = 300;
 
 /**
- * A copy of the keys under a prefix. It lags behind the state service, so it serves as a hint: whatever safety
+ * A copy of the keys under a prefix. It lags behind the key-value store, so it serves as a hint: whatever safety
  * depends on is a condition of a transaction.
  */
 export class ClusterStateCache {
--- a/src/controller/controllernode.ts
+++ b/src/controller/controllernode.ts
@@ -188,7 +188,7 @@
     return this.peerHandlers.serve(op, args, from);
   }
 
-  /** Answers a request that came by way of the state service; null when its shard is not this node's. */
+  /** Answers a request that came by way of the key-value store; null when its shard is not this node's. */
   private serveStored(shard: number, op: string, args: object): Promise<unknown> | null {
     const isServed = this.shards.get(shard)?.ready && STORABLE_OPERATIONS.has(op);
     return isServed ? this.serve(op, { ...args, shard }) : null;
@@ -208,7 +208,7 @@
 
   // --- users
 
-  /** Where a job is, or how it ended; null only when the state service has never heard of it. */
+  /** Where a job is, or how it ended; null only when the key-value store has never heard of it. */
   locate(id: string): Promise<JobEntry | null> {
     return this.routing.locate(id);
   }
--- a/src/controller/handover.ts
+++ b/src/controller/handover.ts
@@ -54,7 +54,7 @@
     return false;
   }
 
-  /** Hands over the shards whose standby still reaches the state service while this node does not. */
+  /** Hands over the shards whose standby still reaches the key-value store while this node does not. */
   handOverIfCutOff(): void {
     const { members, owned } = this.options;
     const { renewalFailingMs } = members;
@@ -62,7 +62,7 @@
     for (const shard of [...owned.shards.values()]) {
       const renewedAgoMs = owned.replicatorOf(shard.index)?.standbyLeaseRenewedAgoMs ?? null;
       if (isCutOffFromStateStore(renewalFailingMs, renewedAgoMs))
-        void this.handOver(shard, 'cut off from the state service');
+        void this.handOver(shard, 'cut off from the key-value store');
     }
   }
 
--- a/src/controller/heartbeatrouting.ts
+++ b/src/controller/heartbeatrouting.ts
@@ -42,7 +42,7 @@
 
   private redirect(machine: string, shard: number): HeartbeatResult {
     const owner = this.members.owner(shard);
-    // A node without its lease has lost touch with the state service. Whom it takes for the owner may be the one that was
+    // A node without its lease has lost touch with the key-value store. Whom it takes for the owner may be the one that was
     // cut off together with it: each sent machines to the other, and none to the new owner, until their leases ran out.
     if (
       !owner ||
--- a/src/controller/leasekeeper.ts
+++ b/src/controller/leasekeeper.ts
@@ -25,7 +25,7 @@
   onLeaseLost(): void;
 }
 
-/** This node's lease in the state service: joined with, renewed, and for how long it surely lasts. */
+/** This node's lease in the key-value store: joined with, renewed, and for how long it surely lasts. */
 export class LeaseKeeper {
   private currentLeaseId: number | null = null;
   private validUntil = Number.NEGATIVE_INFINITY;
@@ -71,7 +71,7 @@
     );
   }
 
-  /** How long ago a renewal of the lease was sent that the state service has answered, in milliseconds. */
+  /** How long ago a renewal of the lease was sent that the key-value store has answered, in milliseconds. */
   get renewedAgoMs(): number {
     return this.options.clock.now() - this.renewedAt;
   }
--- a/src/controller/membership.ts
+++ b/src/controller/membership.ts
@@ -21,7 +21,7 @@
   readonly identity: NodeIdentity;
   /** How long this node's lease lasts, in milliseconds. */
   readonly leaseMs: number;
-  /** This node's even share of the state service's requests, a second. */
+  /** This node's even share of the key-value store's requests, a second. */
   readonly requestsPerSecond: number;
   regionOf(node: string): string;
   /** A key of the cluster's state has changed; null: it is gone. */
@@ -114,7 +114,7 @@
     return this.lease.isHeldHere(value);
   }
 
-  /** How long ago a renewal of the lease was sent that the state service has answered, in milliseconds. */
+  /** How long ago a renewal of the lease was sent that the key-value store has answered, in milliseconds. */
   get leaseRenewedAgoMs(): number {
     return this.lease.renewedAgoMs;
   }
@@ -199,7 +199,7 @@
 
   /**
    * A node announces that a shard is its own. Terms are revisions, so the larger one is the newer; a node that is cut off
-   * from the state service learns of the next owner in no other way. It serves as a hint, as the copy does.
+   * from the key-value store learns of the next owner in no other way. It serves as a hint, as the copy does.
    */
   onOwnerAnnounced(shard: number, owner: LeaseHolder, term: number): void {
     if (term > (this.announcedOwners.get(shard)?.term ?? 0)) this.announcedOwners.set(shard, { owner, term });
@@ -222,7 +222,7 @@
     return successor && this.owner(shard) === successor.owner ? successor.owner : null;
   }
 
-  /** What the nodes have announced is of no more use than what the state service shows afterwards. */
+  /** What the nodes have announced is of no more use than what the key-value store shows afterwards. */
   onOwnerRecordChanged(shard: number): void {
     const entry = this.stateCache.entries.get(KEYS.owner(shard));
     if (!entry || entry.version >= (this.announcedOwners.get(shard)?.term ?? 0))
--- a/src/controller/ownerclient.ts
+++ b/src/controller/ownerclient.ts
@@ -18,12 +18,12 @@
 
 const REQUEST_TIMEOUT_MS = 3500;
 /**
- * When a request can also be answered by way of the state service, less time is spent on the direct way: users wait 2 s
+ * When a request can also be answered by way of the key-value store, less time is spent on the direct way: users wait 2 s
  * for the state of a job and 5 s for other answers.
  */
 const STORABLE_REQUEST_TIMEOUT_MS = 1800;
 const STATUS_REQUEST_TIMEOUT_MS = 900;
-/** Owners ask each other often what has become of jobs, and the state service when there is no answer. */
+/** Owners ask each other often what has become of jobs, and the key-value store when there is no answer. */
 const DEPENDENCY_REQUEST_TIMEOUT_MS = 2000;
 /**
  * An owner that has answered neither directly nor by a stored request gets no stored request for this long: users are
@@ -32,7 +32,7 @@
 const STORED_REQUESTS_PAUSE_MS = 2500;
 const STORED_REQUEST_TIMEOUT_MS = 1000;
 
-/** Requests that may also be sent by way of the state service. */
+/** Requests that may also be sent by way of the key-value store. */
 export const STORABLE_OPERATIONS: ReadonlySet<string> = new Set([
   PEER_OPS.submit,
   PEER_OPS.submitWithDependencies,
@@ -59,7 +59,7 @@
   readonly args: object;
   /** Answers it when this node is the owner. */
   answerHere(shard: Shard): Promise<T>;
-  /** Whether it is not to be sent by way of the state service. */
+  /** Whether it is not to be sent by way of the key-value store. */
   readonly directOnly?: boolean;
 }
 
@@ -138,7 +138,7 @@
   }
 
   /**
-   * Sends a request to the owner of a shard, known by its incarnation, by way of the state service. Throws
+   * Sends a request to the owner of a shard, known by its incarnation, by way of the key-value store. Throws
    * `UnavailableError` when there is no answer in time.
    */
   async requestThroughStore<T>(shard: number, incarnation: string, op: string, args: object): Promise<T> {
--- a/src/controller/ownerlessadmission.ts
+++ b/src/controller/ownerlessadmission.ts
@@ -43,7 +43,7 @@
 
   /** Accepts and stores a job. Throws `UnavailableError` when it cannot now, or when there is a new owner. */
   async accept(shard: number, spec: JobSpec): Promise<SubmitAnswer> {
-    // A node that has lost touch with the state service itself says so at once.
+    // A node that has lost touch with the key-value store itself says so at once.
     if (!this.canStore()) throw new UnavailableError('no owner at present');
     const result = await this.storeJob(shard, spec);
     if (result.kind === 'known') return { kind: 'known', status: result.entry.final ?? 'queued' };
--- a/src/controller/presence.ts
+++ b/src/controller/presence.ts
@@ -16,7 +16,7 @@
   readonly standbyCapable: boolean;
 }
 
-/** This node's presence in the state service: the key that shows the others that it is there, and how. */
+/** This node's presence in the key-value store: the key that shows the others that it is there, and how. */
 export class Presence {
   private cordoned = false;
   private published = false;
--- a/src/controller/rateallocator.ts
+++ b/src/controller/rateallocator.ts
@@ -29,7 +29,7 @@
 }
 
 /**
- * Allocates the state service's rates to the nodes. The leader does so by the demand of all nodes, twice a second; a node
+ * Allocates the key-value store's rates to the nodes. The leader does so by the demand of all nodes, twice a second; a node
  * without an allocation keeps to its even share. A wrong allocation costs refused requests, and nothing depends on it.
  */
 export class RateAllocator {
--- a/src/controller/routing.ts
+++ b/src/controller/routing.ts
@@ -85,7 +85,7 @@
     if (this.routes.size > MAX_CACHED_ROUTES) this.routes.delete(this.routes.keys().next().value!);
   }
 
-  /** Where a job is, or how it ended; null only when the state service has never heard of it. */
+  /** Where a job is, or how it ended; null only when the key-value store has never heard of it. */
   async locate(id: string): Promise<JobEntry | null> {
     const known = this.routes.get(id);
     if (known) return known;
@@ -96,7 +96,7 @@
   }
 
   /**
-   * The status of a job as far as the state service knows, for when its owner cannot be reached: behind a cut between
+   * The status of a job as far as the key-value store knows, for when its owner cannot be reached: behind a cut between
    * zones a user may see no other node for minutes. An end is durable before it is answered to anyone, so this is never
    * older than what the user has seen.
    */
@@ -190,7 +190,7 @@
       return stored;
     }
     if (!answer) {
-      // Over, and the owner has forgotten it; or the owner cannot read all of it: the state service knows.
+      // Over, and the owner has forgotten it; or the owner cannot read all of it: the key-value store knows.
       this.routes.delete(id);
       const stored = await this.statusFromStore(id);
       if (!stored) throw new UnavailableError('between two owners');
--- a/src/controller/shardownership.ts
+++ b/src/controller/shardownership.ts
@@ -14,7 +14,7 @@
 export const HAND_BACK_AFTER_MS = 6000;
 /** How much longer the home node has to get in sync as the standby; after that the shard goes back without. */
 export const HOME_SYNC_TIMEOUT_MS = 20_000;
-/** An owner whose lease renewals have failed for this long, while its standby's have not, is cut off from the state service. */
+/** An owner whose lease renewals have failed for this long, while its standby's have not, is cut off from the key-value store. */
 export const STATE_STORE_CUT_OFF_MS = 2500;
 /** By how much the standby's last renewal has to be the later one. */
 const STATE_STORE_CUT_OFF_MARGIN_MS = 500;
@@ -28,7 +28,7 @@
   successorOf(shard: number): string | null;
 }
 
-/** The cluster as this node sees it. It lags behind the state service; whatever safety depends on is a condition of a write. */
+/** The cluster as this node sees it. It lags behind the key-value store; whatever safety depends on is a condition of a write. */
 export interface ClusterView {
   readonly thisNode: string;
   /** All nodes, in the order in which they claim. */
@@ -173,7 +173,7 @@
 }
 
 /**
- * Whether an owner is cut off from the state service while its standby is not, and need not wait for its lease to run
+ * Whether an owner is cut off from the key-value store while its standby is not, and need not wait for its lease to run
  * out. `standbyRenewedAgoMs`: how long ago the standby's lease was renewed, by its last answer; null when there is none.
  */
 export function isCutOffFromStateStore(
--- a/src/controller/standbycoordinator.ts
+++ b/src/controller/standbycoordinator.ts
@@ -12,7 +12,7 @@
 const STATUS_CHECK_INTERVAL_MS = STATUS_LOG_INTERVAL_MS / 3;
 /** Machines of the shards are counted no more often than this. */
 const COUNT_INTERVAL_MS = 2000;
-/** A standby whose lease was renewed no longer ago than this reaches the state service. */
+/** A standby whose lease was renewed no longer ago than this reaches the key-value store. */
 const RECENT_RENEWAL_MS = 3500;
 
 /** What the coordinator needs of the node that it is part of. */
@@ -111,7 +111,7 @@
     return this.members.presenceOf(node)?.standbyCapable === true;
   }
 
-  /** The standby that can take a shard over at once and reaches the state service; null when there is none. */
+  /** The standby that can take a shard over at once and reaches the key-value store; null when there is none. */
   successor(replicator: StandbyReplicator): string | null {
     const renewedAgoMs = replicator.standbyLeaseRenewedAgoMs;
     return renewedAgoMs !== null && renewedAgoMs < RECENT_RENEWAL_MS ? replicator.inSyncStandby : null;
--- a/src/controller/storedrequests.ts
+++ b/src/controller/storedrequests.ts
@@ -25,7 +25,7 @@
 const MAX_HANDLED_KEYS = 1000;
 
 /**
- * Requests to a shard's owner by way of the state service, for when two controllers cannot reach each other while both
+ * Requests to a shard's owner by way of the key-value store, for when two controllers cannot reach each other while both
  * reach it: a cut between zones, or a packet filter. A stored request is a key under the prefix that every node watches
  * anyway; the owner replaces it with its answer, and whoever sent it deletes it.
  */
@@ -44,7 +44,7 @@
 
   /**
    * Sends a request to a shard's owner. Throws `UnreachableError` when no answer comes in time; the owner may still act on
-   * it a little later. Throws `InvalidInputError` when it is too large for the state service.
+   * it a little later. Throws `InvalidInputError` when it is too large for the key-value store.
    */
   async send(shard: number, op: string, args: Record<string, unknown>, timeoutMs: number): Promise<unknown> {
     const value = { shard, op, args, at: Math.round(this.context.clock.wall()) };
--- a/src/emulator/local.ts
+++ b/src/emulator/local.ts
@@ -210,7 +210,7 @@
     this.store();
   }
 
-  /** The controller that is present the longest, by its presence in the state service; it watches for others. */
+  /** The controller that is present the longest, by its presence in the key-value store; it watches for others. */
   oldestController(): number {
     const versions = this.controllers.map(
       (c) => this.state.items.get(`c/node/${c.node}`)?.version ?? Infinity,
--- a/src/emulator/state.ts
+++ b/src/emulator/state.ts
@@ -61,7 +61,7 @@
 const KEY = /^\S{1,200}$/;
 const EXPIRE_MS = 50;
 
-/** A stand-in for the state service, as its protocol describes it. */
+/** A stand-in for the key-value store, as its protocol describes it. */
 export class StateService {
   readonly items = new Map<string, Item>();
   /** An outage: every request is answered 503, and open watches stay open. */
--- a/src/jobs/completionchunks.ts
+++ b/src/jobs/completionchunks.ts
@@ -42,7 +42,7 @@
     }
     job.storedCount = job.done.count;
     // What is in the legacy layout is stored in the explicit one, as soon as everybody reads that: the legacy one is
-    // readable only as long as the state service's limit in the settings stays.
+    // readable only as long as the key-value store's limit in the settings stays.
     if (!this.options.allSupportLatest() || !this.legacyChunks(job).length) return;
     this.markDirty(job, 0, job.spec.tasks);
     job.storedCount = 0;
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -1,4 +1,4 @@
-// This package: jobs, their tasks and their records, as their owner and the state service have them.
+// This package: jobs, their tasks and their records, as their owner and the key-value store have them.
 
 import type { Amounts } from '../plan/capacityprofile.js';
 import type { Match } from '../plan/model.js';
@@ -33,7 +33,7 @@
   acceptedUnderThisTerm: boolean;
   /** Tasks known to be done. */
   done: TaskSet;
-  /** How many of them the state service knows of. */
+  /** How many of them the key-value store knows of. */
   storedCount: number;
   /** Tasks that are, or may be, on a machine. */
   placements: Map<number, TaskAttempt>;
@@ -41,7 +41,7 @@
   duplicateAttempts: Set<TaskAttempt>;
   /** Completed attempts that their machines may forget once the completion is stored. */
   unacknowledgedExits: TaskAttempt[];
-  /** Versions of its chunks of done tasks, by their names in the state service. */
+  /** Versions of its chunks of done tasks, by their names in the key-value store. */
   chunkVersions: Map<string, number>;
   /** Chunks that have changed since they were stored, by name. */
   dirtyChunks: Set<string>;
--- a/src/jobs/jobacceptance.ts
+++ b/src/jobs/jobacceptance.ts
@@ -31,7 +31,7 @@
 
   /**
    * Stores a job that is accepted. It is one change, since a swarm of small jobs needs as many acceptances a second as
-   * the state service takes changes; that nobody else has accepted it, or it is over, are conditions. `tag` is unique to this
+   * the key-value store takes changes; that nobody else has accepted it, or it is over, are conditions. `tag` is unique to this
    * acceptance. Throws `StateStoreError` when it failed or is not decided.
    */
   async accept(record: JobRecord, tag: string): Promise<AcceptResult> {
--- a/src/jobs/jobstatus.ts
+++ b/src/jobs/jobstatus.ts
@@ -10,11 +10,11 @@
   return entry.partsUnder !== undefined || (entry.after?.length ?? 0) > 0;
 }
 
-/** How a job stands as far as the state service knows. */
+/** How a job stands as far as the key-value store knows. */
 export type StoredJobStatus = 'active' | FinalState | 'unsure';
 
 /**
- * How a job stands by the state service alone: for when its owner cannot be asked. A job of which one that it needs, directly
+ * How a job stands by the key-value store alone: for when its owner cannot be asked. A job of which one that it needs, directly
  * or through others, is cancelled will be cancelled as well, but is not yet: of such a job, and where too much would have
  * to be read, the answer is `unsure`.
  */
--- a/src/jobs/ownerwrites.ts
+++ b/src/jobs/ownerwrites.ts
@@ -3,7 +3,7 @@
 import { type CompareAndSwapResult, type StateStore, StateStoreError } from '../state/statestore.js';
 import type { Condition, Write } from '../wire/state.js';
 
-/** What the state service takes in one value and one transaction. */
+/** What the key-value store takes in one value and one transaction. */
 export interface RecordLimits {
   /** Size of one value, in kilobytes. */
   readonly valueKb: number;
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -20,7 +20,7 @@
 } from './storedjob.js';
 
 /**
- * The jobs of one shard in the state service. Every write holds only while the shard's owner key has this term, so a
+ * The jobs of one shard in the key-value store. Every write holds only while the shard's owner key has this term, so a
  * write that the network delivers late cannot undo what a newer owner wrote; and only for the version that it was
  * made from, so a late one cannot undo what came after it here.
  */
@@ -76,7 +76,7 @@
     return this.end.finish(job, final);
   }
 
-  /** All unfinished jobs of the shard with their done tasks, as the state service has them. */
+  /** All unfinished jobs of the shard with their done tasks, as the key-value store has them. */
   load(prefix = KEYS.active): Promise<LoadedJob[]> {
     return loadJobs(this.store, this.shard, prefix);
   }
--- a/src/jobs/storedjob.ts
+++ b/src/jobs/storedjob.ts
@@ -42,7 +42,7 @@
 const owned = { shard: v.number(), tag: v.string() };
 const wholeValue = v.object({ ...owned, ...times, spec: specValue });
 const inPartsValue = v.object({ ...owned, ...times, parts: v.number() });
-/** The legacy layout: done tasks in chunks of a size that follows from the state service's limit, as the first version stored them. */
+/** The legacy layout: done tasks in chunks of a size that follows from the key-value store's limit, as the first version stored them. */
 const legacyChunkValue = v.object({ done: v.string() });
 /** The explicit layout: done tasks from one on, whatever the limit is or was. */
 const explicitChunkValue = v.object({ from: v.number(), bits: v.string() });
@@ -54,7 +54,7 @@
 
 /** A chunk of a job's done tasks as it is stored. */
 export interface StoredChunk {
-  /** Its name in the state service: its first task in the explicit layout, its number in the legacy one. */
+  /** Its name in the key-value store: its first task in the explicit layout, its number in the legacy one. */
   readonly name: string;
   /** Its first task; null in the legacy layout: it follows from the chunk's name and the limit of values. */
   readonly from: number | null;
@@ -96,7 +96,7 @@
 }
 
 /**
- * Where a job is, or how it ended, as far as the state service knows; null when it was never accepted. A job that ends
+ * Where a job is, or how it ended, as far as the key-value store knows; null when it was never accepted. A job that ends
  * leaves the unfinished ones and enters the ended ones in one transaction, so it is found in this order at any moment.
  */
 export async function findJob(
@@ -155,7 +155,7 @@
   }
 }
 
-/** The unfinished jobs of a shard under a prefix with their done tasks, as the state service has them. */
+/** The unfinished jobs of a shard under a prefix with their done tasks, as the key-value store has them. */
 export async function loadJobs(store: StateStore, shard: number, prefix: string): Promise<LoadedJob[]> {
   const { entries } = await store.list(prefix);
   const byId = new Map<string, LoadedJob>();
--- a/src/jobs/taskset.ts
+++ b/src/jobs/taskset.ts
@@ -1,4 +1,4 @@
-/** A set of task numbers, stored in chunks that fit the state service's values. */
+/** A set of task numbers, stored in chunks that fit the key-value store's values. */
 export class TaskSet {
   private readonly bytes: Uint8Array;
   /** How many tasks are in it. */
--- a/src/load/measure.ts
+++ b/src/load/measure.ts
@@ -24,7 +24,7 @@
   emulator: { cores: number; residentMb: number; lagP99Ms: number };
   /** Messages and bytes a second, by kind. */
   traffic: Record<string, Flow>;
-  /** What the state service keeps, by kind of record. */
+  /** What the key-value store keeps, by kind of record. */
   stored: Record<string, { entries: number; bytes: number }>;
   tasks: number;
 }
--- a/src/load/propagation.ts
+++ b/src/load/propagation.ts
@@ -11,7 +11,7 @@
 const GIVE_UP_MS = 10_000;
 
 export interface PropagationReport {
-  /** From a change in the state service to its being known on the last of the controllers that were up then. */
+  /** From a change in the key-value store to its being known on the last of the controllers that were up then. */
   allMs: Spread;
   /** The same on each controller, by name. */
   eachMs: Record<string, Spread>;
--- a/src/modelcheck/standbylease.ts
+++ b/src/modelcheck/standbylease.ts
@@ -75,7 +75,7 @@
 const TERM = 1;
 
 /**
- * One shard, its owner, its standby, one machine with one task, and the state service. Messages are lost, doubled, delayed and
+ * One shard, its owner, its standby, one machine with one task, and the key-value store. Messages are lost, doubled, delayed and
  * reordered, writes applied late and without an answer, the standby starts anew, either side stands still at any point, and the
  * clocks drift apart as far as they may: the owner's is slow, the standby's fast.
  */
--- a/src/modelcheck/standbyleasestate.ts
+++ b/src/modelcheck/standbyleasestate.ts
@@ -6,7 +6,7 @@
   | { kind: 'answer'; revision: number; sentAt: number; started: boolean }
   | { kind: 'release'; revision: number };
 
-/** A conditional write on its way to the state service. */
+/** A conditional write on its way to the key-value store. */
 export type Write = { kind: 'claim' | 'evict'; revision: number };
 
 /** A state of the model. */
@@ -27,7 +27,7 @@
   knowsStart: boolean;
   messages: Message[];
   writes: Write[];
-  /** The state service: whose the shard is, and the revision of the key that names the standby. */
+  /** The key-value store: whose the shard is, and the revision of the key that names the standby. */
   shardOwner: 'owner' | 'standby' | 'nobody';
   standbyRevision: number;
   namings: number;
--- a/src/scheduler/completionstore.ts
+++ b/src/scheduler/completionstore.ts
@@ -40,7 +40,7 @@
 
   /**
    * Stores the completed tasks of a job, again until all are. Completions that come close together are stored together: an
-   * array of tiny tasks would take the state service's rate away from acceptances.
+   * array of tiny tasks would take the key-value store's rate away from acceptances.
    */
   async store(job: Job): Promise<void> {
     if (job.storing) return;
--- a/src/scheduler/dependencypoller.ts
+++ b/src/scheduler/dependencypoller.ts
@@ -9,9 +9,9 @@
 /** Many changes that come close together make one poll. */
 const POLL_DELAY_MS = 60;
 const MAX_CLAIMS_PER_REQUEST = 2000;
-/** When an owner has not answered for so long, the state service is asked. */
+/** When an owner has not answered for so long, the key-value store is asked. */
 const OWNER_SILENT_MS = 3000;
-/** Reads of the state service under way at a time, on behalf of dependencies. */
+/** Reads of the key-value store under way at a time, on behalf of dependencies. */
 export const MAX_CONCURRENT_READS = 8;
 
 /** A job that others depend on and that is not known to be over. */
@@ -24,17 +24,17 @@
   activeAsOf: number;
   /** When it is expected to end, in steady milliseconds; null when that is not known. */
   expectedEndAt: number | null;
-  /** A read of the state service on its behalf is under way. */
+  /** A read of the key-value store on its behalf is under way. */
   readInFlight: boolean;
 }
 
-/** What the poller asks of the owners of other shards, the state service and its own shard. */
+/** What the poller asks of the owners of other shards, the key-value store and its own shard. */
 export interface DependencyPollerHooks {
   /** How a job of this shard ended, as far as it is remembered. */
   endedStatus(id: string): 'done' | 'cancelled' | null;
   /** Where a job is, or how it ended; null when it was never accepted. */
   locate(id: string): Promise<JobEntry | null>;
-  /** The status of a job by the state service alone, with all that it depends on. */
+  /** The status of a job by the key-value store alone, with all that it depends on. */
   jobStatusFromStore(id: string): Promise<'active' | 'done' | 'cancelled' | 'unsure'>;
   /** Loads a job of this shard that is stored and that this owner does not know of. */
   recall(id: string): Promise<unknown>;
@@ -57,7 +57,7 @@
   readonly hooks: DependencyPollerHooks;
 }
 
-/** Asks owners, and where they do not answer the state service, about the jobs that jobs of this shard depend on. */
+/** Asks owners, and where they do not answer the key-value store, about the jobs that jobs of this shard depend on. */
 export class DependencyPoller {
   private readsInFlight = 0;
   /** Something was not read since too many reads were under way. */
--- a/src/scheduler/jobrequests.ts
+++ b/src/scheduler/jobrequests.ts
@@ -14,7 +14,7 @@
 
 /** A new job is rejected for the time being when it would wait longer than this to be stored. */
 const MAX_WRITE_DELAY_MS = 700;
-/** New jobs for each change that the state service takes: one to accept one, and some for what else goes on. */
+/** New jobs for each change that the key-value store takes: one to accept one, and some for what else goes on. */
 const JOBS_PER_WRITE = 0.6;
 /** Cancellations stored at a time, of jobs that go with one that they depend on: all else is stored beside them. */
 const MAX_CONCURRENT_CANCELLATIONS = 8;
@@ -67,7 +67,7 @@
     // What is known is answered at once: behind a write under way it would be answered when it may be another node's to answer.
     const known = this.knownAnswer(spec.id);
     if (known) return known;
-    // More submissions than the state service takes are at once asked to come back: waiting here until their users have
+    // More submissions than the key-value store takes are at once asked to come back: waiting here until their users have
     // given up, they would be stored for nobody, and sent once more.
     if (store.writeDelayMs > MAX_WRITE_DELAY_MS)
       return {
@@ -209,7 +209,7 @@
 
   /**
    * Nothing is reported that may be wrong: of a job that may have to be cancelled with one that it depends on, or whose end may
-   * be stored by now, so that another node has reported it. What the state service has is reported instead.
+   * be stored by now, so that another node has reported it. What the key-value store has is reported instead.
    */
   private requireReportable(id: string, answer: StatusAnswer): StatusAnswer {
     const job = this.parts.jobTable.jobs.get(id);
--- a/src/scheduler/machinerecords.ts
+++ b/src/scheduler/machinerecords.ts
@@ -11,7 +11,7 @@
 export interface MachineRecordsHooks {
   /** Whether the shard has been loaded and its owner may act. */
   isReady(): boolean;
-  /** Whether jobs and machines have been read from the state service. */
+  /** Whether jobs and machines have been read from the key-value store. */
   isLoaded(): boolean;
   /** Whether a machine holds nothing and nothing is planned or reserved for it. */
   isIdle(m: Machine): boolean;
@@ -30,7 +30,7 @@
   readonly hooks: MachineRecordsHooks;
 }
 
-/** The assignment records of a shard's machines as the state service has them, and their transfer to other shards. */
+/** The assignment records of a shard's machines as the key-value store has them, and their transfer to other shards. */
 export class MachineRecords {
   constructor(private readonly parts: MachineRecordsParts) {}
 
--- a/src/scheduler/responses.ts
+++ b/src/scheduler/responses.ts
@@ -37,7 +37,7 @@
   allSupportLatest(): boolean;
   /** Where a job is, or how it ended; null when it was never accepted. */
   locate(id: string): Promise<JobEntry | null>;
-  /** The status of a job by the state service alone, with all that it depends on. */
+  /** The status of a job by the key-value store alone, with all that it depends on. */
   jobStatusFromStore(id: string): Promise<'active' | 'done' | 'cancelled' | 'unsure'>;
   /** Asks the owner of `shard` about its jobs, with the claims of jobs of the shard `from` that depend on them. */
   requestDependencyStatus(shard: number, from: number, claims: DependentClaim[]): Promise<DependencyStatus[]>;
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -97,7 +97,7 @@
 
   // --- loading
 
-  /** Loads what the state service has of the shard; tried again until it works or the shard is lost. */
+  /** Loads what the key-value store has of the shard; tried again until it works or the shard is lost. */
   async start(): Promise<void> {
     while (!this.stopped) {
       try {
@@ -247,7 +247,7 @@
 
   // --- machines
 
-  /** The record of a machine as the state service has it; null when it has been deleted. */
+  /** The record of a machine as the key-value store has it; null when it has been deleted. */
   onMachineRecord(id: string, entry: Entry | null): void {
     this.components.machineRecords.apply(id, entry);
   }
--- a/src/scheduler/shardoptions.ts
+++ b/src/scheduler/shardoptions.ts
@@ -28,7 +28,7 @@
 export interface ShardLifecycle {
   /** Whether the shard is no longer this node's. */
   isStopped(): boolean;
-  /** Whether jobs and machines have been read from the state service. */
+  /** Whether jobs and machines have been read from the key-value store. */
   isLoaded(): boolean;
   /** Whether the shard is loaded and its owner may act. */
   isReady(): boolean;
--- a/src/scheduler/taskdispatcher.ts
+++ b/src/scheduler/taskdispatcher.ts
@@ -225,7 +225,7 @@
   }
 
   private nextAttempt(): number {
-    // Terms are revisions of the state service, so no two owners ever use the same attempt number.
+    // Terms are revisions of the key-value store, so no two owners ever use the same attempt number.
     if (this.attempts >= ATTEMPTS_PER_TERM - 1) throw this.hooks.lostOwnership();
     return this.term * ATTEMPTS_PER_TERM + ++this.attempts;
   }
--- a/src/schema/keys.ts
+++ b/src/schema/keys.ts
@@ -1,5 +1,5 @@
 /**
- * The keys in the state service. Each says who writes it and under which condition (docs/design.md, "Writes that come
+ * The keys in the key-value store. Each says who writes it and under which condition (docs/design.md, "Writes that come
  * late", goes through them). "At its term" means that the owner's or leader's key is still at the revision at which it was
  * claimed.
  */
--- a/src/schema/leaseholder.ts
+++ b/src/schema/leaseholder.ts
@@ -20,7 +20,7 @@
   readonly node: string;
   /** Which run of the node's process: names that it uses are never used by another. */
   readonly incarnation: string;
-  /** The id of the lease in the state service that the key hangs on. */
+  /** The id of the lease in the key-value store that the key hangs on. */
   readonly leaseId: number;
   /** In the key of a node: the workers cannot reach it, and it takes no shard. */
   readonly cordoned?: boolean | undefined;
--- a/src/schema/schema.ts
+++ b/src/schema/schema.ts
@@ -1,4 +1,4 @@
-// This package: the layout of the state service: keys, and the records that belong to no other package.
+// This package: the layout of the key-value store: keys, and the records that belong to no other package.
 
 export { KEYS } from './keys.js';
 export { type LeaseHolder, readLeaseHolder, writeLeaseHolder } from './leaseholder.js';
--- a/src/standby/jobrecordreplica.ts
+++ b/src/standby/jobrecordreplica.ts
@@ -23,7 +23,7 @@
 }
 
 /**
- * The unfinished jobs of the shards that this node stands by for, as the state service has them: read once, and from then on
+ * The unfinished jobs of the shards that this node stands by for, as the key-value store has them: read once, and from then on
  * the changes since, all with one request. Nothing depends on how old it is: whoever takes a shard reads on to the revision of its claim.
  */
 export class JobRecordReplica {
@@ -77,7 +77,7 @@
 
   /**
    * All unfinished jobs of a shard with all changes up to a revision; null when they have to be read anew. Throws when the
-   * state service does not answer.
+   * key-value store does not answer.
    */
   upTo(revision: number, shard: number): Promise<ReplicatedJobs | null> {
     return this.mutex.runExclusive(async () => {
--- a/src/standby/messages.ts
+++ b/src/standby/messages.ts
@@ -84,7 +84,7 @@
 export interface ReplicationResponse {
   /** All records before this sequence number have been applied. */
   readonly nextSequence: number;
-  /** How long ago the state service last renewed the lease of the standby's node, in milliseconds. */
+  /** How long ago the key-value store last renewed the lease of the standby's node, in milliseconds. */
   readonly leaseRenewedAgoMs: number;
 }
 
--- a/src/standby/standbynaming.ts
+++ b/src/standby/standbynaming.ts
@@ -29,7 +29,7 @@
 
   /**
    * Names a node, by the run of it that `presence` shows, on the owner's lease. Returns the revision of the key that names
-   * it; null when it was not named. Throws `StateStoreError` when the state service does not answer.
+   * it; null when it was not named. Throws `StateStoreError` when the key-value store does not answer.
    */
   async name(node: string, presence: LeaseHolder, leaseId: number): Promise<number | null> {
     const { context, term } = this.options;
@@ -61,7 +61,7 @@
 
   /**
    * Deletes the name that was written at a revision. True once it is known to be gone while the owner's term stands: from
-   * then on no claim by it can be applied. False when that is not known. Throws `StateStoreError` when the state service
+   * then on no claim by it can be applied. False when that is not known. Throws `StateStoreError` when the key-value store
    * does not answer.
    */
   async remove(revision: number): Promise<boolean> {
--- a/src/standby/standbyreplicas.ts
+++ b/src/standby/standbyreplicas.ts
@@ -38,7 +38,7 @@
   refused(node: string): boolean;
   /** Versions of a shard's owner key and standby key as this node's copy shows them, and how new that copy is. */
   cachedVersions(shard: number): { owner: number; standby: number; revision: number };
-  /** How long ago the state service last renewed this node's lease, in milliseconds. */
+  /** How long ago the key-value store last renewed this node's lease, in milliseconds. */
   leaseRenewedAgoMs(): number;
   /** Replaces the owner's key: the new term; null when that surely failed for good; throws when it may be tried again. */
   claim(shard: number, term: number, revision: number): Promise<number | null>;
--- a/src/standby/standbyreplicator.ts
+++ b/src/standby/standbyreplicator.ts
@@ -86,13 +86,13 @@
   /** A message is under way; there is never more than one. */
   sending: boolean;
   inSync: boolean;
-  /** How long ago the state service had last renewed its lease when it last answered, in milliseconds. */
+  /** How long ago the key-value store had last renewed its lease when it last answered, in milliseconds. */
   leaseRenewedAgoMs: number;
 }
 
 /**
  * The owner's side of one shard's standby: names it, keeps the lease with it and its replica alive, evicts it when it does
- * not answer, and hands over to it. Requests to the state service are made only when the standby changes.
+ * not answer, and hands over to it. Requests to the key-value store are made only when the standby changes.
  */
 export class StandbyReplicator {
   private ownerLease: OwnerLease = NO_STANDBY;
@@ -121,7 +121,7 @@
     const { clock } = this.options.context;
     this.source = source;
     this.nameNotBefore = clock.now() + INITIAL_DELAY_MS;
-    // Also while the state service is out: a standby that heard nothing would take the shard when it is back.
+    // Also while the key-value store is out: a standby that heard nothing would take the shard when it is back.
     this.checks = startPeriodicTask(clock, CHECK_INTERVAL_MS, () => this.checkStandby(clock.now()));
   }
 
@@ -143,12 +143,12 @@
     return s?.inSync && s.unacknowledgedSince === null ? s.node : null;
   }
 
-  /** How long ago the state service last served the standby, in milliseconds; null without one that is in sync. */
+  /** How long ago the key-value store last served the standby, in milliseconds; null without one that is in sync. */
   get standbyLeaseRenewedAgoMs(): number | null {
     return this.inSyncStandby === null ? null : this.standby!.leaseRenewedAgoMs;
   }
 
-  /** Records of jobs have changed in the state service. */
+  /** Records of jobs have changed in the key-value store. */
   recordsChanged(): void {
     this.recordChanges++;
   }
--- a/src/standby/takeoverchecks.ts
+++ b/src/standby/takeoverchecks.ts
@@ -22,7 +22,7 @@
 export interface ActingFacts {
   /** It acts no more, for good. */
   readonly stopped: boolean;
-  /** Its lease with the state service lasts, by its clock. */
+  /** Its lease with the key-value store lasts, by its clock. */
   readonly holdsLease: boolean;
   /** Its lease with its standby lasts, or none binds it. */
   readonly standbyLeaseCovers: boolean;
--- a/src/state/statestore.ts
+++ b/src/state/statestore.ts
@@ -1,4 +1,4 @@
-// This package: the client of the state service: its requests, within this node's share of its rates.
+// This package: the client of the key-value store: its requests, within this node's share of its rates.
 
 import { type Clock, pause } from '../clock/clock.js';
 import { RemoteServiceError } from '../errors/errors.js';
@@ -19,7 +19,7 @@
 } from '../wire/state.js';
 import { RateLimitExceededError, RateLimiter } from './ratelimiter.js';
 
-/** The state service refused a request, or did not answer it. */
+/** The key-value store refused a request, or did not answer it. */
 export class StateStoreError extends RemoteServiceError {}
 
 /** The revision of a transaction that was carried out, or the keys whose conditions failed. */
@@ -33,7 +33,7 @@
   readonly urgent?: boolean;
 }
 
-/** What the state service allows all nodes together, a second, and how many nodes share it. */
+/** What the key-value store allows all nodes together, a second, and how many nodes share it. */
 export interface StateLimits {
   /** Requests. */
   readonly rps: number;
@@ -48,7 +48,7 @@
   readonly changes: number;
 }
 
-/** One request of the state service's API. */
+/** One request of the key-value store's API. */
 interface StateRequest {
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly path: string;
@@ -78,7 +78,7 @@
 /** Entries of one page of a listing. */
 const PAGE_ENTRIES = 500;
 
-/** The state service, within this node's share of its rates. Every method throws `StateStoreError` when it fails. */
+/** The key-value store, within this node's share of its rates. Every method throws `StateStoreError` when it fails. */
 export class StateStore {
   private readonly requests: RateLimiter;
   private readonly writes: RateLimiter;
--- a/tests/cli/scale.test.ts
+++ b/tests/cli/scale.test.ts
@@ -20,6 +20,8 @@
 const PLATFORM = 'examples/scale/platform.toml';
 const SCENARIO = 'examples/scale/day.toml';
 const GIB = 1024 ** 3;
+/** Below the ephemeral ports, and not the same in two runs of the suite at once: they would take each other's ports. */
+const FIRST_PORT = 20_000 + (process.pid % 10) * 1000;
 const SIZES = { workers: 1800, controllers: 17, teams: 44, startsPerSecond: 400 };
 
 test('sizes that this machine cannot carry are refused by field and bound, before anything starts', async () => {
@@ -148,7 +150,7 @@
 // The whole run at a small size; `npm run check:scale` is the long one.
 test('a short run at a small size measures all roles, breaks no rule, and stops by itself', async () => {
   const sizes = ['--workers', '40', '--controllers', '3', '--teams', '4', '--starts', '10'];
-  const flags = ['--machines', PLATFORM, '--speed', '10', '--port', '31000', '--json'];
+  const flags = ['--machines', PLATFORM, '--speed', '10', '--port', String(FIRST_PORT), '--json'];
   const ended = await run(MAIN, ['scale', 'examples/scale/short.toml', ...sizes, ...flags]);
   assert.equal(ended.code, 0, ended.err);
   const report = JSON.parse(ended.out) as ScaleReport;
