--- a/src/cli/scale.ts
+++ b/src/cli/scale.ts
@@ -93,28 +93,30 @@
       .option('--report <file>', 'write the report as JSON')
       .option('--json', 'print the report as JSON'),
     1,
-  ).action(async (file: string, flags: ScaleFlags) => {
-    const [{ loadScenario }, { loadPlatform }, scale, { ScaleRun }] = await Promise.all([
-      import('../load/scenario.js'),
-      import('../emulator/platform.js'),
-      import('../load/scale.js'),
-      import('../load/scalerun.js'),
-    ]);
-    const { workers, controllers, teams, starts: startsPerSecond } = flags;
-    const sizes = { workers, controllers, teams, startsPerSecond };
-    scale.checkSizes(sizes);
-    scale.checkUnused(flags.data);
-    const scenario = scale.sizedScenario(loadScenario(file), sizes);
-    const platform = scale.sizedPlatform(loadPlatform(flags.machines), sizes);
-    const { cluster, stop } = await startLocal({ ...flags, standby: true }, platform);
-    const run = new ScaleRun(cluster, platform, scenario, sizes);
-    const report = await run.run(basename(file), flags);
-    await stop();
-    if (flags.report !== undefined) writeFileSync(flags.report, `${JSON.stringify(report, null, 1)}\n`);
-    if (flags.json) say(JSON.stringify(report));
-    else print(report);
-    // Jobs that are still under way at the end are known, or the rules say so.
-    const { violations, twice } = report.load;
-    process.exit(violations.length > 0 || twice > 0 ? EXIT.failed : EXIT.ok);
-  });
+  ).action(measure);
+}
+
+async function measure(file: string, flags: ScaleFlags): Promise<void> {
+  const [{ loadScenario }, { loadPlatform }, scale, { ScaleRun }] = await Promise.all([
+    import('../load/scenario.js'),
+    import('../emulator/platform.js'),
+    import('../load/scale.js'),
+    import('../load/scalerun.js'),
+  ]);
+  const { workers, controllers, teams, starts: startsPerSecond } = flags;
+  const sizes = { workers, controllers, teams, startsPerSecond };
+  scale.checkSizes(sizes);
+  scale.checkUnused(flags.data);
+  const scenario = scale.sizedScenario(loadScenario(file), sizes);
+  const platform = scale.sizedPlatform(loadPlatform(flags.machines), sizes);
+  const { cluster, stop } = await startLocal({ ...flags, standby: true }, platform);
+  const run = new ScaleRun(cluster, platform, scenario, sizes);
+  const report = await run.run(basename(file), flags);
+  await stop();
+  if (flags.report !== undefined) writeFileSync(flags.report, `${JSON.stringify(report, null, 1)}\n`);
+  if (flags.json) say(JSON.stringify(report));
+  else print(report);
+  // Jobs that are still under way at the end are known, or the rules say so.
+  const { violations, twice } = report.load;
+  process.exit(violations.length > 0 || twice > 0 ? EXIT.failed : EXIT.ok);
 }
--- a/tests/tls/links.test.ts
+++ b/tests/tls/links.test.ts
@@ -7,7 +7,9 @@
 import { encodeFrame } from '../../src/peer/frames.js';
 import { type Issued, type Issuer, issue, makeIssuer } from '../../src/tls/certs.js';
 import { CredentialStore, type Credentials, loadCredentials, TlsError } from '../../src/tls/credentials.js';
-import { LINK_LIMITS, PartnerAway, PartnerLink, PartnerServer, WRONG_VERSION } from '../../src/tls/links.js';
+import { LINK_LIMITS, WRONG_VERSION } from '../../src/tls/links.js';
+import { PartnerAway, PartnerLink } from '../../src/tls/partnerlink.js';
+import { PartnerServer } from '../../src/tls/partnerserver.js';
 import { FakeClock } from '../support/clock.js';
 
 // Good for as long as anybody runs these tests, so that the time of day plays no part.
