--- a/src/cli/condor.ts
+++ b/src/cli/condor.ts
@@ -178,14 +178,19 @@
       ...(options.reason !== undefined && { reason: options.reason }),
     });
     changed.push({ cluster, procs: procs ?? null, changed: n });
-    const id = procs ? `Job ${cluster}.${procs[0]}` : `All jobs in cluster ${cluster}`;
-    if (!options.json)
-      say(n === 0 ? `${id}: nothing to change` : `${id} ${procs ? '' : 'have been '}${done} (${n})`);
+    if (!options.json) say(changeLine(cluster, procs?.[0], done, n));
   }
   c.close();
   if (options.json) say(JSON.stringify(changed));
 }
 
+/** `proc` is undefined for all processes of a cluster; `changed` is the number of those that changed. */
+function changeLine(cluster: number, proc: number | undefined, done: string, changed: number): string {
+  const id = proc === undefined ? `All jobs in cluster ${cluster}` : `Job ${cluster}.${proc}`;
+  if (changed === 0) return `${id}: nothing to change`;
+  return `${id} ${proc === undefined ? 'have been ' : ''}${done} (${changed})`;
+}
+
 function addAnalyzeCommand(condor: Command): void {
   serverOptions(
     condor.command('analyze <job>').description('which kinds of machine a process matches, clause by clause'),
--- a/src/condor/expander.ts
+++ b/src/condor/expander.ts
@@ -19,13 +19,13 @@
 /** Processes that may have become jobs before that is stored: what a new expander goes through again. */
 const WINDOW = 64;
 /** Of the state service's rate of changes, what becoming a job may take beside all else. */
-const SHARE = 0.3;
+const WRITE_RATE_SHARE = 0.3;
 /** While a change would wait longer than this, others need the state service more. */
 const BUSY_MS = 150;
 /** Unfinished jobs of one cluster at once, unless its owner asks for fewer: the rest waits as a line in its record. */
-const UNFINISHED_MOST = 500;
+const MAX_UNFINISHED_JOBS = 500;
 const AT_ONCE = 4;
-const LOOKED_AT_ONCE = 500;
+const CHECKED_PER_TURN = 500;
 
 /** What a user may do to processes. */
 export type Act = 'hold' | 'release' | 'remove';
@@ -97,7 +97,7 @@
     }
     if (this.clock.now() < this.notBefore) return;
     if (this.clock.now() - this.lookedAt > LOOK_MS) await this.look();
-    const rate = this.context.settings.stateLimits.writeRps * SHARE;
+    const rate = this.context.settings.stateLimits.writeRps * WRITE_RATE_SHARE;
     this.budget = Math.min(rate * 2, this.budget + (rate * TICK_MS) / 1000);
     const order = [...this.clusters.values()].sort(
       (a, b) => Number(b.priority - a.priority) || a.number - b.number,
@@ -130,20 +130,20 @@
 
   private async expand(order: Cluster[]): Promise<void> {
     if (this.context.store.writeDelayMs > BUSY_MS) return;
-    const open = order.filter((c) => c.record.state === 'active' && this.room(c) > 0);
+    const open = order.filter((c) => c.record.state === 'active' && this.allowance(c) > 0);
     const top = open.filter((c) => c.priority === open[0]!.priority);
     while (this.budget >= 1 && top.length > 0 && this.active) {
       // Clusters of one priority take turns, so that a large one keeps no small one waiting.
       const c = top[this.turn++ % top.length]!;
-      const took = await this.grow(c, Math.min(AT_ONCE, this.room(c), Math.floor(this.budget)));
+      const took = await this.grow(c, Math.min(AT_ONCE, this.allowance(c), Math.floor(this.budget)));
       this.budget -= took;
-      if (took === 0 || this.room(c) <= 0) top.splice(top.indexOf(c), 1);
+      if (took === 0 || this.allowance(c) <= 0) top.splice(top.indexOf(c), 1);
       if (this.clock.now() < this.notBefore) return;
     }
   }
 
   /** How many more processes may become jobs now. */
-  private room(c: Cluster): number {
+  private allowance(c: Cluster): number {
     if (c.cursor >= c.record.total && c.waiting.size === 0) return 0;
     const unlisted = Math.max(0, c.cursor - c.listedCursor);
     const room = this.limitOf(c) - c.jobs.size - unlisted;
@@ -155,7 +155,7 @@
   }
 
   private limitOf(c: Cluster): number {
-    return Math.min(UNFINISHED_MOST, this.asked(c, 'JobMaterializeLimit') ?? UNFINISHED_MOST);
+    return Math.min(MAX_UNFINISHED_JOBS, this.asked(c, 'JobMaterializeLimit') ?? MAX_UNFINISHED_JOBS);
   }
 
   /** A limit that the cluster's owner asks for; null for none. */
@@ -323,7 +323,7 @@
     const procs: number[] = [];
     for (let n = 0; n < c.record.total; n++) {
       if (holds(n)) procs.push(n);
-      if (n % LOOKED_AT_ONCE === LOOKED_AT_ONCE - 1) await pause(this.clock, 0);
+      if (n % CHECKED_PER_TURN === CHECKED_PER_TURN - 1) await pause(this.clock, 0);
     }
     return procs;
   }
--- a/src/condor/macros.ts
+++ b/src/condor/macros.ts
@@ -23,14 +23,14 @@
 /** Settings by their names in lower case. */
 export type Settings = ReadonlyMap<string, Setting>;
 
-const DEEPEST = 32;
-const LONGEST = 64 * 1024;
+const MAX_DEPTH = 32;
+const MAX_LENGTH = 64 * 1024;
 /** What a file name is asked for: path, name, extension, directory, quoted. */
 const FILE_PART = /^F([pdnxbqaf]*)$/;
 
 /** Puts macros in: `$(name)`, `$(name:default)`, `$INT(..)`, `$REAL(..)`, `$CHOICE(..)`, `$SUBSTR(..)` and `$Fx(..)`. */
 export class Macros {
-  private spent = 0;
+  private expandedLength = 0;
 
   constructor(
     private readonly settings: Settings,
@@ -51,7 +51,7 @@
     const fail = (message: string, at: number): never => {
       throw new SubmitError(message, line, column + at);
     };
-    if (depth > DEEPEST) fail('macros that need each other', 0);
+    if (depth > MAX_DEPTH) fail('macros that need each other', 0);
     let out = '';
     for (let i = 0; i < text.length; ) {
       if (text[i] !== '$') {
@@ -69,8 +69,9 @@
       if (end < 0) fail(`"${head[0]}" has no closing bracket`, i);
       const inner = text.slice(i + head[0].length, end);
       out += this.put(head[1]!, inner, line, column + i, depth + 1);
-      this.spent += out.length;
-      if (out.length > LONGEST || this.spent > LONGEST * 64) fail('macros make too much text', i);
+      this.expandedLength += out.length;
+      if (out.length > MAX_LENGTH || this.expandedLength > MAX_LENGTH * 64)
+        fail('macros make too much text', i);
       i = end + 1;
     }
     return out;
--- a/src/condor/service.ts
+++ b/src/condor/service.ts
@@ -41,8 +41,8 @@
 });
 const PATH = new RegExp(`^${CONDOR_PATH}(?:\\/(\\d{1,9})(?:\\/(procs|hold|release|remove|analyze))?)?$`);
 const OP = 'condor';
-const ASK_MS = 3500;
-const UPLOAD_MS = 3000;
+const PEER_TIMEOUT_MS = 3500;
+const UPLOAD_TIMEOUT_MS = 3000;
 const UPLOAD_TRIES = 3;
 const PAGE = 500;
 const SIZES = [
@@ -103,7 +103,7 @@
       if (r.method !== 'GET') return wrongMethod('GET');
       const from = Number(r.query.get('from') ?? 0);
       if (!Number.isInteger(from) || from < 0) return bad('from: a process number was expected');
-      return { status: 200, body: (await this.ask(what, { cluster, from })) as object };
+      return { status: 200, body: (await this.request(what, { cluster, from })) as object };
     }
     if (r.method !== 'POST') return wrongMethod('POST');
     const parsed = v.safeParse(actBody, parseBody(r.body) ?? {});
@@ -112,7 +112,7 @@
     const { procs, constraint, reason } = parsed.output;
     if (constraint != null) parseExpr(constraint);
     const args = { cluster, act: what, procs: procs ?? null, constraint: constraint ?? null, reason };
-    return { status: 200, body: (await this.ask('act', args)) as object };
+    return { status: 200, body: (await this.request('act', args)) as object };
   }
 
   /** Everything is checked first; then one durable record, and the answer. */
@@ -136,19 +136,19 @@
 
   private async list(r: HttpRequest): Promise<HttpReply> {
     const over = r.query.get('over') === '1';
-    return { status: 200, body: (await this.ask('list', { over })) as object };
+    return { status: 200, body: (await this.request('list', { over })) as object };
   }
 
   // --- what the expander answers
 
-  private async ask(what: string, args: Record<string, unknown>): Promise<unknown> {
+  private async request(what: string, args: Record<string, unknown>): Promise<unknown> {
     if (this.expander.active) return this.serve(what, args);
     const e = this.node.membership.stateCache.entries.get(EXPANDER);
     const holder = e && v.safeParse(v.object({ node: v.string() }), e.value);
     if (!holder?.success || holder.output.node === this.context.settings.node)
       throw new UnavailableError('nobody expands clusters at present');
     try {
-      return await this.node.requestNode(holder.output.node, OP, { what, ...args }, ASK_MS);
+      return await this.node.requestNode(holder.output.node, OP, { what, ...args }, PEER_TIMEOUT_MS);
     } catch (error) {
       if (error instanceof PeerRejectedError && error.message === NO_CLUSTER) throw new NoCluster();
       throw new UnavailableError(error instanceof Error ? error.message : 'no answer');
@@ -293,7 +293,7 @@
           'PUT',
           `/jobs/${spec.id}`,
           { job: writeJob(spec) },
-          UPLOAD_MS,
+          UPLOAD_TIMEOUT_MS,
         );
         if (r.status === 200) return;
       } catch (error) {
--- a/src/tls/partnerlink.ts
+++ b/src/tls/partnerlink.ts
@@ -10,21 +10,21 @@
 /** A partner that does not answer, cannot be reached, or is not who it should be. */
 export class PartnerAway extends UnreachableError {}
 
-interface Waiting {
+interface PendingRequest {
   resolve: (answer: unknown) => void;
   reject: (error: Error) => void;
   timer: Timer;
 }
 
-const FAILURES = 3;
+const FAILURES_BEFORE_PAUSE = 3;
 const PAUSE_MS = 1000;
-const PAUSE_MOST_MS = 60_000;
+const MAX_PAUSE_MS = 60_000;
 
 /** One partner as it is asked: one connection, opened when needed, and left alone for a while after failures in a row. */
 export class PartnerLink {
   private socket: tls.TLSSocket | null = null;
-  private ready: Promise<tls.TLSSocket> | null = null;
-  private readonly waiting = new Map<number, Waiting>();
+  private connection: Promise<tls.TLSSocket> | null = null;
+  private readonly pending = new Map<number, PendingRequest>();
   private next = 1;
   private failures = 0;
   private closedUntil = 0;
@@ -49,18 +49,18 @@
   /** Asks the partner. Fails with `PartnerAway`; whether it was heard is then not known. */
   async ask(op: string, args: unknown, timeoutMs: number): Promise<unknown> {
     if (this.resting) throw new PartnerAway(`${this.partner} is left alone`);
-    if (this.waiting.size >= this.limits.asked) throw new PartnerAway(`${this.partner} is asked too much`);
+    if (this.pending.size >= this.limits.asked) throw new PartnerAway(`${this.partner} is asked too much`);
     const socket = await this.connect(timeoutMs);
     const id = this.next++;
     const answer = new Promise<unknown>((resolve, reject) => {
       const timer = this.clock.after(timeoutMs, () => {
-        this.waiting.delete(id);
-        this.failed();
+        this.pending.delete(id);
+        this.onFailure();
         reject(new PartnerAway(`${this.partner} does not answer`));
         // A cut may hold packets for minutes; a new connection finds out sooner that it is over.
         socket.destroy();
       });
-      this.waiting.set(id, { resolve, reject, timer });
+      this.pending.set(id, { resolve, reject, timer });
     });
     socket.write(encodeFrame({ q: id, op, a: [PARTNER_VERSION, args] }));
     return answer;
@@ -72,12 +72,12 @@
   }
 
   private connect(timeoutMs: number): Promise<tls.TLSSocket> {
-    this.ready ??= this.open(timeoutMs).catch((error) => {
-      this.ready = null;
-      this.failed();
+    this.connection ??= this.open(timeoutMs).catch((error) => {
+      this.connection = null;
+      this.onFailure();
       throw error;
     });
-    return this.ready;
+    return this.connection;
   }
 
   private open(timeoutMs: number): Promise<tls.TLSSocket> {
@@ -117,7 +117,7 @@
     const reader = new FrameReader(this.limits.frameBytes);
     socket.on('data', (data) => {
       try {
-        for (const m of reader.feed(data)) if ('r' in m) this.settle(m);
+        for (const m of reader.feed(data)) if ('r' in m) this.onResponse(m);
       } catch {
         socket.destroy();
       }
@@ -126,27 +126,27 @@
 
   private onClosed(): void {
     this.socket = null;
-    this.ready = null;
-    for (const w of this.waiting.values()) {
+    this.connection = null;
+    for (const w of this.pending.values()) {
       w.timer.cancel();
       w.reject(new PartnerAway(`${this.partner} was cut off`));
     }
-    this.waiting.clear();
+    this.pending.clear();
   }
 
-  private settle(m: Extract<PeerMessage, { r: number }>): void {
-    const w = this.waiting.get(m.r);
+  private onResponse(m: Extract<PeerMessage, { r: number }>): void {
+    const w = this.pending.get(m.r);
     if (!w) return;
-    this.waiting.delete(m.r);
+    this.pending.delete(m.r);
     w.timer.cancel();
     this.failures = 0;
     if ('e' in m) w.reject(new PartnerAway(`${this.partner}: ${m.e}`));
     else w.resolve(m.a);
   }
 
-  private failed(): void {
-    if (++this.failures < FAILURES) return;
-    const pause = Math.min(PAUSE_MOST_MS, PAUSE_MS * 2 ** (this.failures - FAILURES));
+  private onFailure(): void {
+    if (++this.failures < FAILURES_BEFORE_PAUSE) return;
+    const pause = Math.min(MAX_PAUSE_MS, PAUSE_MS * 2 ** (this.failures - FAILURES_BEFORE_PAUSE));
     this.closedUntil = this.clock.now() + pause * (0.5 + this.jitter());
   }
 }
--- a/src/tls/partnerserver.ts
+++ b/src/tls/partnerserver.ts
@@ -2,7 +2,8 @@
 
 import type { AddressInfo, Socket } from 'node:net';
 import tls from 'node:tls';
-import type { Clock, Timer } from '../clock/clock.js';
+import type { Clock } from '../clock/clock.js';
+import { type PeriodicTask, startPeriodicTask } from '../clock/periodictask.js';
 import { encodeFrame, FrameReader, type PeerMessage } from '../peer/frames.js';
 import { type Credentials, clusterOf, refusal } from './credentials.js';
 import {
@@ -27,20 +28,24 @@
   return `${socket.remoteAddress} ${socket.remotePort}`;
 }
 
-interface Guest {
+/** How often idle connections are looked for. */
+const SWEEP_INTERVAL_MS = 1000;
+
+/** An open connection of a partner. */
+interface Connection {
   socket: tls.TLSSocket;
   partner: string;
   since: number;
   asked: number;
 }
 
-/** Lets partners in over mutual TLS, and answers what they ask. */
+/** Accepts partners over mutual TLS, and answers their requests. */
 export class PartnerServer {
   private readonly server: tls.Server;
-  private readonly guests = new Set<Guest>();
+  private readonly connections = new Set<Connection>();
   /** Those that have not shown who they are, the oldest first: they give way to whoever comes. */
-  private readonly strangers = new Map<string, Socket>();
-  private timer: Timer | null = null;
+  private readonly unidentified = new Map<string, Socket>();
+  private readonly sweeping: PeriodicTask;
   /** Refused so far, by reason: a metric. */
   readonly counts = new Map<string, number>();
 
@@ -63,12 +68,12 @@
     );
     this.server.on('connection', (socket) => {
       const key = addressOf(socket);
-      this.strangers.set(key, socket);
+      this.unidentified.set(key, socket);
       socket.on('error', () => socket.destroy());
-      socket.on('close', () => this.strangers.delete(key));
-      for (const [oldest, s] of this.strangers) {
-        if (this.strangers.size <= limits.connections) break;
-        this.strangers.delete(oldest);
+      socket.on('close', () => this.unidentified.delete(key));
+      for (const [oldest, s] of this.unidentified) {
+        if (this.unidentified.size <= limits.connections) break;
+        this.unidentified.delete(oldest);
         this.refuse('too many connections', s.remoteAddress ?? '');
         s.destroy();
       }
@@ -80,14 +85,15 @@
       );
       socket.destroy();
     });
-    this.sweep();
+    this.sweeping = startPeriodicTask(clock, SWEEP_INTERVAL_MS, () => this.sweep());
   }
 
-  /** Connections that are open, those that have not shown who they are included. */
+  /** Connections that are open, those whose handshake is not complete included. */
   get open(): number {
-    return this.strangers.size + this.guests.size;
+    return this.unidentified.size + this.connections.size;
   }
 
+  /** Resolves with the port once the server is listening; rejects when the address cannot be bound. */
   listen(host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -95,21 +101,22 @@
     });
   }
 
-  /** Uses other credentials from now on; who would no longer be let in has to go. */
+  /** Uses other credentials from now on; connections that these would refuse are ended. */
   renew(c: Credentials): void {
     this.credentials = c;
     this.server.setSecureContext(context(c));
-    for (const g of this.guests) {
+    for (const g of this.connections) {
       const why = refusal(certOf(g.socket), null, this.partners, c);
       if (why !== null) this.end(g.socket, why);
     }
   }
 
+  /** Stops listening and ends all connections, for good. */
   close(): void {
-    this.timer?.cancel();
+    this.sweeping.stop();
     this.server.close();
-    for (const s of this.strangers.values()) s.destroy();
-    for (const g of this.guests) g.socket.destroy();
+    for (const s of this.unidentified.values()) s.destroy();
+    for (const g of this.connections) g.socket.destroy();
   }
 
   private refuse(why: string, address: string): void {
@@ -131,14 +138,14 @@
       return;
     }
     const partner = clusterOf(cert)!;
-    if ([...this.guests].filter((g) => g.partner === partner).length >= this.limits.ofOne) {
+    if ([...this.connections].filter((g) => g.partner === partner).length >= this.limits.ofOne) {
       this.end(socket, 'too many connections of one partner');
       return;
     }
-    this.strangers.delete(addressOf(socket));
-    const guest: Guest = { socket, partner, since: this.clock.now(), asked: 0 };
-    this.guests.add(guest);
-    socket.on('close', () => this.guests.delete(guest));
+    this.unidentified.delete(addressOf(socket));
+    const guest: Connection = { socket, partner, since: this.clock.now(), asked: 0 };
+    this.connections.add(guest);
+    socket.on('close', () => this.connections.delete(guest));
     const reader = new FrameReader(this.limits.frameBytes);
     socket.on('data', (data) => {
       try {
@@ -149,7 +156,7 @@
     });
   }
 
-  private asked(g: Guest, m: PeerMessage): void {
+  private asked(g: Connection, m: PeerMessage): void {
     g.since = this.clock.now();
     if (!('q' in m) || typeof m.op !== 'string') return;
     if (g.asked >= this.limits.asked || g.socket.writableLength > this.limits.unsentBytes) {
@@ -178,7 +185,7 @@
 
   private sweep(): void {
     const now = this.clock.now();
-    for (const g of this.guests) if (g.asked === 0 && now - g.since > this.limits.idleMs) g.socket.destroy();
-    this.timer = this.clock.after(1000, () => this.sweep());
+    for (const g of this.connections)
+      if (g.asked === 0 && now - g.since > this.limits.idleMs) g.socket.destroy();
   }
 }
