--- a/src/condor/expander.ts
+++ b/src/condor/expander.ts
@@ -18,9 +18,9 @@
 const PERIODIC_MS = 20_000;
 /** Processes that may have become jobs before that is stored: what a new expander goes through again. */
 const WINDOW = 64;
-/** Of the state service's rate of changes, what becoming a job may take beside all else. */
+/** Of the key-value store's rate of changes, what becoming a job may take beside all else. */
 const WRITE_RATE_SHARE = 0.3;
-/** While a change would wait longer than this, others need the state service more. */
+/** While a change would wait longer than this, others need the key-value store more. */
 const BUSY_MS = 150;
 /** Unfinished jobs of one cluster at once, unless its owner asks for fewer: the rest waits as a line in its record. */
 const MAX_UNFINISHED_JOBS = 500;
--- a/src/condor/records.ts
+++ b/src/condor/records.ts
@@ -1,4 +1,4 @@
-/** The records of clusters of submit files in the state service. */
+/** The records of clusters of submit files in the key-value store. */
 
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import * as v from 'valibot';
@@ -7,7 +7,7 @@
 import type { Condition, Write } from '../wire/state.js';
 import type { Submission } from './procs.js';
 
-/** Where clusters are in the state service. */
+/** Where clusters are in the key-value store. */
 const CONDOR = {
   /** The number of the next cluster; only ever grows. */
   next: 'condor/next',
@@ -71,7 +71,7 @@
   version: number;
 }
 
-/** Clusters in the state service. What the expander writes holds only under its own term. */
+/** Clusters in the key-value store. What the expander writes holds only under its own term. */
 export class ClusterRecords {
   constructor(
     private readonly store: StateStore,
@@ -80,7 +80,7 @@
 
   /**
    * Makes a cluster durable; the same submission always gets the same number, whoever repeats it and whenever. Its text
-   * goes first, in parts that fit the state service's limits; nothing reads them before the record is there.
+   * goes first, in parts that fit the key-value store's limits; nothing reads them before the record is there.
    */
   async create(id: string, s: Submission, total: number, batch: string | null): Promise<number> {
     const known = await this.numberOf(id);
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -50,7 +50,7 @@
   peers: Peer[];
   /** `host:port` of the cloud. */
   cloud: string;
-  /** `host:port` of the state service. */
+  /** `host:port` of the key-value store. */
   state: string;
   /** Number of controllers. */
   nodes: number;
@@ -63,7 +63,7 @@
   objectives: Objective[];
   /** Times of the protocol with the workers: heartbeat interval, lease, gang start and loss, and cancellation. */
   workers: { reportS: number; leaseS: number; gangWaitS: number; gangPeerS: number; cancelS: number };
-  /** What the state service allows now and, where that is less, from some later moment on (`state.next`). */
+  /** What the key-value store allows now and, where that is less, from some later moment on (`state.next`). */
   stateLimits: { rps: number; writeRps: number; valueKb: number; txnOps: number };
   /** The size of values that the former layout of done tasks depends on: the one of now, whatever comes. */
   layoutKb: number;
@@ -84,7 +84,7 @@
 
 /**
  * How many of its `sockets` a process uses for what: most for connections of users and workers (`incoming`), some for the
- * other controllers, the rest for those that it opens itself. State service and cloud (`services`) have connections of
+ * other controllers, the rest for those that it opens itself. Key-value store and cloud (`services`) have connections of
  * their own: requests to hundreds of machines at once (`workers`) must not keep a lease from renewal.
  */
 export function allocateSockets(sockets: number): { incoming: number; services: number; workers: number } {
--- a/src/program/compose.ts
+++ b/src/program/compose.ts
@@ -18,7 +18,7 @@
 
 /** Connections to one worker at once: most orders go one after the other. */
 const SOCKETS_PER_WORKER = 4;
-/** The longest answer of the state service or the cloud. */
+/** The longest answer of the key-value store or the cloud. */
 const MAX_SERVICE_ANSWER_BYTES = 32 * 1024 * 1024;
 /** The longest answer of a worker or of any other service. */
 const MAX_WORKER_ANSWER_BYTES = 1024 * 1024;
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -1,5 +1,5 @@
 /**
- * Requests to the state service and its responses. Its words: `path` is a key, `stamp` the version of an entry, `ledgerRev`
+ * Requests to the key-value store and its responses. Its words: `path` is a key, `stamp` the version of an entry, `ledgerRev`
  * the revision of the whole store, `permit` a lease, `set` and `drop` a put and a delete.
  */
 
@@ -104,7 +104,7 @@
   };
 }
 
-/** The paths of the state service; `most` bounds a page, `under` is a prefix of keys. */
+/** The paths of the key-value store; `most` bounds a page, `under` is a prefix of keys. */
 export const STATE_PATHS = {
   key: (key: string) => `/keys/${key}`,
   list: (prefix: string, after: string | null, limit: number) =>
@@ -122,7 +122,7 @@
   return { ttlMs };
 }
 
-// --- the state service's side
+// --- the key-value store's side
 
 const txnRequest = v.object({
   when: v.optional(v.array(v.object({ path: v.string(), stamp: v.number() })), []),
@@ -137,7 +137,7 @@
   ),
 });
 
-/** The state service's side of `writeTxn`; null when it is malformed. */
+/** The key-value store's side of `writeTxn`; null when it is malformed. */
 export function readTxnRequest(body: unknown): { when: Condition[]; writes: Write[] } | null {
   const p = v.safeParse(txnRequest, body);
   if (!p.success) return null;
@@ -150,7 +150,7 @@
   };
 }
 
-/** The state service's side of `readEntry`; `lease` (`permit`) is the one that the entry ends with. */
+/** The key-value store's side of `readEntry`; `lease` (`permit`) is the one that the entry ends with. */
 export function writeEntry(e: Entry, lease: number | null): object {
   return {
     path: e.key,
@@ -160,7 +160,7 @@
   };
 }
 
-/** The state service's side of `readEntries`. */
+/** The key-value store's side of `readEntries`. */
 export function writeEntries(entries: Entry[], more: boolean, revision: number): object {
   return { entries: entries.map((e) => writeEntry(e, null)), more, ledgerRev: revision };
 }
@@ -170,17 +170,17 @@
   return 'gone' in c ? { drop: c.key, stamp: c.version } : { set: c.key, value: c.value, stamp: c.version };
 }
 
-/** The state service's side of `readChanges`. */
+/** The key-value store's side of `readChanges`. */
 export function writeChanges(changes: Change[], revision: number): object {
   return { ledgerRev: revision, events: changes.map(writeChange) };
 }
 
-/** The state service's side of `readTxn`; `failed` is null when the transaction was applied. */
+/** The key-value store's side of `readTxn`; `failed` is null when the transaction was applied. */
 export function writeTxnAnswer(revision: number, failed: string[] | null): object {
   return { ...(failed && { failed }), ledgerRev: revision };
 }
 
-/** The state service's side of `readLease`. */
+/** The key-value store's side of `readLease`. */
 export function writeLease(lease: number): object {
   return { permit: lease };
 }
@@ -189,7 +189,7 @@
   ttlMs: v.pipe(v.number(), v.minValue(100), v.maxValue(600_000)),
 });
 
-/** The state service's side of `writeLeaseRequest`: the milliseconds; null when it is malformed. */
+/** The key-value store's side of `writeLeaseRequest`: the milliseconds; null when it is malformed. */
 export function readLeaseRequest(body: unknown): number | null {
   const p = v.safeParse(leaseRequest, body);
   return p.success ? p.output.ttlMs : null;
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -266,7 +266,7 @@
 
 const healthBody = v.object({ revision: v.number() });
 
-/** The response of a healthy controller: up to which revision of the state service it knows the cluster's records. */
+/** The response of a healthy controller: up to which revision of the key-value store it knows the cluster's records. */
 export function writeHealth(revision: number): object {
   return { ok: true, revision };
 }
--- a/tests/exports.test.ts
+++ b/tests/exports.test.ts
@@ -4,13 +4,6 @@
 import { test } from 'node:test';
 import ts from 'typescript';
 
-/** Unused outside their module, to be mended there; an entry goes with the export. */
-const PENDING = new Set([
-  'src/clock/periodictask.ts startPacedTask',
-  'src/plan/rentalchoice.ts optionFits',
-  'src/scheduler/priorityaging.ts MAX_START_DELAY_S',
-]);
-
 interface SourceModule {
   /** Values, and types that nothing in the module itself mentions: other types are part of a signature. */
   readonly exported: ReadonlySet<string>;
@@ -117,8 +110,5 @@
 // Guards against exports that outlive their last use: they were read and kept up as if others depended on them.
 test('every export of src is used by another file of src or tests', () => {
   const unused = unusedExports([...sourceFiles('src'), ...sourceFiles('tests')]);
-  assert.deepEqual(
-    unused.filter((entry) => !PENDING.has(entry)),
-    [],
-  );
+  assert.deepEqual(unused, []);
 });
