--- a/src/plan/rentalchoice.ts
+++ b/src/plan/rentalchoice.ts
@@ -25,7 +25,7 @@
 }
 
 /** Whether a kind of machine may take a task of a shortage. */
-export function optionFits(o: RentOption, s: Shortage): boolean {
+function optionFits(o: RentOption, s: Shortage): boolean {
   if (s.types && !s.types.has(o.type)) return false;
   if (s.zone !== null && o.zone !== s.zone) return false;
   if (o.spot && !s.spot) return false;
