--- a/src/classad/ast.ts
+++ b/src/classad/ast.ts
@@ -15,6 +15,7 @@
 export class Undefined {
   readonly kind = 'undefined';
 }
+/** The one value of what is undefined. */
 export const UNDEFINED = new Undefined();
 
 /** What has no meaning; `why` is for people and takes no part in comparisons. */
@@ -26,13 +27,18 @@
 /** Integers are 64 bits wide (`bigint`), reals are numbers. */
 export type Value = Undefined | ErrorValue | boolean | bigint | number | string | Value[] | Ad;
 
+/** A value that can be written as it is. */
 export type Literal = Undefined | ErrorValue | boolean | bigint | number | string;
 
+/** Whose attribute a name means: this ad's, the other ad's, or whichever has it. */
 export type Scope = 'my' | 'target' | null;
 
+/** Operators with one operand. */
 export type UnaryOp = '-' | '+' | '!' | '~';
+/** Operators with two operands. */
 export type BinaryOp = keyof typeof PRECEDENCE;
 
+/** A parsed expression. */
 export type Expr =
   | { node: 'literal'; value: Literal }
   /** An attribute by its name, as it was written. */
@@ -145,6 +151,7 @@
   }
 }
 
+/** Whether a value is neither a list nor an ad. */
 export function isLiteral(value: Value): value is Literal {
   return !Array.isArray(value) && !(value instanceof Ad);
 }
--- a/src/classad/evaluate.ts
+++ b/src/classad/evaluate.ts
@@ -43,6 +43,7 @@
   spend(steps: number): void;
 }
 
+/** An error value; `why` is for people. */
 export function failed(why: string): ErrorValue {
   return new ErrorValue(why);
 }
@@ -253,6 +254,7 @@
   return Number.isNaN(sign) ? op === '!=' : COMPARE[op]!(sign);
 }
 
+/** An arithmetic operator on two values; an error value where one is no number. */
 export function arithmetic(op: BinaryOp, a: Value, b: Value): Value {
   const x = asNumber(a);
   const y = asNumber(b);
--- a/src/classad/functions.ts
+++ b/src/classad/functions.ts
@@ -5,6 +5,7 @@
 import { printValue } from './print.js';
 import { formatTime, splitTime } from './times.js';
 
+/** A function of the language: its call to its value. */
 export type Function = (call: Call) => Value;
 
 /** Evaluates all arguments; what is undefined or an error is the answer at once. */
--- a/src/classad/print.ts
+++ b/src/classad/print.ts
@@ -11,11 +11,13 @@
   return print(e, IF);
 }
 
+/** An ad as text that can be parsed again. */
 export function printAd(ad: Ad): string {
   const parts = [...ad].map(([name, e]) => `${printName(name)} = ${printExpr(e)}`);
   return parts.length === 0 ? '[ ]' : `[ ${parts.join('; ')} ]`;
 }
 
+/** A value as text that can be parsed again. */
 export function printValue(value: Value): string {
   if (Array.isArray(value)) return `{ ${value.map(printValue).join(', ')} }`;
   if (typeof value === 'object' && 'get' in value) return printAd(value);
--- a/src/condor/cluster.ts
+++ b/src/condor/cluster.ts
@@ -22,6 +22,7 @@
   return `wk-condor-${cluster}-${proc}${start === 0 ? '' : `-r${start}`}`;
 }
 
+/** What the ids of all jobs of a cluster begin with. */
 export const jobsUnder = (cluster: number) => `wk-condor-${cluster}-`;
 
 /** One cluster as the expander has it: which of its processes are jobs, and which were held, released or removed. */
--- a/src/emulator/local.ts
+++ b/src/emulator/local.ts
@@ -22,6 +22,7 @@
 import { bodyBytes, Traffic } from './traffic.js';
 import { type Place, Worker } from './worker.js';
 
+/** How a cluster on this machine is started. */
 export interface LocalOptions {
   platform: Platform;
   controllers: number;
@@ -34,7 +35,7 @@
   seed: number;
   /** The controllers' program and further flags for it. */
   program: string;
-  /** Dealt out to the controllers in turn in place of `program`, for a cluster of several builds. */
+  /** Given to the controllers in turn in place of `program`, for a cluster of several builds. */
   programs?: readonly string[];
   flags: readonly string[];
   /** Told of what goes wrong. */
--- a/src/emulator/market.ts
+++ b/src/emulator/market.ts
@@ -4,6 +4,7 @@
 import type { Random } from './random.js';
 import type { Place } from './worker.js';
 
+/** How many machines of a type a zone has. */
 export interface Capacity {
   type: string;
   zone: string;
@@ -14,6 +15,7 @@
   up: number;
 }
 
+/** What the emulated cloud offers, and how it misbehaves. */
 export interface MarketOptions {
   types: MachineType[];
   capacity: Capacity[];
@@ -25,6 +27,7 @@
   noticeS: number;
 }
 
+/** What the emulated cloud tells the cluster about its machines. */
 export interface MarketHooks {
   address(n: number): string;
   up(place: Place): void;
--- a/src/emulator/network.ts
+++ b/src/emulator/network.ts
@@ -30,7 +30,7 @@
     return { region: this.region(zone), zone, rack: null };
   }
 
-  /** The site of a machine; machines of a zone are dealt to its racks by their number. */
+  /** The site of a machine; machines of a zone are spread over its racks by their number. */
   inRack(zone: string, machine: number): Site {
     return { ...this.inZone(zone), rack: machine % this.platform.racks_per_zone };
   }
--- a/src/emulator/platform.ts
+++ b/src/emulator/platform.ts
@@ -186,6 +186,7 @@
       throw new SettingsError(`${path}: regions: ${zone} must be in one region`);
 }
 
+/** The machine types of a platform file, as the cloud lists them. */
 export function typesOf(p: Platform): MachineType[] {
   return p.machine_types.map((t) => ({
     name: t.name,
@@ -201,8 +202,10 @@
   }));
 }
 
+/** What the zones of a platform file have. */
 export const capacityOf = (p: Platform): Capacity[] => p.capacity;
 
+/** Where a controller of an emulated cluster listens. */
 export interface NodePlace {
   node: string;
   zone: string;
--- a/src/emulator/relay.ts
+++ b/src/emulator/relay.ts
@@ -4,6 +4,7 @@
 import type { Network, Site } from './network.js';
 import type { Traffic } from './traffic.js';
 
+/** A controller to which a relay passes connections on. */
 export interface RelayTarget {
   /** Name of the controller, and where it listens for the others. */
   node: string;
--- a/src/emulator/state.ts
+++ b/src/emulator/state.ts
@@ -14,6 +14,7 @@
 import { Bucket } from './bucket.js';
 import { bodyBytes } from './traffic.js';
 
+/** An answer of an emulated service. */
 export interface Served {
   status: number;
   body: unknown;
@@ -34,8 +35,10 @@
   done: (s: Served) => void;
 }
 
+/** Kinds of requests to the emulated key-value store. */
 export type RequestKind = 'get' | 'list' | 'txn' | 'lease' | 'watch';
 
+/** A request as tests and measurements see it. */
 export interface ObservedRequest {
   kind: RequestKind;
   /** What a watch or list asks for; empty for all else. */
--- a/src/emulator/tasks.ts
+++ b/src/emulator/tasks.ts
@@ -8,7 +8,7 @@
 /** What a worker fetches of a job: what its user has uploaded. */
 export interface Description {
   spec: JobSpec;
-  /** How long a task truly runs; by the estimate when it is not told. */
+  /** How long a task truly runs; by the estimate when it is not given. */
   runS: number | null;
   /** Submitted with a mistake: it fails on every machine. */
   fails: boolean;
@@ -65,7 +65,7 @@
   startedAt: number;
   base: number;
   speed: number;
-  stop: { at: number; told: Set<Run> } | null;
+  stop: { at: number; notified: Set<Run> } | null;
 }
 
 const ERROR_AFTER_MS = 1000;
@@ -300,26 +300,26 @@
     const gang = this.gangOf(run);
     const peerMs = this.limits.gangPeerS * 1000;
     if (!gang.stop) {
-      gang.stop = { at: this.clock.now(), told: new Set() };
+      gang.stop = { at: this.clock.now(), notified: new Set() };
       for (const m of gang.members.values()) for (const t of m.timers.splice(0)) t.cancel();
       this.later(run, peerMs, () => this.endStop(gang));
     }
-    gang.stop.told.add(run);
+    gang.stop.notified.add(run);
     run.worker.move(run.a, 'saving');
     const saved = () => {
-      if (gang.broken || gang.stop!.told.size < run.job.spec.tasks) return;
+      if (gang.broken || gang.stop!.notified.size < run.job.spec.tasks) return;
       run.job.saved.set(0, Math.max(run.job.saved.get(0) ?? 0, this.gangProgress(gang)));
       for (const m of [...gang.members.values()]) this.leave(m, 'stopped', true);
     };
     this.later(run, run.job.spec.saveS * 1000, saved);
   }
 
-  /** Not all were told to stop in time: the save fails. */
+  /** Not all were notified to stop in time: the save fails. */
   private endStop(gang: Gang): void {
-    const { told } = gang.stop!;
+    const { notified } = gang.stop!;
     const [first] = gang.members.values();
-    if (!first || told.size === first.job.spec.tasks) return;
-    for (const m of [...gang.members.values()]) this.leave(m, told.has(m) ? 'stopped' : 'peers', false);
+    if (!first || notified.size === first.job.spec.tasks) return;
+    for (const m of [...gang.members.values()]) this.leave(m, notified.has(m) ? 'stopped' : 'peers', false);
   }
 
   private breakGang(run: Run, completed: boolean): void {
--- a/src/emulator/worker.ts
+++ b/src/emulator/worker.ts
@@ -26,6 +26,7 @@
   lost(worker: Worker, attempts: Attempt[]): void;
 }
 
+/** A machine as the emulated worker on it knows it. */
 export interface Place {
   id: string;
   addr: string;
@@ -80,21 +81,22 @@
 
   /** Takes the answer to a report that was sent at `sent` in a session. */
   answer(body: unknown, sent: number, session = this.session): void {
-    const told = readCommands(body);
-    if (!told || (told.token ?? 0) < this.token || session !== this.session) return;
-    this.see(told.token ?? this.token);
+    const received = readCommands(body);
+    if (!received || (received.token ?? 0) < this.token || session !== this.session) return;
+    this.see(received.token ?? this.token);
     this.lastSent = Math.max(this.lastSent, sent);
-    for (const o of told.orders) this.execute(o);
+    for (const o of received.orders) this.execute(o);
   }
 
   serve(_method: string, path: string, body: unknown): Served {
     if (path === WORKER_PATHS.status) return { status: 200, body: this.report() };
-    const told = readCommands(body);
-    if (!told || told.token === null || told.session === null) return { status: 400, body: {} };
+    const received = readCommands(body);
+    if (!received || received.token === null || received.session === null) return { status: 400, body: {} };
     this.checkLease();
-    if (told.token < this.token || told.session !== this.session) return { status: 409, body: this.report() };
-    this.see(told.token);
-    for (const o of told.orders) this.execute(o);
+    if (received.token < this.token || received.session !== this.session)
+      return { status: 409, body: this.report() };
+    this.see(received.token);
+    for (const o of received.orders) this.execute(o);
     return { status: 200, body: this.report() };
   }
 
--- a/src/load/measure.ts
+++ b/src/load/measure.ts
@@ -16,6 +16,7 @@
   sockets: number;
 }
 
+/** What was measured during one phase of a scenario. */
 export interface PhaseReport {
   name: string;
   seconds: number;
--- a/src/load/propagation.ts
+++ b/src/load/propagation.ts
@@ -10,6 +10,7 @@
 const ASK_MS = 1000;
 const GIVE_UP_MS = 10_000;
 
+/** How long changes took to reach the controllers, in milliseconds. */
 export interface PropagationReport {
   /** From a change in the key-value store to its being known on the last of the controllers that were up then. */
   allMs: Spread;
--- a/src/load/scalerun.ts
+++ b/src/load/scalerun.ts
@@ -19,6 +19,7 @@
   worker: WorkerCost[];
 }
 
+/** How a scale run is played. */
 export interface ScaleRunOptions {
   speed: number;
   changeEvery: number;
--- a/src/load/scenario.ts
+++ b/src/load/scenario.ts
@@ -83,8 +83,11 @@
   ),
 });
 
+/** A scenario of load and faults, as its file has it. */
 export type Scenario = v.InferOutput<typeof file>;
+/** A class of jobs that arrive during a scenario. */
 export type JobClass = Scenario['classes'][number];
+/** A fault that is injected at a moment of a scenario. */
 export type Fault = Scenario['faults'][number];
 
 /** Reads a scenario of load and faults. Fails with `SettingsError`, which names the field. */
--- a/src/load/served.ts
+++ b/src/load/served.ts
@@ -1,7 +1,9 @@
 /** Below this a class or a team has not been served, and the play has failed; below `LOW` it is a fault to trace. */
 export const FAILED_SERVED_SHARE = 0.5;
+/** A class or team of which a smaller share was served is reported as low. */
 export const LOW_SERVED_SHARE = 0.7;
 
+/** What became of the jobs of one class. */
 export interface ServedCounts {
   name: string;
   team: string;
@@ -12,6 +14,7 @@
   cancelled: number;
 }
 
+/** What share of the jobs of a class or team was served. */
 export interface Share {
   /** `class NAME` or `team NAME`. */
   who: string;
--- a/src/load/singleworker.ts
+++ b/src/load/singleworker.ts
@@ -22,6 +22,7 @@
   startsPerSecond: number;
 }
 
+/** How one worker alone is measured. */
 export interface SingleWorkerOptions {
   reportS: number;
   leaseS: number;
