--- a/src/changefeed/changefeed.ts
+++ b/src/changefeed/changefeed.ts
@@ -114,7 +114,9 @@
   start(mesh: Mesh): void {
     this.mesh = mesh;
     this.progressChecks ??= startPeriodicTask(this.clock, PROGRESS_CHECK_INTERVAL_MS, () =>
-      this.compareProgress(),
+      this.compareProgress().catch((error) =>
+        this.logger.error({ err: error }, 'source progress check failed'),
+      ),
     );
   }
 
