--- a/src/controller/claims.ts
+++ b/src/controller/claims.ts
@@ -5,16 +5,19 @@
 import type { ClusterStateCache } from './clusterstatecache.js';
 import type { LeaseKeeper } from './leasekeeper.js';
 
-/** A key that this node is to hold, at the version that it has now; 0: nobody holds it. */
+/**
+ * A compare-and-swap that makes this node the holder of a key; `version` is the expected version, 0 for an absent
+ * key.
+ */
 export interface HolderSwap {
   readonly key: string;
   readonly version: number;
-  /** Further conditions and writes of the same transaction. */
+  /** Additional conditions and writes of the same transaction. */
   readonly conditions: readonly Condition[];
   readonly writes: readonly Write[];
 }
 
-/** Takes keys that hang on this node's lease. */
+/** Claims keys under this node's lease: when the lease ends, the keys are deleted. */
 export class Claims {
   constructor(
     private readonly store: StateStore,
@@ -23,23 +26,27 @@
     private readonly lease: LeaseKeeper,
   ) {}
 
-  /** Tries to take a key that nobody holds; returns its version, the term, when this node has it. */
+  /**
+   * Tries to claim a key without a holder. Returns its version, which is the term, when this node holds it; else
+   * null.
+   */
   async claim(key: string): Promise<number | null> {
     try {
       return await this.compareAndSwapHolder({ key, version: 0, conditions: [], writes: [] });
     } catch (error) {
-      this.log.debug({ key, err: error }, 'claim failed');
+      this.log.debug({ key, err: error }, 'key claim failed');
       return null;
     }
   }
 
   /**
-   * Takes a key at a version. Returns the key's new version when this node has it under its present lease, null when it
-   * surely has not and never will by this try; throws `StateStoreError` when the key-value store did not say.
+   * Takes a key if it is still at the expected version. Returns the key's new version when this node holds it under
+   * its current lease, and null when it definitely does not and this attempt cannot take effect later. Throws
+   * `StateStoreError` when the outcome is unknown.
    */
   async compareAndSwapHolder({ key, version, conditions, writes }: HolderSwap): Promise<number | null> {
     const lease = this.lease.leaseId;
-    // Not null: an earlier try that got no answer may still be applied.
+    // Throws rather than returning null: an earlier attempt that got no answer may still be applied.
     if (!this.lease.holdsLease || lease === null) throw new StateStoreError('no lease', false);
     const value = writeLeaseHolder(this.lease.holder);
     try {
@@ -59,7 +66,11 @@
     return this.readOutcome(key, version);
   }
 
-  /** Whether a swap that was refused, or got no answer, has been applied all the same. */
+  /**
+   * Reads back whether a compare-and-swap that was rejected, or got no answer, has been applied. Returns the key's
+   * version when this node holds it under its current lease, null when it does not; throws when the outcome is still
+   * unknown.
+   */
   private async readOutcome(key: string, version: number): Promise<number | null> {
     const entry = await this.store.get(key);
     if (!entry || !readLeaseHolder(entry.value)) {
--- a/src/controller/cloudpoller.ts
+++ b/src/controller/cloudpoller.ts
@@ -5,14 +5,14 @@
 import type { Ownership } from './ownership.js';
 
 const LIST_INTERVAL_MS = 5000;
-/** For nodes that do not lead. */
+/** List interval of nodes that are not the leader. */
 const FOLLOWER_LIST_INTERVAL_MS = LIST_INTERVAL_MS * 3;
 const TYPES_INTERVAL_MS = 30_000;
 const TYPES_RETRY_MS = 1500;
 
-/** Polls the cloud for its machine types and for the list of machines. */
+/** Polls the cloud for its machine types and its list of machines. */
 export class CloudPoller {
-  private polling: readonly PeriodicTask[] = [];
+  private pollTasks: readonly PeriodicTask[] = [];
 
   constructor(
     private readonly context: ControllerContext,
@@ -22,17 +22,17 @@
 
   start(): void {
     const { clock } = this.context;
-    this.polling = [
+    this.pollTasks = [
       startPacedTask(clock, () => this.pollTypes()),
       startPacedTask(clock, () => this.pollMachines()),
     ];
   }
 
   stop(): void {
-    for (const task of this.polling) task.stop();
+    for (const task of this.pollTasks) task.stop();
   }
 
-  /** Returns after how many milliseconds to poll again, as `pollMachines` does. */
+  /** Polls the machine types. Like `pollMachines`, returns the delay until the next poll, in milliseconds. */
   private async pollTypes(): Promise<number> {
     try {
       this.context.catalog.set(await this.context.cloud.types());
@@ -41,19 +41,22 @@
       return TYPES_INTERVAL_MS;
     } catch (error) {
       this.context.log.debug({ err: error }, 'machine type poll failed');
-      this.recallTypes();
+      this.restoreStoredTypes();
       return TYPES_RETRY_MS;
     }
   }
 
-  /** A node that starts while the cloud does not answer decides by what the cloud last said. */
-  private recallTypes(): void {
+  /** Uses the stored machine types on a node that started while the cloud does not answer. */
+  private restoreStoredTypes(): void {
     if (this.context.catalog.known) return;
     const stored = this.stateCache.entries.get(KEYS.machineTypes);
     if (stored && Array.isArray(stored.value)) this.context.catalog.set(stored.value);
   }
 
-  /** The leader stores the types for nodes that start while the cloud does not answer, unless they are stored already. */
+  /**
+   * Stores the types, on the leader, for nodes that start while the cloud does not answer. Does nothing when types
+   * are already stored, or when they are too large for the key-value store.
+   */
   private async storeTypes(): Promise<void> {
     if (!this.ownership.leader) return;
     const types = this.context.catalog.all().map(([, type]) => type);
@@ -78,7 +81,8 @@
     } catch (error) {
       this.context.log.debug({ err: error }, 'machine list poll failed');
     }
-    // The leader looks for machines that no record names; for the others the list only confirms what heartbeats show.
+    // The leader needs the list to find machines without a record. For other nodes it only confirms what heartbeats
+    // show.
     return this.ownership.leader ? LIST_INTERVAL_MS : FOLLOWER_LIST_INTERVAL_MS;
   }
 }
--- a/src/controller/clusterstatecache.ts
+++ b/src/controller/clusterstatecache.ts
@@ -7,15 +7,15 @@
 const RETRY_MS = 300;
 
 /**
- * A copy of the keys under a prefix. It lags behind the key-value store, so it serves as a hint: whatever safety
- * depends on is a condition of a transaction.
+ * A cache of the keys under a prefix. It lags behind the key-value store and is only a hint: every check that safety
+ * depends on is a condition of a transaction instead.
  */
 export class ClusterStateCache {
-  /** The copy, by key. */
+  /** The cached entries, by key. */
   readonly entries = new Map<string, Entry>();
-  /** Whether all keys have been read; changes may be missing since then. */
+  /** Whether all keys have been read once; changes made since then may be missing. */
   isLoaded = false;
-  /** All changes up to this revision are in the copy. */
+  /** The revision up to which the cache includes all changes. */
   revision = 0;
 
   constructor(
@@ -26,7 +26,7 @@
     private readonly onChange: (key: string, entry: Entry | null) => void,
   ) {}
 
-  /** Loads the copy and keeps it up to date, for as long as the process runs. */
+  /** Loads the cache and keeps it up to date for the lifetime of the process. */
   async run(): Promise<never> {
     for (;;) {
       try {
@@ -37,22 +37,23 @@
           continue;
         }
         for (const change of result.changes) {
-          // A copy of what is known already, by way of another source.
+          // Skips a duplicate of a change that another source has already delivered.
           if (change.version <= this.revision) continue;
           if ('gone' in change) this.remove(change.key, change.version);
           else this.apply({ key: change.key, value: change.value, version: change.version });
         }
-        // Only with changes: an empty answer whose time was over while this node was refused says nothing of what it missed.
+        // Only an answer with changes advances the revision: an empty one from a watch that timed out while this node
+        // was being refused does not include the changes that the node missed.
         if (result.changes.length === 0) continue;
         this.revision = Math.max(this.revision, result.revision);
       } catch (error) {
-        this.log.debug({ err: error }, 'state watch failed');
+        this.log.debug({ err: error }, 'cluster state watch failed; retrying');
         await pause(this.clock, RETRY_MS);
       }
     }
   }
 
-  /** Takes a change: of the watch, or one that this node made itself, before the watch shows it. */
+  /** Applies a change from the watch, or one made by this node itself before the watch delivers it. */
   apply(entry: Entry): void {
     const before = this.entries.get(entry.key);
     if (before && before.version >= entry.version) return;
@@ -60,7 +61,7 @@
     this.onChange(entry.key, entry);
   }
 
-  /** Takes a deletion at a version: of the watch, or this node's own. */
+  /** Applies a deletion at a version, from the watch or made by this node itself. */
   remove(key: string, version: number): void {
     const before = this.entries.get(key);
     if (!before || before.version > version) return;
--- a/src/controller/controllernode.ts
+++ b/src/controller/controllernode.ts
@@ -1,4 +1,5 @@
-// This package: who owns what: members, claims, leader, routing, stored requests.
+// This package decides which node owns which shard. It contains membership, claims, the leader, request routing and
+// stored requests.
 
 import { nodeLease } from '../config/bounds.js';
 import { regionOfNode } from '../config/settings.js';
@@ -30,11 +31,14 @@
 
 const MAX_REMOVED_MACHINES = 2000;
 
-/** One controller: the shards it owns, the leadership when it has it, and the way to everybody else's. Wiring only. */
+/**
+ * One controller node: the shards that it owns, its leadership while it is the leader, and access to the shards of
+ * other nodes. This class only connects the components.
+ */
 export class ControllerNode {
   readonly membership: Membership;
   private readonly peers = new PeerConnections();
-  /** The shards that this node owns; `ownership` fills and empties it. */
+  /** Shards that this node owns; modified by `ownership`. */
   private readonly shards = new Map<number, Shard>();
   private readonly storedRequests: StoredRequests;
   private readonly ownerClient: OwnerClient;
@@ -49,7 +53,7 @@
 
   constructor(
     private readonly context: ControllerContext,
-    /** For a node that has standbys for its shards, and stands by for others'; loaded only there. */
+    /** Class of the standby coordinator, loaded only on nodes where standbys are enabled. */
     private readonly standbys: typeof StandbyCoordinator | null = null,
   ) {
     const { peers, shards } = this;
@@ -138,7 +142,7 @@
     });
   }
 
-  /** Joins the cluster and begins to own shards; resolves when the node has its lease. */
+  /** Joins the cluster and starts to own shards; resolves when the node has acquired its lease. */
   async start(mesh: Mesh): Promise<void> {
     this.peers.connect(mesh);
     if (this.standbys) this.ownership.enableStandbys(this.createStandbyCoordinator(this.standbys, mesh));
@@ -151,14 +155,17 @@
     this.ownership.start();
   }
 
-  /** A planned end: whoever is next need not wait for the lease to run out. */
+  /** Shuts down as planned, so that the next owners need not wait for the lease to expire. */
   async leave(): Promise<void> {
     this.leaving = true;
     await this.ownership.leave();
     await this.membership.leave();
   }
 
-  /** Whether this node can answer users: it has a copy of the cluster's state and knows the machine types. */
+  /**
+   * Whether this node can answer users: it is not leaving, has loaded the cluster's state, and knows the machine
+   * types.
+   */
   get healthy(): boolean {
     return !this.leaving && this.membership.stateCache.isLoaded && this.context.catalog.known;
   }
@@ -170,11 +177,11 @@
     if (key.startsWith(KEYS.machines)) {
       const id = key.slice(KEYS.machines.length);
       for (const shard of this.shards.values()) shard.onMachineRecord(id, entry);
-      if (!entry) this.rememberRemovedMachine(id);
+      if (!entry) this.recordRemovedMachine(id);
     }
   }
 
-  private rememberRemovedMachine(id: string): void {
+  private recordRemovedMachine(id: string): void {
     const { removedMachines, clock } = this.context;
     removedMachines.set(id, clock.now());
     if (removedMachines.size > MAX_REMOVED_MACHINES)
@@ -183,23 +190,30 @@
 
   // --- between the nodes
 
-  /** Answers a message of another controller, `from`; throws a typed error where it cannot be served. */
+  /** Answers a message from the controller `from`; throws a typed error when the message cannot be served. */
   serve(op: string, args: unknown, from = ''): Promise<unknown> {
     return this.peerHandlers.serve(op, args, from);
   }
 
-  /** Answers a request that came by way of the key-value store; null when its shard is not this node's. */
+  /**
+   * Answers a request sent through the key-value store; null when this node does not serve its shard or the operation
+   * is not storable.
+   */
   private serveStored(shard: number, op: string, args: object): Promise<unknown> | null {
     const isServed = this.shards.get(shard)?.ready && STORABLE_OPERATIONS.has(op);
     return isServed ? this.serve(op, { ...args, shard }) : null;
   }
 
-  /** Adds the answers of an optional part of this node to the same part of others. */
+  /**
+   * Registers the handler of messages to an optional component of this node from the same component of other nodes.
+   */
   addExtension(op: string, extension: PeerExtension): void {
     this.peerHandlers.extensions.set(op, extension);
   }
 
-  /** Sends a request to the same part of another node; throws `UnavailableError` before this node has started. */
+  /**
+   * Sends a request of an optional component to another node; throws `UnavailableError` before this node has started.
+   */
   requestNode(node: string, op: string, args: object, timeoutMs: number): Promise<unknown> {
     const { mesh } = this.peers;
     if (!mesh) throw new UnavailableError('not connected yet');
@@ -208,12 +222,12 @@
 
   // --- users
 
-  /** Where a job is, or how it ended; null only when the key-value store has never heard of it. */
+  /** Returns the shard of a job, or its final status; null only when the key-value store has no record of the job. */
   locate(id: string): Promise<JobEntry | null> {
     return this.routing.locate(id);
   }
 
-  /** A job that is not over and that this node owns. */
+  /** Returns an unfinished job of a shard that this node owns; undefined when there is none with this id. */
   job(id: string): Job | undefined {
     for (const shard of this.shards.values()) {
       const job = shard.job(id);
@@ -227,22 +241,22 @@
     return this.routing.submit(spec);
   }
 
-  /** The status of a job; null when there never was one with this id. */
+  /** Returns the status of a job; null when no job with this id ever existed. */
   status(id: string): Promise<StatusAnswer | null> {
     return this.routing.status(id);
   }
 
-  /** Cancels a job; how it ended, or null when there never was one with this id. */
+  /** Cancels a job. Returns its final status, or null when no job with this id ever existed. */
   cancel(id: string): Promise<'done' | 'cancelled' | null> {
     return this.routing.cancel(id);
   }
 
-  /** Unfinished jobs of all shards, a page of them. */
+  /** Returns a page of unfinished jobs of all shards. */
   list(under: string, after: string): Promise<{ jobs: ListedJob[]; more: boolean }> {
     return this.routing.list(under, after);
   }
 
-  /** Whether every node serves jobs with match expressions. */
+  /** Whether every node supports jobs with match expressions. */
   get allSupportMatching(): boolean {
     return this.ownerClient.allSupportMatching;
   }
--- a/src/controller/cordoning.ts
+++ b/src/controller/cordoning.ts
@@ -8,19 +8,25 @@
 import type { WorkerConnectivity } from './workerconnectivity.js';
 import { canReachWorkers, PROBE_TIMEOUT_MS } from './workerprobe.js';
 
-/** How many machines reported here within a worker's lease, and how many of them as regularly as they should. */
+/**
+ * Number of machines whose last heartbeat to this node is within a worker's lease, and of those among them that are
+ * on time.
+ */
 export interface HeartbeatCounts {
   readonly recent: number;
   readonly current: number;
 }
 
-/** Of a machine, what is known of its heartbeats; times in steady milliseconds. */
+/** Last heartbeat and lease state of a machine; times in milliseconds of the monotonic clock. */
 interface HeartbeatAge {
   readonly lastHeartbeatAt: number | null;
   readonly leaseExpired: boolean;
 }
 
-/** Counts machines whose last heartbeat is not older than `recentMs`, and those of them with one within `currentMs`. */
+/**
+ * Counts machines whose last heartbeat is not older than `recentMs`, and those among them whose last heartbeat is
+ * younger than `currentMs`. Machines whose lease has expired are not counted.
+ */
 export function countHeartbeats(
   machines: Iterable<HeartbeatAge>,
   now: number,
@@ -42,7 +48,7 @@
   for (const shard of owned.shards.values()) yield* shard.registry.machines.values();
 }
 
-/** What cordoning a node involves. */
+/** Dependencies of `Cordoning`. */
 export interface CordoningOptions {
   readonly context: ControllerContext;
   readonly members: Membership;
@@ -52,13 +58,18 @@
   readonly connectivity: WorkerConnectivity;
 }
 
-/** A node that the workers cannot reach leaves its shards to others, and comes back when it reaches workers again. */
+/**
+ * Cordons this node, which leaves its shards to other nodes, while the workers cannot reach it, and uncordons it
+ * afterwards.
+ */
 export class Cordoning {
   private probing = false;
 
   constructor(private readonly options: CordoningOptions) {}
 
-  /** Cordons the node when it is cut off from the workers; probes whether it reaches them again when it is cordoned. */
+  /**
+   * Cordons the node when it is cut off from the workers. On a cordoned node, probes whether it reaches them again.
+   */
   reconcile(): void {
     const { connectivity } = this.options;
     if (connectivity.cordoned) {
--- a/src/controller/handover.ts
+++ b/src/controller/handover.ts
@@ -8,7 +8,7 @@
 import type { OwnerKeys } from './ownerkeys.js';
 import { isCutOffFromStateStore, STATE_STORE_CUT_OFF_MS } from './shardownership.js';
 
-/** What a handover involves on this node. */
+/** Dependencies of `Handovers`. */
 export interface HandoverOptions {
   readonly context: ControllerContext;
   readonly members: Membership;
@@ -17,13 +17,14 @@
   readonly incoming: IncomingHandovers;
 }
 
-/** Handovers of shards to a standby that is in sync (docs/standby.md, "Switches"): by this node, and to it. */
+/** Handovers of shards to an in-sync standby, from this node and to it (docs/standby.md, "Switches"). */
 export class Handovers {
   constructor(private readonly options: HandoverOptions) {}
 
   /**
-   * Hands a shard over to its standby in sync: this node ends it first, for good, and redirects users and machines at
-   * once. True when the standby has it; else the key is given up, as without a standby.
+   * Hands over a shard to its in-sync standby. This node first stops owning the shard permanently, and redirects
+   * users and machines immediately. Returns true when the standby has taken over. When it has not, the owner key is
+   * released, as for a shard without a standby. Returns false without stopping when no successor is available.
    */
   async handOver(shard: Shard, why: string): Promise<boolean> {
     const { members, owned, keys, context } = this.options;
@@ -32,10 +33,12 @@
     const successor = to === null ? null : members.presenceOf(to);
     if (!replicator || !successor) return false;
     context.log.info({ shard: shard.index, to, why }, 'shard handover started');
-    return keys.during(KEYS.owner(shard.index), () => this.switchTo(successor, shard, replicator));
+    return keys.withKeyInFlight(KEYS.owner(shard.index), () =>
+      this.switchOwner(successor, shard, replicator),
+    );
   }
 
-  private async switchTo(
+  private async switchOwner(
     successor: LeaseHolder,
     shard: Shard,
     replicator: StandbyReplicator,
@@ -54,7 +57,7 @@
     return false;
   }
 
-  /** Hands over the shards whose standby still reaches the key-value store while this node does not. */
+  /** Hands over each shard whose standby still reaches the key-value store while this node does not. */
   handOverIfCutOff(): void {
     const { members, owned } = this.options;
     const { renewalFailingMs } = members;
@@ -66,7 +69,7 @@
     }
   }
 
-  /** The owner of a shard hands it over to this node; true when this node has it. `message` is read by the replica. */
+  /** Accepts a shard from its owner. Returns true when this node has taken over. The replica parses `message`. */
   async accept(shard: number, message: unknown): Promise<boolean> {
     this.options.incoming.add(shard);
     return (await this.options.owned.standbyCoordinator?.replicas.onHandover(message)) ?? false;
--- a/src/controller/heartbeatrouting.ts
+++ b/src/controller/heartbeatrouting.ts
@@ -7,15 +7,17 @@
 import type { PeerConnections } from './peerconnections.js';
 import { PEER_OPS } from './peeroperations.js';
 
-/** What a worker gets in answer to a heartbeat. */
+/** The answer to a worker's heartbeat. */
 export type HeartbeatResult =
   | { readonly kind: 'orders'; readonly body: object }
-  /** The worker is to report to another node, the owner of its machine's shard. */
+  /** The worker has to send its heartbeats to another node, the owner of its machine's shard. */
   | { readonly kind: 'redirect'; readonly node: string | null }
-  /** Nobody can answer it now; `known` when the machine is one of the cluster's. */
+  /** The heartbeat cannot be answered now; `known` says whether the machine belongs to the cluster. */
   | { readonly kind: 'busy'; readonly known: boolean };
 
-/** Takes workers' heartbeats to the shard of their machine: here, or by redirecting them to its owner. */
+/**
+ * Routes workers' heartbeats to the shard of their machine: on this node, or by redirecting the worker to its owner.
+ */
 export class HeartbeatRouter {
   constructor(
     private readonly context: ControllerContext,
@@ -24,7 +26,7 @@
     private readonly peers: PeerConnections,
   ) {}
 
-  /** Answers a heartbeat; those of machines that no record names are reported to the leader. */
+  /** Answers a heartbeat, and reports machines without a record to the leader. */
   onHeartbeat(heartbeat: Heartbeat): HeartbeatResult {
     for (const shard of this.ownership.shards.values()) {
       const machine = shard.registry.machines.get(heartbeat.machine);
@@ -42,8 +44,9 @@
 
   private redirect(machine: string, shard: number): HeartbeatResult {
     const owner = this.members.owner(shard);
-    // A node without its lease has lost touch with the key-value store. Whom it takes for the owner may be the one that was
-    // cut off together with it: each sent machines to the other, and none to the new owner, until their leases ran out.
+    // A node without its lease has lost contact with the key-value store, and the owner that it knows may be one that
+    // was cut off together with it. Two such nodes redirected machines to each other, and none to the new owner,
+    // until the machines' leases expired.
     if (
       !owner ||
       owner.node === this.context.settings.node ||
--- a/src/controller/incominghandovers.ts
+++ b/src/controller/incominghandovers.ts
@@ -1,13 +1,13 @@
 import { type Clock, pause } from '../clock/clock.js';
 import type { Shard } from '../scheduler/shard.js';
 
-/** Requests for a shard that is being handed over to this node wait no longer than this. */
+/** Maximum time for which a request waits for a shard that is being handed over to this node. */
 const HANDOVER_WAIT_MS = 500;
 const HANDOVER_POLL_MS = 20;
-/** A handover that has not ended after this is no longer waited for. */
+/** Time after which requests no longer wait for a handover that has not finished. */
 const INCOMING_HANDOVER_VALID_MS = HANDOVER_WAIT_MS * 4;
 
-/** Shards that another node is handing over to this one at this moment. */
+/** The shards that other nodes are currently handing over to this node. */
 export class IncomingHandovers {
   private readonly shards = new Set<number>();
 
@@ -17,13 +17,13 @@
     private readonly owned: ReadonlyMap<number, Shard>,
   ) {}
 
-  /** The owner of a shard has begun to hand it over. */
+  /** Records that the owner of a shard has started to hand it over. */
   add(shard: number): void {
     this.shards.add(shard);
     this.clock.after(INCOMING_HANDOVER_VALID_MS, () => this.shards.delete(shard));
   }
 
-  /** Lets a request wait until a shard that is being handed over is ready here, for half a second at most. */
+  /** Waits until a shard that is being handed over is ready on this node, for 500 ms at most. */
   async wait(shard: number): Promise<void> {
     const until = this.clock.now() + HANDOVER_WAIT_MS;
     const isPending = () => this.shards.has(shard) && !this.owned.get(shard)?.ready;
--- a/src/controller/leader.ts
+++ b/src/controller/leader.ts
@@ -9,34 +9,35 @@
 
 const LEADER_INTERVAL_MS = 250;
 
-/** What the leader needs of the node that it is part of. */
+/** Functions of the node that the leader uses. */
 export interface LeaderHooks extends TransferHooks {
-  /** Whether this node's lease surely lasts. */
+  /** Whether this node's lease is guaranteed to be valid. */
   holdsLease(): boolean;
-  /** Whether every node understands what the first version did not. */
+  /** Whether every node supports the latest protocol version. */
   allSupportLatest(): boolean;
 }
 
-/** What one leadership, under its term, is made with. */
+/** Dependencies of a `Leader`, which acts under one term. */
 export interface LeaderOptions {
   readonly context: ControllerContext;
-  /** Version of the leader key: what the leader writes holds only while the key is at it. */
+  /** Version of the leader key. The leader's writes are conditional on the key still being at this version. */
   readonly term: number;
   readonly stateCache: ClusterStateCache;
   readonly hooks: LeaderHooks;
-  /** Zone of the node that a shard is at home on. */
+  /** Returns the zone of a shard's home node. */
   zoneOf(shard: number): string;
 }
 
 /**
- * The leader's work: it assigns teams and unregistered machines to the shards, and has machines moved to where tasks wait.
- * What it decides is only ever a request that may be refused or a conditional write, so two leaders at once do no harm.
+ * Performs the leader's work: assigns teams and unregistered machines to shards, and rebalances machines towards
+ * shards with waiting tasks. Every decision is either a request that its receiver may refuse or a conditional write,
+ * so two leaders at the same time do no harm.
  */
 export class Leader {
   private readonly teams: TeamAssigner;
   private readonly machines: MachineAssigner;
   private readonly rebalancer: MachineRebalancer;
-  private leading: PeriodicTask | null = null;
+  private task: PeriodicTask | null = null;
 
   constructor(private readonly options: LeaderOptions) {
     const { context, term, stateCache, hooks } = options;
@@ -60,34 +61,34 @@
     });
   }
 
-  /** Begins to lead, under a term. */
+  /** Starts the leader's periodic work. */
   start(): void {
     const { context, term } = this.options;
     context.log.info({ term }, 'became leader');
-    this.leading = startPeriodicTask(context.clock, LEADER_INTERVAL_MS, () => this.lead());
+    this.task = startPeriodicTask(context.clock, LEADER_INTERVAL_MS, () => this.runPass());
   }
 
-  /** Leads no more; what is under way ends by its conditions. */
+  /** Stops the periodic work. Writes already sent are decided by their conditions. */
   stop(): void {
-    this.leading?.stop();
+    this.task?.stop();
   }
 
-  /** An owner has reported its shard's status. */
+  /** Handles a status that an owner has reported for its shard. */
   onShardStatus(status: ShardStatus): void {
     this.rebalancer.onShardStatus(status);
   }
 
-  /** A machine that no record names has reported. */
+  /** Handles a heartbeat of a machine that has no record. */
   onUnregisteredMachine(machine: UnregisteredMachine): void {
     this.machines.onUnregisteredMachine(machine);
   }
 
-  /** The cloud has listed its machines. */
+  /** Handles a new list of machines from the cloud. */
   onMachineList(machines: readonly ListedMachine[]): void {
     this.machines.onMachineList(machines);
   }
 
-  private lead(): void {
+  private runPass(): void {
     if (!this.options.hooks.holdsLease() || !this.options.stateCache.isLoaded) return;
     void this.teams.assign();
     void this.machines.assign();
--- a/src/controller/leaderelection.ts
+++ b/src/controller/leaderelection.ts
@@ -1,38 +1,43 @@
 /**
- * Which node leads: decisions only, pure functions. `ownership.ts` takes them every 200 ms and carries their actions out.
- * Two leaders at once do no harm (`leader.ts`), so nothing here is needed for safety.
+ * Decides which node leads: pure functions, which `ownership.ts` evaluates every 200 ms and whose actions it
+ * executes. Two leaders at the same time do no harm (see `leader.ts`), so safety does not depend on these decisions.
  */
 
-/** For each node before this one in the order of claims, a leadership that nobody holds is left alone for so long. */
+/** Delay before this node claims a vacant leadership, for each node before it in the claim order. */
 export const LEADER_CLAIM_DELAY_PER_NODE_MS = 300;
 
-/** What this node knows of the leadership. */
+/** This node's view of the leadership. */
 export interface LeadershipState {
-  /** The leader key: its version, which is the term, and whether it hangs on this node's present lease; null when nobody holds it. */
+  /**
+   * The leader key: its version, which is the term, and whether it is attached to this node's current lease; null
+   * when no node holds it.
+   */
   readonly leaderKey: { readonly term: number; readonly heldHere: boolean } | null;
-  /** Whether this node leads now. */
+  /** Whether this node is acting as the leader. */
   readonly leading: boolean;
-  /** A claim of the key has been sent and is not answered yet. */
+  /** Whether a claim of the key has been sent and not answered yet. */
   readonly claimInFlight: boolean;
-  /** Since when nobody has held the key, in steady milliseconds; null while somebody does. */
+  /**
+   * Time on the monotonic clock, in milliseconds, since which no node has held the key; null while a node holds it.
+   */
   readonly vacantSince: number | null;
-  /** This node's place in the order of claims, from 0. */
+  /** This node's position in the claim order, from 0. */
   readonly nodeIndex: number;
 }
 
-/** What this node does about the leadership. */
+/** An action of this node on the leadership. */
 export type LeadershipAction =
   | { readonly kind: 'resign' }
   | { readonly kind: 'lead'; readonly term: number }
   | { readonly kind: 'claim' };
 
-/** Actions in the order in which they are carried out. */
+/** Actions in the order in which they are executed, and the new value of `vacantSince`. */
 export interface LeadershipDecision {
   readonly actions: readonly LeadershipAction[];
   readonly vacantSince: number | null;
 }
 
-/** What this node does about the leadership now, in steady milliseconds. */
+/** Decides the actions of this node on the leadership at the time `now`, in milliseconds of the monotonic clock. */
 export function decideLeadership(state: LeadershipState, now: number): LeadershipDecision {
   const { leaderKey, leading } = state;
   if (leaderKey) {
--- a/src/controller/leasekeeper.ts
+++ b/src/controller/leasekeeper.ts
@@ -5,61 +5,67 @@
 import type { StateStore } from '../state/statestore.js';
 import type { NodeIdentity, Presence } from './presence.js';
 
-/** Shares of the lease: how often a node renews it, and how long it waits for the answer. */
+/** Renewal interval and renewal time-out, as fractions of the lease duration. */
 const RENEW_INTERVAL_SHARE = 1 / 4;
 const RENEW_TIMEOUT_SHARE = 3 / 16;
 const RETRY_MS = 400;
-/** Beside drift, for clocks that are read in steps. */
+/** Safety margin in addition to clock drift, for clocks of coarse resolution. */
 const LEASE_MARGIN_MS = 150;
 
-/** Clients and settings of the lease. */
+/** Dependencies and settings of `LeaseKeeper`. */
 export interface LeaseKeeperOptions {
   readonly clock: Clock;
   readonly store: StateStore;
   readonly log: Log;
   readonly identity: NodeIdentity;
   readonly presence: Presence;
-  /** How long the lease lasts after each renewal, in milliseconds. */
+  /** Duration of the lease after each renewal, in milliseconds. */
   readonly leaseMs: number;
-  /** Called when the lease is lost; everything that hung on it is then lost as well. */
+  /** Called when the lease is lost; all keys attached to it are then lost as well. */
   onLeaseLost(): void;
 }
 
-/** This node's lease in the key-value store: joined with, renewed, and for how long it surely lasts. */
+/**
+ * Acquires and renews this node's lease in the key-value store, and tracks until when the lease is guaranteed to be
+ * valid.
+ */
 export class LeaseKeeper {
   private currentLeaseId: number | null = null;
   private validUntil = Number.NEGATIVE_INFINITY;
   private renewedAt = Number.NEGATIVE_INFINITY;
   private renewalFailingSince: number | null = null;
-  private left = false;
-  private renewing: PeriodicTask | null = null;
+  private hasLeft = false;
+  private renewalTask: PeriodicTask | null = null;
 
   constructor(private readonly options: LeaseKeeperOptions) {}
 
-  /** The lease that this node has joined with; null without one. It may have ended: see `holdsLease`. */
+  /**
+   * Id of the lease under which this node joined; null when there is none. The lease may have expired: see
+   * `holdsLease`.
+   */
   get leaseId(): number | null {
     return this.currentLeaseId;
   }
 
-  /** True while the lease surely lasts, counted from when its renewal was sent. */
+  /** Whether the lease is guaranteed to be valid, counted from when its last answered renewal was sent. */
   get holdsLease(): boolean {
     return this.currentLeaseId !== null && this.options.clock.now() < this.validUntil;
   }
 
-  /** True while this very lease surely lasts. */
+  /** Whether the lease with this id is the current one and guaranteed to be valid. */
   holdsLeaseId(lease: number): boolean {
     return this.currentLeaseId === lease && this.holdsLease;
   }
 
-  /** How this node shows itself in the keys that it holds. */
+  /** The value that identifies this node in the keys that it holds. */
   get holder(): LeaseHolder {
     const { node, incarnation } = this.options.identity;
     return { node, incarnation, leaseId: this.currentLeaseId ?? 0 };
   }
 
   /**
-   * Whether a key is this node's by the lease that it has now. A key that hung on an earlier lease is lost even while
-   * this node's copy still shows it: the node must not act on it under its new lease.
+   * Returns whether a key is held by this node under its current lease. A key that was attached to an earlier lease
+   * is lost even while this node's cache still shows it, so the node must not act on it under its new lease.
    */
   isHeldHere(value: unknown): boolean {
     const holder = readLeaseHolder(value);
@@ -71,17 +77,17 @@
     );
   }
 
-  /** How long ago a renewal of the lease was sent that the key-value store has answered, in milliseconds. */
+  /** Time since the last answered renewal or grant of the lease was sent, in milliseconds. */
   get renewedAgoMs(): number {
     return this.options.clock.now() - this.renewedAt;
   }
 
-  /** For how long no renewal has been answered, in milliseconds; 0 while they are. */
+  /** Time for which renewals have been failing, in milliseconds; 0 when the last one succeeded. */
   get renewalFailingMs(): number {
     return this.renewalFailingSince === null ? 0 : this.options.clock.now() - this.renewalFailingSince;
   }
 
-  /** Joins, however often it has to be tried, and keeps the lease renewed from then on. */
+  /** Joins the cluster, retrying until it succeeds, and then keeps the lease renewed. */
   async start(): Promise<void> {
     const { clock, log, presence } = this.options;
     for (;;) {
@@ -95,7 +101,7 @@
       }
     }
     clock.after(this.renewIntervalMs, () => {
-      if (!this.left) this.renewing = startPacedTask(clock, () => this.renew());
+      if (!this.hasLeft) this.renewalTask = startPacedTask(clock, () => this.renew());
     });
   }
 
@@ -119,7 +125,7 @@
     this.renewalFailingSince = null;
   }
 
-  /** Renews the lease, or joins anew without one; returns after how many milliseconds to do so again. */
+  /** Renews the lease, or joins again when there is none. Returns the delay until the next call, in milliseconds. */
   private async renew(): Promise<number> {
     const { clock, store, log, leaseMs } = this.options;
     const startedAt = clock.now();
@@ -144,7 +150,7 @@
   }
 
   private onLost(): void {
-    this.options.log.info('lease lost');
+    this.options.log.info('lease lost; stopping all owned shards');
     this.drop();
     this.options.onLeaseLost();
   }
@@ -154,7 +160,10 @@
     this.validUntil = Number.NEGATIVE_INFINITY;
   }
 
-  /** Beside the renewals: a write that waits for its answer must not keep the lease from its next renewal. */
+  /**
+   * Publishes the presence again if it is out of date. Runs concurrently with the renewals, because a write that
+   * waits for its answer must not delay the next renewal of the lease.
+   */
   private republishPresence(): void {
     const { log, presence } = this.options;
     if (presence.isPublished || this.currentLeaseId === null) return;
@@ -164,19 +173,19 @@
   }
 
   /**
-   * Shows the others whether this node takes shards; what cannot be written now is written with a later renewal of the
-   * lease. Throws `StateStoreError` when it is not known to be written.
+   * Publishes to the other nodes whether this node is cordoned. A write that fails is retried with a later renewal of
+   * the lease. Throws `StateStoreError` when the write is not confirmed.
    */
   async publishCordoned(cordoned: boolean): Promise<void> {
     this.options.presence.setCordoned(cordoned);
     if (this.currentLeaseId !== null) await this.options.presence.publish(this.currentLeaseId);
   }
 
-  /** Gives up the lease and all that hangs on it, for good. */
+  /** Revokes the lease and with it all keys attached to it, permanently. */
   async leave(): Promise<void> {
     const lease = this.currentLeaseId;
-    this.left = true;
-    this.renewing?.stop();
+    this.hasLeft = true;
+    this.renewalTask?.stop();
     this.drop();
     if (lease !== null) await this.options.store.revoke(lease);
   }
--- a/src/controller/machineassignment.ts
+++ b/src/controller/machineassignment.ts
@@ -8,53 +8,60 @@
 import { MachineCounts, machineRecords } from './machinecounts.js';
 import { teamWeight } from './teamassignment.js';
 
-/** Machines assigned in one transaction; together with their conditions they stay well below the largest request. */
+/** Maximum number of machines assigned in one transaction, which keeps it well below the largest allowed request. */
 const MAX_MACHINES_PER_TRANSACTION = 24;
 const MIN_MACHINES_PER_PASS = 12;
-/** A machine just rented may report before its owner has recorded it; one still booting is its renter's to record. */
+/**
+ * Delays before an unregistered machine is assigned, after its first heartbeat and while it is booting. A machine
+ * just rented may send heartbeats before its owner has recorded it, and a booting machine is to be recorded by the
+ * shard that rented it.
+ */
 const HEARTBEAT_GRACE_MS = 400;
 const BOOTING_GRACE_MS = 8000;
-/** Machines that the cloud does not list are asked whether they are there: so many at once, no longer than this each. */
+/** Limits of the probes of machines that the cloud does not list: concurrent probes, and the time-out of each. */
 const MAX_CONCURRENT_PROBES = 16;
 const PROBE_TIMEOUT_MS = 1500;
-/** The cloud's list still shows a machine that was given back for so many times its usual lag, and for half a minute at least. */
+/**
+ * The cloud's list may still contain a released machine for this many times its usual lag, and for at least
+ * `MIN_LIST_LAG_MS`.
+ */
 const LIST_LAG_FACTOR = 5;
 const MIN_LIST_LAG_MS = 30_000;
-/** What a shard without teams counts when machines are assigned. */
+/** Weight of a shard without teams in the assignment of machines. */
 const MIN_SHARD_WEIGHT = 0.01;
 
-/** What a machine that no record names says of itself. */
+/** A machine without a record, as described by its heartbeat or by the cloud's list. */
 export interface UnregisteredMachine {
   readonly id: string;
   readonly addr: string;
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** How long it has been rented, in seconds. */
+  /** Time since the machine was rented, in seconds. */
   readonly ageS: number;
 }
 
-/** An unregistered machine: whether it has reported, and whether it has shown that it is there. */
+/** An unregistered machine, whether it has sent a heartbeat, and whether it has been confirmed to exist. */
 interface PendingMachine {
   readonly machine: UnregisteredMachine;
-  /** In steady milliseconds; counted anew from its first report. */
+  /** Monotonic time in milliseconds at which the machine became known; reset at its first heartbeat. */
   knownSince: number;
   reported: boolean;
   confirmed?: boolean;
   probing?: boolean;
 }
 
-/** What the assignment of machines reads and writes. */
+/** Dependencies of `MachineAssigner`. */
 export interface MachineAssignerOptions {
   readonly context: ControllerContext;
-  /** The leader's term: what it writes holds only under this. */
+  /** The leader's term; writes are conditional on it. */
   readonly term: number;
   readonly stateCache: ClusterStateCache;
-  /** Zone of the node that a shard is at home on. */
+  /** Returns the zone of a shard's home node. */
   zoneOf(shard: number): string;
 }
 
-/** The leader's part for machines that no record names: assigns each to a shard, when it is sure to be there. */
+/** Assigns machines without a record to shards, on the leader, once each machine is confirmed to exist. */
 export class MachineAssigner {
   private readonly pending = new Map<string, PendingMachine>();
   private probesInFlight = 0;
@@ -62,15 +69,15 @@
 
   constructor(private readonly options: MachineAssignerOptions) {}
 
-  /** How many machines are known that no record names. */
+  /** Number of known machines without a record. */
   get pendingCount(): number {
     return this.pending.size;
   }
 
-  /** A machine that no record names has reported. */
+  /** Handles a heartbeat of a machine without a record. */
   onUnregisteredMachine(machine: UnregisteredMachine): void {
     const { removedMachines, clock } = this.options.context;
-    // A copy of its report that comes late: a name that was given back is never used again.
+    // A late duplicate of a heartbeat: the id of a released machine is never reused.
     if (removedMachines.has(machine.id)) return;
     const known = this.pending.get(machine.id);
     if (known) {
@@ -79,7 +86,7 @@
     } else this.pending.set(machine.id, { machine, knownSince: clock.now(), reported: true });
   }
 
-  /** The cloud has listed its machines. */
+  /** Handles a new list of machines from the cloud. */
   onMachineList(machines: readonly ListedMachine[]): void {
     const { removedMachines, clock, settings } = this.options.context;
     const now = clock.now();
@@ -87,7 +94,7 @@
     const listed = new Set(machines.map((m) => m.id));
     for (const machine of machines) {
       const { id, state } = machine;
-      // The list is late: it still shows machines that have just been given back.
+      // The list lags behind, and still contains machines that have just been released.
       if ((removedMachines.get(id) ?? Number.NEGATIVE_INFINITY) > now - lagMs) continue;
       if (state === 'failed' || this.isRegistered(id) || this.pending.has(id)) continue;
       this.pending.set(id, { machine: { ...machine }, knownSince: now, reported: state === 'running' });
@@ -100,7 +107,7 @@
     return this.options.stateCache.entries.has(KEYS.machine(id));
   }
 
-  /** Assigns the machines that are due; one pass at a time. */
+  /** Assigns the machines that are due. Passes do not overlap. */
   async assign(): Promise<void> {
     if (this.assigning) return;
     const due = this.dueMachines();
@@ -133,7 +140,8 @@
     const batchSize = Math.min(MAX_MACHINES_PER_TRANSACTION, context.settings.stateLimits.txnOps);
     const counts = new MachineCounts(context.settings.nodes);
     for (const { shard, type, zone } of machineRecords(stateCache)) counts.add(shard, type, zone);
-    // Where few fit a transaction, several follow each other: machines that are up must not wait for it.
+    // Where only a few machines fit into a transaction, several transactions follow in one pass, so that running
+    // machines need not wait for the next pass.
     for (let i = 0; i < Math.max(MIN_MACHINES_PER_PASS, batchSize); i += batchSize) {
       const batch = due.slice(i, i + batchSize);
       if (batch.length === 0) break;
@@ -153,14 +161,15 @@
     for (const [id, value] of records) {
       const key = KEYS.machine(id);
       if (written.ok) stateCache.apply({ key, value, version: written.revision });
-      // One that failed has a record that this copy does not show yet.
+      // A machine whose condition failed has a record that the cache does not show yet.
       if (written.ok || written.failed.includes(key)) this.pending.delete(id);
     }
   }
 
   /**
-   * Whether an unregistered machine is there: the cloud lists it, or it answers. A report alone does not show that: it may
-   * be a late copy, and the machine long gone, so that its place would be planned with until it counts as never come up.
+   * Returns whether an unregistered machine is confirmed to exist, because the cloud lists it or it answered a probe;
+   * starts a probe if needed. A heartbeat alone is no proof: it may be a late duplicate from a machine that no longer
+   * exists, whose capacity would then stay in the plan until the machine is considered to have failed to boot.
    */
   private isConfirmed(id: string, pending: PendingMachine): boolean {
     if (pending.confirmed || this.options.context.catalog.listedById.has(id)) return true;
@@ -175,10 +184,10 @@
       .request(pending.machine.addr, 'GET', WORKER_PATHS.status, null, PROBE_TIMEOUT_MS)
       .then((answer) => {
         pending.confirmed = readHeartbeat(answer.body)?.machine === id;
-        // Its address is another's by now.
+        // The address now belongs to another machine.
         if (!pending.confirmed) this.pending.delete(id);
       })
-      // It is asked again when it reports again.
+      // The machine is probed again after its next heartbeat.
       .catch(() => this.pending.delete(id))
       .finally(() => {
         pending.probing = false;
@@ -206,7 +215,7 @@
     return shardFor(candidates, unassigned);
   }
 
-  /** What the teams of each shard are guaranteed. */
+  /** Returns the sum of the weights of each shard's teams. */
   private shardWeights(): number[] {
     const { context, stateCache } = this.options;
     const weights = new Array<number>(context.settings.nodes).fill(MIN_SHARD_WEIGHT);
--- a/src/controller/machinecounts.ts
+++ b/src/controller/machinecounts.ts
@@ -3,22 +3,22 @@
 import { KEYS, type MachineRecord } from '../schema/schema.js';
 import type { ClusterStateCache } from './clusterstatecache.js';
 
-/** Beside its even share of all machines, a shard may have this much more of them. */
+/** Factor by which a shard may exceed its even share of all machines. */
 const SHARD_SIZE_MARGIN = 1.1;
 
-/** The records of all machines of the cluster, as the copy of the keys shows them. */
+/** Returns the records of all machines of the cluster from the cache. */
 export function* machineRecords(stateCache: ClusterStateCache): Generator<MachineRecord> {
   for (const [key, entry] of stateCache.entries)
     if (key.startsWith(KEYS.machines)) yield entry.value as MachineRecord;
 }
 
-/** How many machines of each type, and of each type in each zone, every shard has. */
+/** Number of machines of each shard, by type and by type and zone. */
 export class MachineCounts {
   private readonly byKind = new Map<string, number[]>();
 
   constructor(private readonly shards: number) {}
 
-  /** Counts a machine as the shard's. */
+  /** Adds a machine to the counts of a shard. */
   add(shard: number, type: string, zone: string): void {
     for (const kind of [type, `${type} ${zone}`]) {
       let counts = this.byKind.get(kind);
@@ -39,14 +39,17 @@
   }
 }
 
-/** How many machines every shard has. */
+/** Counts the machines of each shard. */
 export function countByShard(stateCache: ClusterStateCache, shards: number): number[] {
   const counts = new Array<number>(shards).fill(0);
   for (const { shard } of machineRecords(stateCache)) if (counts[shard] !== undefined) counts[shard]++;
   return counts;
 }
 
-/** A shard gets no more machines than its owner has connections for, or its share of them when there are too many. */
+/**
+ * Returns the maximum number of machines of a shard: as many as its owner has connections for, or the shard's share
+ * of all machines plus a margin when that is larger.
+ */
 export function maxMachinesPerShard(
   context: ControllerContext,
   counts: readonly number[],
--- a/src/controller/machinerebalancing.ts
+++ b/src/controller/machinerebalancing.ts
@@ -12,42 +12,45 @@
 const DEFAULT_START_OBJECTIVE_S = 120;
 const RESERVE_OBJECTIVE_SHARE = 1;
 
-/** How the leader asks owners of shards for machines; each answers false when it gives none. */
+/** Requests of the leader to owners of shards for machines; each answers false when the owner refuses. */
 export interface TransferHooks {
-  /** The owner of a shard gives an empty machine to another. */
+  /** Asks the owner of a shard to transfer an idle machine to another shard. */
   transferMachine(shard: number, machine: string, to: number): Promise<boolean>;
-  /** The owner of a shard clears a machine for another's more urgent work. */
+  /** Asks the owner of a shard to evict a machine's tasks for another shard's more urgent work. */
   evictForTransfer(shard: number, machine: string, to: number, priority: number): Promise<boolean>;
-  /** The owner of a shard promises a machine whose tasks end soon. */
+  /** Asks the owner of a shard to reserve a machine whose tasks end soon for another shard. */
   reserveForTransfer(shard: number, to: number, need: ResourceDemand, zone: string): Promise<boolean>;
 }
 
-/** What the rebalancing reads, and how it asks owners. */
+/** Dependencies of `MachineRebalancer`. */
 export interface MachineRebalancerOptions {
   readonly context: ControllerContext;
   readonly stateCache: ClusterStateCache;
   readonly hooks: TransferHooks;
-  /** How many machines are known that no record names. */
+  /** Returns the number of known machines without a record. */
   unregisteredCount(): number;
 }
 
-/** The leader's part for machines of shards: has them moved to where tasks wait. What it asks for may be refused. */
+/** Rebalances machines, on the leader, towards shards with waiting tasks. Its requests to owners may be refused. */
 export class MachineRebalancer {
-  /** The last status of each shard, and when it came, in steady milliseconds. */
+  /** Last status of each shard, with its time of arrival in milliseconds of the monotonic clock. */
   private readonly shardStatuses = new Map<number, { readonly at: number; readonly status: ShardStatus }>();
-  /** When the move of a machine was asked for, by its id, in steady milliseconds. */
+  /** Monotonic time in milliseconds at which the transfer of a machine was requested, by the machine's id. */
   private readonly transfersInFlight = new Map<string, number>();
   private evictedAt = Number.NEGATIVE_INFINITY;
   private reservedAt = Number.NEGATIVE_INFINITY;
 
   constructor(private readonly options: MachineRebalancerOptions) {}
 
-  /** An owner has reported its shard's status. */
+  /** Handles a status that an owner has reported for its shard. */
   onShardStatus(status: ShardStatus): void {
     this.shardStatuses.set(status.shard, { at: this.options.context.clock.now(), status });
   }
 
-  /** Asks for the moves that are due: of empty machines first, then of ones whose tasks end soon, then by eviction. */
+  /**
+   * Requests the transfers that are due: of idle machines first, then of machines whose tasks end soon, then by
+   * eviction.
+   */
   rebalance(): void {
     const { context, stateCache } = this.options;
     const now = context.clock.now();
@@ -110,7 +113,10 @@
     void this.options.hooks.evictForTransfer(from, machine, to, priority).catch(() => undefined);
   }
 
-  /** A shard reserves machines as long as its own urgent work still meets the strictest objective for a start, in seconds. */
+  /**
+   * Returns the wait, in seconds, up to which a shard may reserve machines for other shards: while its own urgent
+   * work still meets the strictest start objective.
+   */
   private maxReserverWaitS(): number {
     let strictestS = DEFAULT_START_OBJECTIVE_S;
     for (const objective of this.options.context.settings.objectives)
--- a/src/controller/membership.ts
+++ b/src/controller/membership.ts
@@ -10,44 +10,46 @@
 import { LeaseKeeper } from './leasekeeper.js';
 import { type NodeIdentity, Presence, publishProtocolVersion } from './presence.js';
 
-/** A node whose renewals have not been answered for so long passes no changes on. */
+/** A node whose lease renewals have failed for this long stops relaying changes to other nodes. */
 const STATE_STORE_UNREACHABLE_MS = 1000;
 
-/** Clients and settings of a member, and what it reports to the node that it is part of. */
+/** Dependencies and settings of `Membership`, and its callbacks. */
 export interface MembershipOptions {
   readonly clock: Clock;
   readonly store: StateStore;
   readonly log: Log;
   readonly identity: NodeIdentity;
-  /** How long this node's lease lasts, in milliseconds. */
+  /** Duration of this node's lease, in milliseconds. */
   readonly leaseMs: number;
-  /** This node's even share of the key-value store's requests, a second. */
+  /** This node's even share of the key-value store's request rate, in requests per second. */
   readonly requestsPerSecond: number;
   regionOf(node: string): string;
-  /** A key of the cluster's state has changed; null: it is gone. */
+  /** Called when a key of the cluster's state has changed; `entry` is null when the key was deleted. */
   onChange(key: string, entry: Entry | null): void;
   onLeaseLost(): void;
 }
 
-/** An owner as something newer than the copy of the keys shows it. */
+/** An owner and its term, known from a source that may be newer than the cache of the keys. */
 interface KnownOwner {
   readonly owner: LeaseHolder;
   readonly term: number;
 }
 
 /**
- * The members of the cluster and the owners of its shards as this node sees them, and this node's own lease, presence
- * and claims.
+ * This node's view of the cluster's members and of the shards' owners, together with its own lease, presence and
+ * claims.
  */
 export class Membership {
   readonly stateCache: ClusterStateCache;
-  /** Where the copy of the keys gets its changes. */
+  /** The source of the changes that the cache of the keys receives. */
   readonly changeFeed: ChangeFeed;
   private readonly lease: LeaseKeeper;
   private readonly claims: Claims;
-  /** Who takes a shard that this node has handed over, until the copy shows more than this node's own term. */
+  /**
+   * Successors of shards that this node has handed over, kept until the cache shows a term newer than this node's.
+   */
   private readonly successors = new Map<number, KnownOwner>();
-  /** Owners as the nodes themselves have announced them, where that is newer than what the copy shows. */
+  /** Owners that announced themselves directly, where the announcement is newer than the cache. */
   private readonly announcedOwners = new Map<number, KnownOwner>();
 
   constructor(private readonly options: MembershipOptions) {
@@ -75,73 +77,81 @@
     this.claims = new Claims(store, log, this.stateCache, this.lease);
   }
 
-  /** Resolves when this node has joined; it renews its lease from then on. */
+  /** Joins the cluster and keeps the lease renewed; resolves when this node has joined. */
   async start(): Promise<void> {
     void this.stateCache.run();
     await this.lease.start();
     void publishProtocolVersion(this.options.identity, this.options);
   }
 
-  /** Gives up the lease and all that hangs on it, for good. */
+  /** Revokes the lease and with it all keys attached to it, permanently. */
   leave(): Promise<void> {
     return this.lease.leave();
   }
 
-  // --- this node's lease and what hangs on it
+  // --- this node's lease and the keys attached to it
 
-  /** True while the lease surely lasts, counted from when its renewal was sent. */
+  /** Whether the lease is guaranteed to be valid, counted from when its last answered renewal was sent. */
   get holdsLease(): boolean {
     return this.lease.holdsLease;
   }
 
-  /** True while this very lease surely lasts. */
+  /** Whether the lease with this id is the current one and guaranteed to be valid. */
   holdsLeaseId(lease: number): boolean {
     return this.lease.holdsLeaseId(lease);
   }
 
-  /** The lease that this node has joined with; null without one. */
+  /** Id of the lease under which this node joined; null when there is none. */
   get leaseId(): number | null {
     return this.lease.leaseId;
   }
 
-  /** How this node shows itself in the keys that it holds. */
+  /** The value that identifies this node in the keys that it holds. */
   get holder(): LeaseHolder {
     return this.lease.holder;
   }
 
-  /** Whether a key is this node's by the lease that it has now, not by an earlier one (`LeaseKeeper.isHeldHere`). */
+  /**
+   * Returns whether this node holds a key under its current lease, not an earlier one (see `LeaseKeeper.isHeldHere`).
+   */
   isHeldHere(value: unknown): boolean {
     return this.lease.isHeldHere(value);
   }
 
-  /** How long ago a renewal of the lease was sent that the key-value store has answered, in milliseconds. */
+  /** Time since the last answered renewal or grant of the lease was sent, in milliseconds. */
   get leaseRenewedAgoMs(): number {
     return this.lease.renewedAgoMs;
   }
 
-  /** For how long no renewal has been answered, in milliseconds; 0 while they are. */
+  /** Time for which renewals have been failing, in milliseconds; 0 when the last one succeeded. */
   get renewalFailingMs(): number {
     return this.lease.renewalFailingMs;
   }
 
-  /** Shows the others whether this node takes shards. Throws `StateStoreError`; tried again with a later renewal of the lease. */
+  /**
+   * Publishes to the other nodes whether this node is cordoned. Throws `StateStoreError` when the write is not
+   * confirmed; the write is then retried with a later renewal of the lease.
+   */
   publishCordoned(cordoned: boolean): Promise<void> {
     return this.lease.publishCordoned(cordoned);
   }
 
-  /** Tries to take a key that nobody holds; returns its version, the term, when this node has it. */
+  /**
+   * Tries to claim a key without a holder. Returns its version, which is the term, when this node holds it; else
+   * null.
+   */
   claim(key: string): Promise<number | null> {
     return this.claims.claim(key);
   }
 
-  /** Takes a key at a version (`Claims.compareAndSwapHolder`). */
+  /** Takes a key if it is still at the expected version (see `Claims.compareAndSwapHolder`). */
   compareAndSwapHolder(swap: HolderSwap): Promise<number | null> {
     return this.claims.compareAndSwapHolder(swap);
   }
 
   // --- the other nodes
 
-  /** How a node that is present shows itself. */
+  /** Returns the presence record of a node; null when the node is not present. */
   presenceOf(node: string): LeaseHolder | null {
     const entry = this.stateCache.entries.get(KEYS.node(node));
     return entry ? readLeaseHolder(entry.value) : null;
@@ -151,20 +161,21 @@
     return this.stateCache.entries.has(KEYS.node(node));
   }
 
-  /** Whether a node leaves its shards to others. */
+  /** Returns whether a node is cordoned, which leaves its shards to other nodes. */
   isNodeCordoned(node: string): boolean {
     return this.presenceOf(node)?.cordoned === true;
   }
 
-  /** The node that leads; null when none is known. */
+  /** Returns the leader node; null when none is known. */
   leader(): string | null {
     const entry = this.stateCache.entries.get(KEYS.leader);
     return (entry && readLeaseHolder(entry.value)?.node) ?? null;
   }
 
   /**
-   * Whether every one of these nodes understands a version. A node that is present says so itself, so that one that came
-   * back with an older version counts as that; of one that is away, the last that it said counts.
+   * Returns whether all given nodes support a protocol version. For a node that is present, the version in its
+   * presence record counts, so that a node restarted with an older version is recognized as such. For an absent node,
+   * the version that it stored last counts.
    */
   allSupport(nodes: readonly string[], version: number): boolean {
     return nodes.every((node) => {
@@ -174,7 +185,7 @@
     });
   }
 
-  /** Nodes that are present and pass changes on. */
+  /** Returns the nodes that are present and relay changes. */
   private changeSources(): PresentNode[] {
     const present: PresentNode[] = [];
     for (const [key, entry] of this.stateCache.entries) {
@@ -187,7 +198,10 @@
 
   // --- the owners of shards
 
-  /** The owner of a shard by the newest that this node knows; null when nobody has it. A hint only. */
+  /**
+   * Returns the owner of a shard by the newest information that this node has; null when the shard has no owner. The
+   * result is only a hint.
+   */
   owner(shard: number): LeaseHolder | null {
     const entry = this.stateCache.entries.get(KEYS.owner(shard));
     const successor = this.successors.get(shard);
@@ -198,31 +212,32 @@
   }
 
   /**
-   * A node announces that a shard is its own. Terms are revisions, so the larger one is the newer; a node that is cut off
-   * from the key-value store learns of the next owner in no other way. It serves as a hint, as the copy does.
+   * Records a node's announcement that it owns a shard. Terms are revisions, so the larger term is the newer one. The
+   * announcement is the only way in which a node that is cut off from the key-value store learns of the next owner.
+   * Like the cache, it is only a hint.
    */
   onOwnerAnnounced(shard: number, owner: LeaseHolder, term: number): void {
     if (term > (this.announcedOwners.get(shard)?.term ?? 0)) this.announcedOwners.set(shard, { owner, term });
   }
 
-  /** Whether what is known of a shard's owner comes from that owner. */
+  /** Returns whether the known owner of a shard comes from that owner's own announcement. */
   ownerHasAnnounced(shard: number): boolean {
     return this.announcedOwners.has(shard);
   }
 
-  /** A shard is handed over under a term; null: to nobody after all. */
+  /** Records the node to which a shard is handed over from this node's term; null when the handover has failed. */
   setSuccessor(shard: number, to: LeaseHolder | null, term: number): void {
     if (to) this.successors.set(shard, { owner: to, term });
     else this.successors.delete(shard);
   }
 
-  /** The node that this one has handed a shard to, as long as nothing newer is known. */
+  /** Returns the node to which this node has handed over a shard; null once a newer owner is known. */
   successor(shard: number): LeaseHolder | null {
     const successor = this.successors.get(shard);
     return successor && this.owner(shard) === successor.owner ? successor.owner : null;
   }
 
-  /** What the nodes have announced is of no more use than what the key-value store shows afterwards. */
+  /** Drops announcements and successors that the key-value store's current owner record has superseded. */
   onOwnerRecordChanged(shard: number): void {
     const entry = this.stateCache.entries.get(KEYS.owner(shard));
     if (!entry || entry.version >= (this.announcedOwners.get(shard)?.term ?? 0))
--- a/src/controller/ownedshards.ts
+++ b/src/controller/ownedshards.ts
@@ -6,15 +6,15 @@
 import type { Membership } from './membership.js';
 import type { StandbyCoordinator } from './standbycoordinator.js';
 
-/** What the schedulers of shards are made with. */
+/** Dependencies of `OwnedShards` and of the schedulers that it creates. */
 export interface OwnedShardsOptions {
   readonly context: ControllerContext;
   readonly members: Membership;
-  /** Filled and emptied here only; other parts read it. */
+  /** Shards that this node owns; modified only by `OwnedShards` and read by other components. */
   readonly shards: Map<number, Shard>;
-  /** What a shard here needs of the others. */
+  /** Access of this node's shards to the other shards. */
   readonly peerShards: PeerShards;
-  /** Called when this node has begun to own a shard under a term. */
+  /** Called when this node has started to own a shard under a term. */
   onStarted(shard: number, term: number): void;
 }
 
@@ -22,11 +22,14 @@
 export class OwnedShards {
   readonly shards: Map<number, Shard>;
   /**
-   * Terms under which this node has owned a shard and does so no more. None is ever taken up again: tokens and attempts
-   * would be those of the former ownership, whose orders may still be under way.
+   * Terms under which this node has stopped owning a shard. A retired term is never reused: its fencing tokens and
+   * attempt numbers would equal those of the former ownership, whose orders may still be in flight.
    */
   readonly retiredTerms = new Set<number>();
-  /** Where standbys are enabled, from when the node starts: it needs the connections to the other nodes. */
+  /**
+   * The standby coordinator; null where standbys are not enabled. It is set when the node starts, because it needs
+   * the connections to the other nodes.
+   */
   standbyCoordinator: StandbyCoordinator | null = null;
   private readonly replicators = new Map<number, StandbyReplicator>();
 
@@ -34,7 +37,10 @@
     this.shards = options.shards;
   }
 
-  /** A shard's key is this node's, under a term; `takeover` is what a standby had replicated of it. */
+  /**
+   * Starts the scheduler of a shard whose key this node holds under a term; `takeover` is the state that its standby
+   * replicated.
+   */
   startOwning(index: number, term: number, takeover: TakeoverState | null = null): void {
     const { context, members, peerShards } = this.options;
     const lease = members.leaseId;
@@ -56,7 +62,7 @@
     void shard.start();
   }
 
-  /** Ends a shard's scheduler for good, and retires its term. */
+  /** Stops a shard's scheduler permanently, and retires its term. */
   stopOwning(shard: Shard): void {
     shard.stop();
     this.retiredTerms.add(shard.term);
@@ -69,18 +75,21 @@
     for (const shard of [...this.shards.values()]) this.stopOwning(shard);
   }
 
-  /** Another node has taken a shard under a newer term: this one's is over, whatever its view of the keys shows. */
+  /**
+   * Stops owning a shard that another node has taken under a newer term. This node's term has then ended, even if its
+   * cached view of the keys still shows the older state.
+   */
   onNewerTerm(index: number, term: number): void {
     const shard = this.shards.get(index);
     if (shard && shard.term < term) this.stopOwning(shard);
   }
 
-  /** The owner's side of a shard's standby; undefined where standbys are not enabled. */
+  /** Returns the replicator of a shard to its standby; undefined where standbys are not enabled. */
   replicatorOf(index: number): StandbyReplicator | undefined {
     return this.replicators.get(index);
   }
 
-  /** The standby that can take a shard over at once; null when there is none. */
+  /** Returns the standby that can take over a shard immediately; null when there is none. */
   successorOf(shard: Shard): string | null {
     const replicator = this.replicators.get(shard.index);
     return replicator && shard.ready && this.standbyCoordinator
--- a/src/controller/ownerclient.ts
+++ b/src/controller/ownerclient.ts
@@ -18,35 +18,35 @@
 
 const REQUEST_TIMEOUT_MS = 3500;
 /**
- * When a request can also be answered by way of the key-value store, less time is spent on the direct way: users wait 2 s
- * for the state of a job and 5 s for other answers.
+ * Shorter time-outs of direct requests that can also be answered through the key-value store, so that time is left
+ * for the fallback: users wait 2 s for the status of a job and 5 s for other answers.
  */
 const STORABLE_REQUEST_TIMEOUT_MS = 1800;
 const STATUS_REQUEST_TIMEOUT_MS = 900;
-/** Owners ask each other often what has become of jobs, and the key-value store when there is no answer. */
+/** Owners query each other's jobs often, and fall back to the key-value store when there is no answer. */
 const DEPENDENCY_REQUEST_TIMEOUT_MS = 2000;
 /**
- * An owner that has answered neither directly nor by a stored request gets no stored request for this long: users are
- * told at once.
+ * Time for which no stored requests are sent to an owner that has answered neither directly nor by a stored request;
+ * users' requests fail immediately instead.
  */
 const STORED_REQUESTS_PAUSE_MS = 2500;
 const STORED_REQUEST_TIMEOUT_MS = 1000;
 
-/** Requests that may also be sent by way of the key-value store. */
+/** Operations whose requests may also be sent through the key-value store. */
 export const STORABLE_OPERATIONS: ReadonlySet<string> = new Set([
   PEER_OPS.submit,
   PEER_OPS.submitWithDependencies,
   PEER_OPS.cancel,
 ]);
 
-/** What the ways to an owner need. */
+/** Dependencies of `OwnerClient`. */
 export interface OwnerClientOptions {
   readonly context: ControllerContext;
   readonly members: Membership;
   readonly storedRequests: StoredRequests;
   /** The shards that this node owns. */
   readonly shards: ReadonlyMap<number, Shard>;
-  /** All nodes of the settings. */
+  /** All configured nodes. */
   readonly nodes: readonly string[];
   readonly incomingHandovers: IncomingHandovers;
   readonly peers: PeerConnections;
@@ -57,34 +57,42 @@
   readonly shard: number;
   readonly op: string;
   readonly args: object;
-  /** Answers it when this node is the owner. */
+  /** Answers the request when this node is the owner. */
   answerHere(shard: Shard): Promise<T>;
-  /** Whether it is not to be sent by way of the key-value store. */
+  /** Whether the request must not be sent through the key-value store. */
   readonly directOnly?: boolean;
 }
 
-/** The way to a shard's owner, wherever it is: here, directly, or by a stored request. */
+/** Sends requests to a shard's owner: by a local call, directly over the mesh, or by a stored request. */
 export class OwnerClient {
-  /** Until when an owner gets no stored requests, by its incarnation, in steady milliseconds. */
+  /** Monotonic time in milliseconds until which an owner is sent no stored requests, by the owner's incarnation. */
   private readonly storedRequestsPausedUntil = new Map<string, number>();
 
   constructor(private readonly options: OwnerClientOptions) {}
 
-  /** The owner of a shard gives an empty machine to another; false when it does not. */
+  /**
+   * Asks the owner of a shard to transfer an idle machine to another shard. Returns false when the owner does not.
+   */
   transferMachine(shard: number, machine: string, to: number): Promise<boolean> {
     return this.requestTransfer(shard, PEER_OPS.transferMachine, { shard, machine, to }, (local) =>
       local.transferMachine(machine, to),
     );
   }
 
-  /** The owner of a shard clears a machine for another's more urgent work; false when it does not. */
+  /**
+   * Asks the owner of a shard to evict a machine's tasks for another shard's more urgent work. Returns false when it
+   * does not.
+   */
   evictForTransfer(shard: number, machine: string, to: number, priority: number): Promise<boolean> {
     return this.requestTransfer(shard, PEER_OPS.evictForTransfer, { shard, machine, to, priority }, (local) =>
       local.evictForTransfer(machine, to, priority),
     );
   }
 
-  /** The owner of a shard promises a machine whose tasks end soon to another; false when it does not. */
+  /**
+   * Asks the owner of a shard to reserve a machine whose tasks end soon for another shard. Returns false when it does
+   * not.
+   */
   reserveForTransfer(shard: number, to: number, need: ResourceDemand, zone: string): Promise<boolean> {
     return this.requestTransfer(shard, PEER_OPS.reserveForTransfer, { shard, to, need, zone }, (local) =>
       local.reserveForTransfer(to, need, zone),
@@ -104,7 +112,7 @@
     return (await this.options.peers.mesh?.request(owner.node, op, args, REQUEST_TIMEOUT_MS)) === true;
   }
 
-  /** A shard of this node; throws `UnavailableError` when this node does not own it. */
+  /** Returns a shard of this node; throws `UnavailableError` when this node does not own it. */
   localShard(index: number): Shard {
     const shard = this.options.shards.get(index);
     if (!shard) throw new UnavailableError('not the owner');
@@ -112,8 +120,8 @@
   }
 
   /**
-   * Sends a request to a shard's owner, wherever it is. Throws `OwnerUnavailableError` when nobody who could decide can be
-   * asked now, `UnavailableError` when the owner cannot serve now.
+   * Sends a request to a shard's owner, on this or another node. Throws `OwnerUnavailableError` when no node that
+   * could decide the request can be reached, and `UnavailableError` when the owner cannot serve the request now.
    */
   async request<T>(request: OwnerRequest<T>): Promise<T> {
     const { shard, op, args } = request;
@@ -127,7 +135,8 @@
     try {
       return (await peers.mesh.request(owner.node, op, { shard, ...args }, requestTimeoutMs(op))) as T;
     } catch (error) {
-      // An owner that answers is not to be asked again: it knows best that it cannot serve now.
+      // A rejection is final for this request: the owner knows best that it cannot serve it now, so the request is
+      // not repeated through the key-value store.
       const message = error instanceof Error ? error.message : 'owner does not answer';
       if (error instanceof PeerRejectedError)
         throw message === NOT_READY ? new OwnerUnavailableError(message) : new UnavailableError(message);
@@ -138,7 +147,7 @@
   }
 
   /**
-   * Sends a request to the owner of a shard, known by its incarnation, by way of the key-value store. Throws
+   * Sends a request to the owner of a shard, identified by its incarnation, through the key-value store. Throws
    * `UnavailableError` when there is no answer in time.
    */
   async requestThroughStore<T>(shard: number, incarnation: string, op: string, args: object): Promise<T> {
@@ -155,7 +164,10 @@
     }
   }
 
-  /** Asks a shard's owner about jobs there that jobs of the shard `from` depend on. Throws `UnavailableError` without an owner. */
+  /**
+   * Queries a shard's owner for the status of jobs on which jobs of the shard `from` depend. Throws
+   * `UnavailableError` when the shard has no owner.
+   */
   async requestDependencyStatus(
     shard: number,
     from: number,
@@ -172,7 +184,7 @@
     );
   }
 
-  /** Notifies a shard's owner how a job ended that jobs there depend on; it may not arrive. */
+  /** Notifies a shard's owner of the final status of a job on which jobs there depend. Delivery is not guaranteed. */
   notifyDependencyEnded(shard: number, id: string, status: 'done' | 'cancelled'): void {
     const local = this.options.shards.get(shard);
     const owner = this.options.members.owner(shard);
@@ -180,12 +192,12 @@
     else if (owner) this.options.peers.notify(owner.node, PEER_OPS.dependencyEnded, { shard, id, status });
   }
 
-  /** Whether every node understands what the first version did not. */
+  /** Whether every node supports the latest protocol version. */
   get allSupportLatest(): boolean {
     return this.options.members.allSupport(this.options.nodes, PROTOCOL_VERSION);
   }
 
-  /** Whether every node understands jobs with match expressions. */
+  /** Whether every node supports jobs with match expressions. */
   get allSupportMatching(): boolean {
     return this.options.members.allSupport(this.options.nodes, MATCH_PROTOCOL_VERSION);
   }
--- a/src/controller/ownerkeys.ts
+++ b/src/controller/ownerkeys.ts
@@ -2,7 +2,7 @@
 import { KEYS } from '../schema/schema.js';
 import type { Membership } from './membership.js';
 
-/** Claims and releases of the keys that say who owns a shard and who leads, one at a time for each key. */
+/** Claims and releases the owner keys of shards and the leader key, with one operation at a time for each key. */
 export class OwnerKeys {
   private readonly inFlight = new Set<string>();
 
@@ -11,22 +11,24 @@
     private readonly members: Membership,
   ) {}
 
-  /** Whether a claim, release or handover of a key is under way. */
+  /** Returns whether a claim, release or handover of a key is in flight. */
   isInFlight(key: string): boolean {
     return this.inFlight.has(key);
   }
 
-  /** Marks a key as in flight until `work` ends. */
-  async during<T>(key: string, work: () => Promise<T>): Promise<T> {
+  /** Runs `operation`, with the key marked as in flight until it ends. */
+  async withKeyInFlight<T>(key: string, operation: () => Promise<T>): Promise<T> {
     this.inFlight.add(key);
     try {
-      return await work();
+      return await operation();
     } finally {
       this.inFlight.delete(key);
     }
   }
 
-  /** Claims a key that nobody holds; `onClaimed` gets its version, the term, when this node has it. */
+  /**
+   * Claims a key without a holder. Calls `onClaimed` with its version, which is the term, when this node holds it.
+   */
   claim(key: string, onClaimed: (term: number) => void): void {
     this.inFlight.add(key);
     void this.members
@@ -37,7 +39,10 @@
       .finally(() => this.inFlight.delete(key));
   }
 
-  /** Lets another node claim a shard that this one has stopped owning under a term; failures are only logged. */
+  /**
+   * Deletes the owner key of a shard that this node has stopped owning under a term, so that another node can claim
+   * it. Failures are only logged.
+   */
   async release(shard: number, term: number): Promise<void> {
     const key = KEYS.owner(shard);
     try {
@@ -48,7 +53,7 @@
     }
   }
 
-  /** As `release`, with the key in flight until it ends. */
+  /** Starts a `release`, with the key marked as in flight until it ends. */
   startRelease(shard: number, term: number): void {
     const key = KEYS.owner(shard);
     this.inFlight.add(key);
--- a/src/controller/ownerlessadmission.ts
+++ b/src/controller/ownerlessadmission.ts
@@ -8,19 +8,23 @@
 import type { JobSpec } from '../wire/users.js';
 import type { Membership } from './membership.js';
 
-/** When the owner that comes back, or comes next, is asked for the job, and how often again until it answers. */
+/**
+ * Delay before the returning or next owner is first asked to confirm a job, and interval of retries until it answers.
+ */
 const FIRST_CONFIRM_DELAY_MS = 500;
 const CONFIRM_INTERVAL_MS = 2000;
 const MAX_CONCURRENT_CONFIRMS = 16;
 const MAX_UNCONFIRMED_JOBS = 2000;
-/** Nothing is accepted that would wait longer than this to be stored. */
+/** No job is accepted while writes would be delayed longer than this. */
 const MAX_WRITE_DELAY_MS = 700;
 
 /**
- * Accepts jobs without a deadline for a shard whose owner is away: it restarts, is cut off, or has not taken over yet. Such a
- * job is never refused by the plan, so that no plan is needed; its own deadline is the one for which no machine is in
- * sight. The write holds only while the shard's owner key is as it was seen, so that every later owner finds the job when
- * it takes the shard; an owner that is there all the same, and does not know of it, is asked until it has read it.
+ * Accepts jobs without a deadline for a shard whose owner is unavailable because it is restarting, is partitioned
+ * from this node, or has not taken over yet. The plan never rejects such a job, so the job can be accepted without a
+ * plan; its internal deadline is the default for a job for which no machine is expected. The write is conditional on
+ * the shard's owner key being unchanged since this node read it, so that every later owner finds the job when it
+ * takes over the shard. An owner that does exist, but has not seen the job, is asked for it until it has read the
+ * record.
  */
 export class OwnerlessAdmission {
   /** Shards of jobs that their owners have not confirmed yet, by the job's id. */
@@ -32,25 +36,30 @@
     private readonly context: ControllerContext,
     private readonly members: Membership,
     private readonly allSupportLatest: () => boolean,
-    /** Asks the owner for a job, which makes it read the job's record; false when it does not answer. */
+    /**
+     * Asks the owner for a job, which makes it read the job's record. Returns false when the owner does not answer.
+     */
     private readonly confirmWithOwner: (shard: number, id: string) => Promise<boolean>,
   ) {}
 
-  /** Whether a job may be accepted without its shard's plan. */
+  /** Returns whether a job may be accepted without its shard's plan. */
   mayAccept(spec: JobSpec): boolean {
     return spec.deadlineS === null;
   }
 
-  /** Accepts and stores a job. Throws `UnavailableError` when it cannot now, or when there is a new owner. */
+  /**
+   * Accepts and stores a job. Throws `UnavailableError` when it cannot be stored now, or when the shard has a new
+   * owner.
+   */
   async accept(shard: number, spec: JobSpec): Promise<SubmitAnswer> {
-    // A node that has lost touch with the key-value store itself says so at once.
+    // A node that cannot reach the key-value store itself fails fast.
     if (!this.canStore()) throw new UnavailableError('no owner at present');
     const result = await this.storeJob(shard, spec);
     if (result.kind === 'known') return { kind: 'known', status: result.entry.final ?? 'queued' };
     const { id, team, tasks, cpus } = spec;
     this.context.log.info(
       { job: id, class: spec.class, shard, team, tasks, cpus },
-      'job accepted while its owner is away',
+      'job accepted while the owner of its shard is unavailable',
     );
     this.unconfirmed.set(spec.id, shard);
     if (this.unconfirmed.size > MAX_UNCONFIRMED_JOBS)
@@ -64,7 +73,7 @@
     return holdsLease && stateCache.isLoaded && this.context.store.writeDelayMs <= MAX_WRITE_DELAY_MS;
   }
 
-  /** Stores the acceptance under the condition that the owner key is as this node sees it. */
+  /** Stores the acceptance on the condition that the owner key is still at the version in this node's cache. */
   private async storeJob(shard: number, spec: JobSpec): ReturnType<JobRecords['accept']> {
     const { store, settings, clock } = this.context;
     const seenTerm = this.members.stateCache.entries.get(KEYS.owner(shard))?.version ?? 0;
@@ -76,13 +85,13 @@
       const tag = `${this.context.incarnation}-d${this.acceptedCount++}`;
       return await records.accept({ spec, accepted: wall, deadline }, tag);
     } catch (error) {
-      // There is a new owner: it is asked when the user comes back.
+      // The shard has a new owner, which handles the request when the user retries.
       if (error instanceof NotOwnerError) throw new UnavailableError('the shard has moved');
       throw error;
     }
   }
 
-  /** Asks owners after a delay, and again until all jobs are confirmed; nothing runs while there are none. */
+  /** Schedules confirmation requests to the owners until all jobs are confirmed; schedules nothing when all are. */
   private scheduleConfirm(delayMs: number): void {
     if (this.confirmScheduled || this.unconfirmed.size === 0) return;
     this.confirmScheduled = true;
--- a/src/controller/ownership.ts
+++ b/src/controller/ownership.ts
@@ -26,29 +26,29 @@
 const RECONCILE_INTERVAL_MS = 200;
 const NO_TIMERS: ShardTimers = { unownedSince: null, homeAvailableSince: null };
 
-/** What ownership is decided by and carried out with. */
+/** Dependencies of `Ownership`. */
 export interface OwnershipOptions {
   readonly context: ControllerContext;
   readonly members: Membership;
-  /** The shards that this node owns: empty at first, filled and emptied here only. */
+  /** Shards that this node owns; empty at first, and modified only by `Ownership`. */
   readonly shards: Map<number, Shard>;
   readonly incomingHandovers: IncomingHandovers;
-  /** What a shard here needs of the others. */
+  /** Access of this node's shards to the other shards. */
   readonly peerShards: PeerShards;
   readonly leaderHooks: LeaderHooks;
-  /** Announces to the other nodes that this one owns a shard under a term. */
+  /** Announces to the other nodes that this node owns a shard under a term. */
   announceOwner(shard: number, term: number): void;
 }
 
 /**
- * What this node owns: shards, and the leadership when it has it. The decisions are in `shardownership.ts` and
- * `leaderelection.ts`; here they are taken every 200 ms, and carried out.
+ * The shards that this node owns, and its leadership while it is the leader. The decisions are pure functions in
+ * `shardownership.ts` and `leaderelection.ts`; this class evaluates them every 200 ms and executes their actions.
  */
 export class Ownership {
   readonly workerConnectivity: WorkerConnectivity;
   readonly handovers: Handovers;
   leader: Leader | null = null;
-  /** All nodes of the settings, in the order in which they claim what nobody holds. */
+  /** All configured nodes, in the order in which they claim keys without a holder. */
   readonly nodeOrder: readonly string[];
   readonly zones: ReadonlyMap<string, string>;
   private readonly context: ControllerContext;
@@ -59,7 +59,7 @@
   private readonly view: ClusterView;
   private readonly shardTimers = new Map<number, ShardTimers>();
   private leadershipVacantSince: number | null = null;
-  private reconciling: PeriodicTask | null = null;
+  private reconcileTask: PeriodicTask | null = null;
 
   constructor(private readonly options: OwnershipOptions) {
     const { context, members, peerShards, shards, incomingHandovers } = options;
@@ -90,7 +90,7 @@
     this.view = this.clusterView();
   }
 
-  /** The shards that this node owns, by their index. */
+  /** Shards that this node owns, by shard index. */
   get shards(): ReadonlyMap<number, Shard> {
     return this.owned.shards;
   }
@@ -100,46 +100,54 @@
     return this.options.incomingHandovers;
   }
 
-  /** Where standbys are enabled, from when the node starts. */
+  /** The standby coordinator, set when the node starts; null where standbys are not enabled. */
   get standbyCoordinator(): StandbyCoordinator | null {
     return this.owned.standbyCoordinator;
   }
 
-  /** Where standbys are enabled: called once, before the start, so that messages of owners are answered from then on. */
+  /**
+   * Enables standbys. Called once, before `start`, so that this node answers owners' replication messages from then
+   * on.
+   */
   enableStandbys(coordinator: StandbyCoordinator): void {
     this.owned.standbyCoordinator = coordinator;
   }
 
-  /** Begins to claim what nobody holds, and to watch what this node owns. */
+  /**
+   * Starts the periodic reconciliation, which claims keys without a holder and checks the shards that this node owns.
+   */
   start(): void {
     this.standbyCoordinator?.start();
-    this.reconciling = startPeriodicTask(this.context.clock, RECONCILE_INTERVAL_MS, () => this.reconcile());
+    this.reconcileTask = startPeriodicTask(this.context.clock, RECONCILE_INTERVAL_MS, () => this.reconcile());
   }
 
-  /** A planned end: each shard with a standby in sync goes to it. */
+  /** Shuts down as planned: hands each shard that has an in-sync standby over to it, then stops owning everything. */
   async leave(): Promise<void> {
     await Promise.all([...this.shards.values()].map((s) => this.handovers.handOver(s, 'leaving')));
     this.stopOwningAll();
-    this.reconciling?.stop();
+    this.reconcileTask?.stop();
   }
 
-  /** Ends all shards' schedulers and the leadership, for good. */
+  /** Stops the schedulers of all shards permanently, and resigns the leadership. */
   stopOwningAll(): void {
     this.owned.stopOwningAll();
     this.resign();
   }
 
-  /** The node that a shard is at home on. */
+  /** Returns the home node of a shard. */
   homeNode(shard: number): string {
     return homeNode(this.nodeOrder, shard);
   }
 
-  /** This node, the shard's standby, has taken it over under a new term. */
+  /** Starts owning a shard that this node, its standby, has taken over under a new term. */
   onTakeover(shard: number, term: number, takeover: TakeoverState): void {
     this.owned.startOwning(shard, term, takeover);
   }
 
-  /** Another node has taken a shard under a newer term: this one's is over, whatever its view of the keys shows. */
+  /**
+   * Stops owning a shard that another node has taken under a newer term. This node's term has then ended, even if its
+   * cached view of the keys still shows the older state.
+   */
   onNewerTerm(shard: number, term: number): void {
     this.owned.onNewerTerm(shard, term);
   }
@@ -162,10 +170,10 @@
     };
     const { actions, timers } = decideShard(this.view, state, this.context.clock.now());
     this.shardTimers.set(shard, timers);
-    for (const action of actions) this.carryOutForShard(shard, action);
+    for (const action of actions) this.executeShardAction(shard, action);
   }
 
-  private carryOutForShard(index: number, action: ShardAction): void {
+  private executeShardAction(index: number, action: ShardAction): void {
     const shard = this.shards.get(index);
     switch (action.kind) {
       case 'stopOwning':
@@ -201,10 +209,10 @@
     };
     const { actions, vacantSince } = decideLeadership(state, this.context.clock.now());
     this.leadershipVacantSince = vacantSince;
-    for (const action of actions) this.carryOutForLeadership(action);
+    for (const action of actions) this.executeLeadershipAction(action);
   }
 
-  private carryOutForLeadership(action: LeadershipAction): void {
+  private executeLeadershipAction(action: LeadershipAction): void {
     switch (action.kind) {
       case 'resign':
         this.resign();
@@ -236,7 +244,10 @@
     this.leader = null;
   }
 
-  /** The cluster as the decisions see it; all is read when it is asked for. */
+  /**
+   * Returns the cluster as the decision functions see it; each value is read when it is used, not when this is
+   * called.
+   */
   private clusterView(): ClusterView {
     const { members, workerConnectivity, owned } = this;
     const standbyView = this.standbyView();
--- a/src/controller/peerconnections.ts
+++ b/src/controller/peerconnections.ts
@@ -1,20 +1,20 @@
 import type { Mesh } from '../peer/mesh.js';
 
-/** The connections to the other nodes, shared by all parts of a node; there are none before the node starts. */
+/** Connections to the other nodes, shared by all components of a node; not available before the node starts. */
 export class PeerConnections {
   private current: Mesh | null = null;
 
-  /** Called once, when the node starts. */
+  /** Sets the mesh; called once, when the node starts. */
   connect(mesh: Mesh): void {
     this.current = mesh;
   }
 
-  /** Null before the node has started. */
+  /** The mesh of connections; null before the node has started. */
   get mesh(): Mesh | null {
     return this.current;
   }
 
-  /** Sends a notice to another node, without knowing whether it arrives. */
+  /** Sends a one-way notice to another node, without confirmation of delivery. */
   notify(node: string, op: string, args: unknown): void {
     this.current?.notify(node, op, args);
   }
--- a/src/controller/peerhandlers.ts
+++ b/src/controller/peerhandlers.ts
@@ -14,7 +14,7 @@
 import { RATES_OP, type RateAllocator } from './rateallocator.js';
 
 const FORWARD_TIMEOUT_MS = 1500;
-/** Requests to the owner of a shard, which are passed on to the next one while the shard changes hands. */
+/** Requests to the owner of a shard, which are forwarded to the next owner while the shard is being handed over. */
 const OWNER_OPERATIONS: ReadonlySet<string> = new Set([
   PEER_OPS.submit,
   PEER_OPS.submitWithDependencies,
@@ -24,28 +24,42 @@
 ]);
 
 /**
- * Arguments are read as every version has read them: a number or text that is missing or of another type is converted,
- * so that a malformed request gets the answer that it always got (mostly that the shard is not here); unknown fields are
- * ignored.
+ * Schemas of request arguments, which are read in the same way as in all earlier versions: a number or string that is
+ * missing or of another type is converted, so that a malformed request still gets the answer that it got from those
+ * versions (mostly that this node does not own the shard). Unknown fields are ignored.
  */
-const number = v.optional(v.pipe(v.unknown(), v.transform(Number)), Number.NaN);
-const text = v.optional(v.pipe(v.unknown(), v.transform(String)), 'undefined');
-/** Read by its own function where it is used. */
-const nested = v.optional(v.unknown());
+const coercedNumber = v.optional(v.pipe(v.unknown(), v.transform(Number)), Number.NaN);
+const coercedString = v.optional(v.pipe(v.unknown(), v.transform(String)), 'undefined');
+/** A nested value, parsed by its own function in the handler. */
+const unparsed = v.optional(v.unknown());
 
-const toShard = v.object({ shard: number });
-const aboutJob = v.object({ shard: number, id: text });
-const submission = v.object({ shard: number, spec: nested });
-const jobPage = v.object({ shard: number, under: text, after: text, most: number });
-const transfer = v.object({ shard: number, machine: text, to: number });
-const eviction = v.object({ ...transfer.entries, priority: number });
-const reservation = v.object({ shard: number, to: number, need: nested, zone: text });
-const dependencyQuery = v.object({ shard: number, from: number, claims: nested });
-const aboutMachine = v.object({ machine: text });
+const shardArgs = v.object({ shard: coercedNumber });
+const jobArgs = v.object({ shard: coercedNumber, id: coercedString });
+const submitArgs = v.object({ shard: coercedNumber, spec: unparsed });
+const listArgs = v.object({
+  shard: coercedNumber,
+  under: coercedString,
+  after: coercedString,
+  most: coercedNumber,
+});
+const transferArgs = v.object({ shard: coercedNumber, machine: coercedString, to: coercedNumber });
+const evictionArgs = v.object({ ...transferArgs.entries, priority: coercedNumber });
+const reservationArgs = v.object({
+  shard: coercedNumber,
+  to: coercedNumber,
+  need: unparsed,
+  zone: coercedString,
+});
+const dependencyStatusArgs = v.object({ shard: coercedNumber, from: coercedNumber, claims: unparsed });
+const redirectArgs = v.object({ machine: coercedString });
 
-/** Notices, which have no answer: one that does not fit is dropped. */
-const dependencyEnd = v.object({ shard: number, id: text, status: v.picklist(['done', 'cancelled']) });
-const unregisteredMachine = v.object({
+/** Schemas of notices, which have no answer; a notice that does not match its schema is dropped. */
+const dependencyEndedArgs = v.object({
+  shard: coercedNumber,
+  id: coercedString,
+  status: v.picklist(['done', 'cancelled']),
+});
+const unregisteredMachineArgs = v.object({
   id: v.string(),
   addr: v.string(),
   type: v.string(),
@@ -54,15 +68,15 @@
   ageS: v.number(),
 });
 const integer = v.pipe(v.number(), v.integer());
-const ownerAnnouncement = v.object({ shard: integer, term: integer, holder: nested });
+const ownerAnnouncementArgs = v.object({ shard: integer, term: integer, holder: unparsed });
 
-/** Answers one kind of message; `from` is the node that sent it, empty for a stored request. */
+/** Handles one kind of message; `from` is the node that sent it, empty for a stored request. */
 type PeerHandler = (args: unknown, from: string) => unknown;
 
-/** Answers an optional part's messages; gets the fields of the arguments, unchecked. */
+/** Handles the messages of an optional component; its argument holds the fields of the message, unchecked. */
 export type PeerExtension = (args: Record<string, unknown>) => Promise<unknown>;
 
-/** The parts of the node that answer messages. */
+/** Components of the node that handle messages. */
 export interface PeerHandlersOptions {
   readonly members: Membership;
   readonly ownership: Ownership;
@@ -71,9 +85,9 @@
   readonly peers: PeerConnections;
 }
 
-/** Answers what the other nodes ask, and takes their notices: a table from the name of a message to its handler. */
+/** Dispatches the requests and notices of other nodes, by a table from the name of a message to its handler. */
 export class PeerHandlers {
-  /** What optional parts of a node answer to the same parts of others. */
+  /** Handlers of messages between optional components of nodes, by operation. */
   readonly extensions = new Map<string, PeerExtension>();
   private readonly handlers: ReadonlyMap<string, PeerHandler>;
 
@@ -86,15 +100,16 @@
     ]);
   }
 
-  /** Answers a message; null for a notice. Throws a typed error where the request cannot be served. */
+  /** Answers a message, with null for a notice. Throws a typed error when the request cannot be served. */
   async serve(op: string, args: unknown, from = ''): Promise<unknown> {
     const fields = fieldsOf(args);
     if (OWNER_OPERATIONS.has(op)) {
-      const { shard } = v.parse(toShard, fields);
+      const { shard } = v.parse(shardArgs, fields);
       const { members, ownership, peers } = this.options;
       if (!ownership.shards.get(shard)?.ready) {
-        // Just handed over by this node, or to it: whoever asked need not notice.
-        // Passed on once at most: two nodes that have each handed it to the other, and know no better yet, would go on for ever.
+        // The shard may just have been handed over by this node or to it, which the sender of the request need not
+        // notice. A request is forwarded at most once: two nodes that have each handed the shard to the other, and
+        // have no newer information yet, would otherwise forward it to each other forever.
         const next = fields.passed === true ? null : members.successor(shard);
         if (next && peers.mesh)
           return peers.mesh.request(next.node, op, { ...fields, passed: true }, FORWARD_TIMEOUT_MS);
@@ -108,7 +123,7 @@
     return extension(fields);
   }
 
-  /** Between the nodes as such: changes of the cluster's keys, rates, standbys and owners. */
+  /** Handlers of messages between nodes: changes of the cluster's keys, rates, standbys and owners. */
   private nodeHandlers(): [string, PeerHandler][] {
     const { members, ownership, rateAllocator } = this.options;
     return [
@@ -123,12 +138,12 @@
       ],
       [
         STANDBY_OPS.handOver,
-        on(toShard, ({ shard }, _from, fields) => ownership.handovers.accept(shard, fields)),
+        requestHandler(shardArgs, ({ shard }, _from, fields) => ownership.handovers.accept(shard, fields)),
       ],
       [
         PEER_OPS.ownerAnnouncement,
-        notice(ownerAnnouncement, ({ shard, term, holder: stored }) => {
-          const holder = readLeaseHolder(stored);
+        noticeHandler(ownerAnnouncementArgs, ({ shard, term, holder: rawHolder }) => {
+          const holder = readLeaseHolder(rawHolder);
           if (!holder) return;
           members.onOwnerAnnounced(shard, holder, term);
           ownership.onNewerTerm(shard, term);
@@ -137,7 +152,7 @@
     ];
   }
 
-  /** To the leader; a node that does not lead drops them. */
+  /** Handlers of messages to the leader; a node that is not the leader drops them. */
   private leaderHandlers(): [string, PeerHandler][] {
     const { ownership } = this.options;
     return [
@@ -151,40 +166,43 @@
       ],
       [
         PEER_OPS.unregisteredMachine,
-        notice(unregisteredMachine, (machine) => ownership.leader?.onUnregisteredMachine(machine)),
+        noticeHandler(unregisteredMachineArgs, (machine) => ownership.leader?.onUnregisteredMachine(machine)),
       ],
     ];
   }
 
-  /** To the owner of a shard, about machines; false where this node does not own it. */
+  /**
+   * Handlers of messages to the owner of a shard about machines; requests are answered false where this node is not
+   * the owner.
+   */
   private machineHandlers(): [string, PeerHandler][] {
     const { ownership } = this.options;
     return [
       [
         PEER_OPS.redirected,
-        notice(aboutMachine, ({ machine }, from) => {
+        noticeHandler(redirectArgs, ({ machine }, from) => {
           ownership.workerConnectivity.onRedirect(machine, from);
           for (const shard of ownership.shards.values()) shard.registry.onHeartbeatElsewhere(machine);
         }),
       ],
       [
         PEER_OPS.transferMachine,
-        on(
-          transfer,
+        requestHandler(
+          transferArgs,
           ({ shard, machine, to }) => ownership.shards.get(shard)?.transferMachine(machine, to) ?? false,
         ),
       ],
       [
         PEER_OPS.evictForTransfer,
-        on(
-          eviction,
+        requestHandler(
+          evictionArgs,
           ({ shard, machine, to, priority }) =>
             ownership.shards.get(shard)?.evictForTransfer(machine, to, priority) ?? false,
         ),
       ],
       [
         PEER_OPS.reserveForTransfer,
-        on(reservation, ({ shard, to, need, zone }) => {
+        requestHandler(reservationArgs, ({ shard, to, need, zone }) => {
           const demand = readResourceDemand(need);
           return (demand && ownership.shards.get(shard)?.reserveForTransfer(to, demand, zone)) ?? false;
         }),
@@ -192,34 +210,34 @@
     ];
   }
 
-  /** To the owner of a shard, about jobs: of users, and of the owners of jobs that depend on them. */
+  /** Handlers of messages to the owner of a shard about jobs: from users, and from owners of dependent jobs. */
   private jobHandlers(): [string, PeerHandler][] {
     const { ownership, ownerClient } = this.options;
-    const submit = on(submission, ({ shard, spec: stored }) => {
-      const spec = readSpec(stored);
+    const submit = requestHandler(submitArgs, ({ shard, spec: rawSpec }) => {
+      const spec = readSpec(rawSpec);
       if (!spec) throw new InvalidInputError('bad job');
       return ownerClient.localShard(shard).submit(spec);
     });
     return [
       [PEER_OPS.submit, submit],
       [PEER_OPS.submitWithDependencies, submit],
-      [PEER_OPS.status, on(aboutJob, ({ shard, id }) => ownerClient.localShard(shard).status(id))],
-      [PEER_OPS.cancel, on(aboutJob, ({ shard, id }) => ownerClient.localShard(shard).cancel(id))],
+      [PEER_OPS.status, requestHandler(jobArgs, ({ shard, id }) => ownerClient.localShard(shard).status(id))],
+      [PEER_OPS.cancel, requestHandler(jobArgs, ({ shard, id }) => ownerClient.localShard(shard).cancel(id))],
       [
         PEER_OPS.list,
-        on(jobPage, ({ shard, under, after, most }) =>
+        requestHandler(listArgs, ({ shard, under, after, most }) =>
           ownerClient.localShard(shard).list(under, after, most),
         ),
       ],
       [
         PEER_OPS.dependencyStatus,
-        on(dependencyQuery, ({ shard, from, claims }) =>
+        requestHandler(dependencyStatusArgs, ({ shard, from, claims }) =>
           ownerClient.localShard(shard).dependencyStatus(from, readDependentClaims(claims)),
         ),
       ],
       [
         PEER_OPS.dependencyEnded,
-        notice(dependencyEnd, ({ shard, id, status }) =>
+        noticeHandler(dependencyEndedArgs, ({ shard, id, status }) =>
           ownership.shards.get(shard)?.onDependencyEnded(id, status),
         ),
       ],
@@ -227,13 +245,13 @@
   }
 }
 
-/** The fields of a message's arguments; none where they are no object. */
+/** Returns the fields of a message's arguments; an empty object when the arguments are not an object. */
 function fieldsOf(args: unknown): Record<string, unknown> {
   return (typeof args === 'object' && args !== null ? args : {}) as Record<string, unknown>;
 }
 
-/** A handler of a request: reads its arguments by a schema that converts what does not fit. */
-function on<S extends v.GenericSchema>(
+/** Creates a request handler, which parses the arguments with a schema that converts mismatched values. */
+function requestHandler<S extends v.GenericSchema>(
   schema: S,
   run: (args: v.InferOutput<S>, from: string, fields: Record<string, unknown>) => unknown,
 ): PeerHandler {
@@ -243,8 +261,8 @@
   };
 }
 
-/** A handler of a notice: one that does not fit its schema is dropped. */
-function notice<S extends v.GenericSchema>(
+/** Creates a notice handler, which drops a notice that does not match its schema. */
+function noticeHandler<S extends v.GenericSchema>(
   schema: S,
   run: (args: v.InferOutput<S>, from: string) => unknown,
 ): PeerHandler {
--- a/src/controller/peershards.ts
+++ b/src/controller/peershards.ts
@@ -4,7 +4,7 @@
 import type { OwnerClient } from './ownerclient.js';
 import type { Routing } from './routing.js';
 
-/** What a shard of this node needs of the other shards, wherever their owners are. */
+/** Returns the access of this node's shards to other shards, whichever nodes own those. */
 export function peerShards(
   context: ControllerContext,
   ownerClient: OwnerClient,
--- a/src/controller/presence.ts
+++ b/src/controller/presence.ts
@@ -5,18 +5,21 @@
 
 const VERSION_RETRY_MS = 2000;
 
-/** What a node says of itself for as long as it runs. */
+/** Properties of a node that do not change while its process runs. */
 export interface NodeIdentity {
   readonly node: string;
-  /** Which run of the node's process: names that it uses are never used by another. */
+  /** Id of this run of the node's process; names derived from it are never used by another run. */
   readonly incarnation: string;
-  /** Which version of records and messages this node understands. */
+  /** The version of records and messages that this node supports. */
   readonly protocolVersion: number;
-  /** Whether this node stands by for shards. */
+  /** Whether this node can be a standby for shards. */
   readonly standbyCapable: boolean;
 }
 
-/** This node's presence in the key-value store: the key that shows the others that it is there, and how. */
+/**
+ * This node's presence record in the key-value store, which shows the other nodes that it is running, and its
+ * properties.
+ */
 export class Presence {
   private cordoned = false;
   private published = false;
@@ -26,12 +29,12 @@
     private readonly identity: NodeIdentity,
   ) {}
 
-  /** Whether the stored presence is sure to say whether this node is cordoned. */
+  /** Whether the stored presence is confirmed to show the current cordoned state. */
   get isPublished(): boolean {
     return this.published;
   }
 
-  /** Whether this node takes no shards; stored by the next `publish`. */
+  /** Sets whether this node is cordoned, and so takes no shards; stored by the next `publish`. */
   setCordoned(cordoned: boolean): void {
     this.cordoned = cordoned;
     this.published = false;
@@ -51,9 +54,9 @@
   }
 
   /**
-   * Writes this node's presence, in place of what is known to be there only: a copy that the network delivers late would
-   * bring back the presence of a lease that ends, and the node would be absent for good. Throws `StateStoreError` when it
-   * is not known to be written.
+   * Writes this node's presence, on the condition that the stored record is the one just read. Without this
+   * condition, a duplicate that the network delivers late would restore a presence attached to a lease that is about
+   * to end, and the node would then be absent permanently. Throws `StateStoreError` when the write is not confirmed.
    */
   async publish(lease: number): Promise<void> {
     const key = KEYS.node(this.identity.node);
@@ -72,11 +75,14 @@
         JSON.stringify(stored && readLeaseHolder(stored.value)) === JSON.stringify(readLeaseHolder(value));
     }
     if (!this.published) throw new StateStoreError('presence is not decided', true);
-    // Cordoned or uncordoned meanwhile: what was written is out of date.
+    // The node was cordoned or uncordoned during the write, so the written record is out of date.
     if ((record.cordoned === true) !== this.cordoned) this.published = false;
   }
 
-  /** A run of this node before this one is dead: its lease need not be waited out. */
+  /**
+   * Revokes the lease of an earlier run of this node, which is dead, so that other nodes need not wait for it to
+   * expire.
+   */
   async revokeFormerIncarnation(): Promise<void> {
     const former = await this.store.get(KEYS.node(this.identity.node));
     const holder = former && readLeaseHolder(former.value);
@@ -84,7 +90,7 @@
   }
 }
 
-/** Stores for good what this node understands; tried again every 2 s until it is stored. */
+/** Stores the protocol version of this node permanently; retries every 2 s until it succeeds. */
 export async function publishProtocolVersion(
   identity: NodeIdentity,
   services: { readonly clock: Clock; readonly store: StateStore; readonly log: Log },
@@ -95,7 +101,7 @@
   try {
     const stored = await store.get(key);
     if (stored?.value === protocolVersion) return;
-    // A copy of this write that comes late finds what a later version has stored.
+    // The condition makes a late duplicate of this write fail if a later version has stored its own value.
     const condition = { key, version: stored?.version ?? 0 };
     const written = await store.compareAndSwap([condition], [{ put: key, value: protocolVersion }]);
     if (!written.ok) throw new StateStoreError('another version was stored meanwhile', false);
--- a/src/controller/rateallocator.ts
+++ b/src/controller/rateallocator.ts
@@ -7,7 +7,7 @@
 import type { Membership } from './membership.js';
 import type { PeerConnections } from './peerconnections.js';
 
-/** A node's request to the leader: its demand; the answer is its allocation. */
+/** A node's request to the leader, which contains its demand and is answered with its allocation. */
 export const RATES_OP = 'rates';
 
 const rates = v.object({
@@ -15,26 +15,27 @@
   changes: v.pipe(v.number(), v.finite(), v.minValue(0)),
 });
 
-/** How often a node reports its demand, how long it waits for its allocation, and how long an allocation is valid. */
+/** Interval of demand reports, time-out for the answer, and validity of an allocation. */
 const ALLOCATION_INTERVAL_MS = 500;
 const REQUEST_TIMEOUT_MS = 700;
 const ALLOCATION_VALID_MS = 2000;
-/** A node whose demand is older than this gets an even share. */
+/** A node whose last demand is older than this is allocated an even share. */
 const DEMAND_VALID_MS = 2000;
 
-/** A node's last demand, and when it came, in steady milliseconds. */
+/** A node's last demand, with its time of arrival in milliseconds of the monotonic clock. */
 interface NodeDemand {
   readonly at: number;
   readonly demand: StateRates;
 }
 
 /**
- * Allocates the key-value store's rates to the nodes. The leader does so by the demand of all nodes, twice a second; a node
- * without an allocation keeps to its even share. A wrong allocation costs refused requests, and nothing depends on it.
+ * Allocates the key-value store's rates to the nodes. The leader allocates by the demand of all nodes, twice a
+ * second; a node without an allocation uses its even share. A wrong allocation only causes refused requests; safety
+ * does not depend on it.
  */
 export class RateAllocator {
   private readonly demands = new Map<string, NodeDemand>();
-  private allocating: PeriodicTask | null = null;
+  private allocationTask: PeriodicTask | null = null;
 
   constructor(
     private readonly context: ControllerContext,
@@ -43,20 +44,20 @@
     private readonly isLeader: () => boolean,
   ) {}
 
-  /** Begins to report this node's demand, and to use its allocations. */
+  /** Starts to report this node's demand and to apply its allocations. */
   start(): void {
     const { clock, log } = this.context;
-    this.allocating = startPeriodicTask(clock, ALLOCATION_INTERVAL_MS, () =>
+    this.allocationTask = startPeriodicTask(clock, ALLOCATION_INTERVAL_MS, () =>
       this.renew().catch((error) => log.error({ err: error }, 'rate allocation failed')),
     );
   }
 
-  /** Ends it; the last allocation holds until its time is over. */
+  /** Stops reporting demand; the last allocation remains in force until it expires. */
   stop(): void {
-    this.allocating?.stop();
+    this.allocationTask?.stop();
   }
 
-  /** Takes a node's demand and answers its allocation. Throws `NotOwnerError` where this node does not lead. */
+  /** Records a node's demand and returns its allocation. Throws `NotOwnerError` when this node is not the leader. */
   onDemand(from: string, args: unknown): StateRates {
     const demand = v.safeParse(rates, args);
     if (!demand.success) throw new ProtocolViolationError('not a demand');
--- a/src/controller/routing.ts
+++ b/src/controller/routing.ts
@@ -14,10 +14,12 @@
 import { PEER_OPS } from './peeroperations.js';
 
 const MAX_CACHED_ROUTES = 20_000;
-/** Jobs on one page of a list: a request must not cost an owner much. */
+/** Maximum number of jobs on one page of a list, which bounds the cost of a request for an owner. */
 const LIST_PAGE_SIZE = 200;
 
-/** Takes users' requests to the owner of the job's shard, and answers what can be answered without the owner. */
+/**
+ * Routes users' requests to the owner of the job's shard, and answers those that can be answered without the owner.
+ */
 export class Routing {
   private readonly ownerlessAdmission: OwnerlessAdmission;
   private readonly routes = new Map<string, JobEntry>();
@@ -46,7 +48,9 @@
     });
   }
 
-  /** Makes a shard's owner read the record of a job that it may not know of. */
+  /**
+   * Makes a shard's owner read the record of a job that it may not have loaded. Returns whether the owner answered.
+   */
   private async confirmWithOwner(shard: number, id: string): Promise<boolean> {
     try {
       await this.requestStatus(shard, id);
@@ -58,9 +62,10 @@
   }
 
   /**
-   * The shard of a job that is submitted; null while teams have not been assigned. Jobs without a team go by a hash of
-   * their id, and so do those of a team with neither a guarantee nor a limit: nothing of theirs has to be counted in one
-   * place, and so their small tasks find what is left on the machines of all shards.
+   * Returns the shard of a new job; null while teams have not been assigned. In a cluster without teams, the shard is
+   * chosen by a hash of the job's id. So it is for a team with neither a guarantee nor a limit, among the shards of
+   * teams that have one: the resources of such a team need not be counted in one place, and its small tasks can use
+   * what is left on the machines of all these shards.
    */
   shardOf(spec: JobSpec): number | null {
     const { teams, nodes } = this.context.settings;
@@ -79,32 +84,33 @@
     return candidates.length === 0 ? teamShard : candidates[hash(spec.id) % candidates.length]!;
   }
 
-  /** Caches where a job is, or how it ended. */
-  private remember(id: string, { shard, final, tasks }: JobEntry): void {
+  /** Caches the shard of a job, or its final status. */
+  private cacheRoute(id: string, { shard, final, tasks }: JobEntry): void {
     this.routes.set(id, final ? { shard, final, tasks: tasks ?? 0 } : { shard });
     if (this.routes.size > MAX_CACHED_ROUTES) this.routes.delete(this.routes.keys().next().value!);
   }
 
-  /** Where a job is, or how it ended; null only when the key-value store has never heard of it. */
+  /** Returns the shard of a job, or its final status; null only when the key-value store has no record of the job. */
   async locate(id: string): Promise<JobEntry | null> {
     const known = this.routes.get(id);
     if (known) return known;
     for (const s of this.shards.values()) if (s.ready && s.job(id)) return { shard: s.index };
     const entry = await findJob((key) => this.context.store.getCoalesced(key), id);
-    if (entry) this.remember(id, entry);
+    if (entry) this.cacheRoute(id, entry);
     return entry;
   }
 
   /**
-   * The status of a job as far as the key-value store knows, for when its owner cannot be reached: behind a cut between
-   * zones a user may see no other node for minutes. An end is durable before it is answered to anyone, so this is never
-   * older than what the user has seen.
+   * Returns the status of a job according to the key-value store. It is used when the owner cannot be reached: during
+   * a network partition between zones, a user may reach no other node for minutes. A final status is durable before
+   * it is returned to any user, so the result is never older than a status that the user has already seen.
    */
   private async statusFromStore(id: string): Promise<StatusAnswer | null> {
     const entry = await findJob((key) => this.context.store.getCoalesced(key), id);
     if (!entry) return null;
-    this.remember(id, entry);
-    // While it waits, one that it needs may have been cancelled, and it must not be called queued for long then.
+    this.cacheRoute(id, entry);
+    // A waiting job whose dependency has been cancelled meanwhile will be cancelled too, and must not be reported as
+    // queued for long.
     if (
       !entry.final &&
       hasDependencies(entry) &&
@@ -116,17 +122,18 @@
   }
 
   /**
-   * Submits a job to the owner of its shard. Throws `UnavailableError` when it can be neither accepted nor refused now.
+   * Submits a job to the owner of its shard. Throws `UnavailableError` when it can currently be neither accepted nor
+   * rejected.
    */
   async submit(spec: JobSpec): Promise<SubmitAnswer> {
     const known = this.routes.get(spec.id);
     if (known?.final) return { kind: 'known', status: known.final };
     const shard = known?.shard ?? this.shardOf(spec);
     if (shard === null) throw new UnavailableError('teams are not parted yet');
-    // An older version would not see that it waits: it would start it at once.
+    // A node of an older version ignores dependencies, and would start the job immediately.
     if (spec.after.length > 0 && !this.ownerClient.allSupportLatest)
       throw new UnavailableError('not all controllers run a version that lets jobs wait for others');
-    // One that does not understand what it asks of machines would start it anywhere.
+    // A node that does not support match expressions would start the job on any machine.
     if (spec.match && !this.ownerClient.allSupportMatching)
       throw new UnavailableError('not all controllers serve match expressions');
     const op = spec.after.length > 0 ? PEER_OPS.submitWithDependencies : PEER_OPS.submit;
@@ -146,21 +153,24 @@
           return this.acceptWithoutOwner(shard, op, spec);
         });
     } catch (error) {
-      // What was accepted before is known without its owner; only a new job has to wait for it.
+      // A job accepted earlier can be found without its owner; only a new job has to wait for the owner.
       const stored = error instanceof UnavailableError ? await this.statusFromStore(spec.id) : null;
       if (!stored) throw error;
       return { kind: 'known', status: stored.status };
     }
-    if (answer.kind === 'accepted') this.remember(spec.id, { shard });
+    if (answer.kind === 'accepted') this.cacheRoute(spec.id, { shard });
     return answer;
   }
 
-  /** Accepts a job whose owner is away; an owner that only this node cannot reach learns of it by a stored request. */
+  /**
+   * Accepts a job whose shard has no reachable owner. An owner that only this node cannot reach learns of the job by
+   * a stored request.
+   */
   private async acceptWithoutOwner(shard: number, op: string, spec: JobSpec): Promise<SubmitAnswer> {
     for (const id of spec.after) {
       const entry = await this.locate(id);
       if (!entry) return { kind: 'never', needs: id };
-      // It has to be cancelled together with its acceptance.
+      // Such a job has to be cancelled together with its acceptance, which is not done without the owner.
       if (entry.final === 'cancelled') throw new UnavailableError('no owner at present');
     }
     const answer = await this.ownerlessAdmission.accept(shard, spec);
@@ -174,7 +184,10 @@
     return answer;
   }
 
-  /** The status of a job; null when there never was one with this id. Throws `UnavailableError` when it is not known now. */
+  /**
+   * Returns the status of a job; null when no job with this id ever existed. Throws `UnavailableError` when the
+   * status cannot be determined now.
+   */
   async status(id: string): Promise<StatusAnswer | null> {
     const entry = await this.locate(id);
     if (!entry) return null;
@@ -190,21 +203,22 @@
       return stored;
     }
     if (!answer) {
-      // Over, and the owner has forgotten it; or the owner cannot read all of it: the key-value store knows.
+      // Either the job has ended and the owner has dropped it, or the owner cannot read its whole record. The
+      // key-value store has the status in both cases.
       this.routes.delete(id);
       const stored = await this.statusFromStore(id);
       if (!stored) throw new UnavailableError('between two owners');
       return stored;
     }
     if (answer.status === 'done' || answer.status === 'cancelled') {
-      this.remember(id, { shard: entry.shard, final: answer.status, tasks: answer.done });
+      this.cacheRoute(id, { shard: entry.shard, final: answer.status, tasks: answer.done });
     }
     return answer;
   }
 
   /**
-   * Unfinished jobs whose ids begin with `under`, in the order of ids after `after`, a page of them. All shards are asked;
-   * throws `UnavailableError` when one of them does not answer.
+   * Returns a page of unfinished jobs whose ids start with `under`, in the order of their ids, from the first id
+   * after `after`. Queries all shards; throws `UnavailableError` when one of them does not answer.
    */
   async list(under: string, after: string): Promise<{ jobs: ListedJob[]; more: boolean }> {
     const shards = Array.from({ length: this.context.settings.nodes }, (_, i) => i);
@@ -226,7 +240,10 @@
     };
   }
 
-  /** Cancels a job; how it ended, or null when there never was one with this id. Throws `UnavailableError` when it cannot now. */
+  /**
+   * Cancels a job. Returns its final status, or null when no job with this id ever existed. Throws `UnavailableError`
+   * when the job cannot be cancelled now.
+   */
   async cancel(id: string): Promise<'done' | 'cancelled' | null> {
     const entry = await this.locate(id);
     if (!entry) return null;
@@ -239,16 +256,19 @@
     });
     if (answer === null) {
       this.routes.delete(id);
-      const again = await this.locate(id);
-      if (!again?.final) throw new UnavailableError('between two owners');
-      return again.final;
+      const entryAfter = await this.locate(id);
+      if (!entryAfter?.final) throw new UnavailableError('between two owners');
+      return entryAfter.final;
     }
-    this.remember(id, { shard: entry.shard, final: answer, tasks: entry.tasks });
+    this.cacheRoute(id, { shard: entry.shard, final: answer, tasks: entry.tasks });
     return answer;
   }
 }
 
-/** FNV-1a, 32 bits, over UTF-16 code units: the same in all versions, so that all nodes send a job to the same shard. */
+/**
+ * Computes 32-bit FNV-1a over UTF-16 code units. It is the same in all versions, so that all nodes route a job to
+ * the same shard.
+ */
 function hash(text: string): number {
   let value = 2166136261;
   for (let i = 0; i < text.length; i++) value = Math.imul(value ^ text.charCodeAt(i), 16777619) >>> 0;
--- a/src/controller/shardownership.ts
+++ b/src/controller/shardownership.ts
@@ -1,113 +1,128 @@
 import { isFreshTerm } from '../standby/takeoverchecks.js';
 
 /**
- * Which shards this node owns: decisions only, pure functions of a view of the cluster, what this node knows of the
- * shard, and the time. `ownership.ts` takes them every 200 ms and carries their actions out. All times are steady
- * milliseconds of this node.
+ * Decides which shards this node owns: pure functions of a view of the cluster, this node's own state of the shard,
+ * and the time. `ownership.ts` evaluates them every 200 ms and executes their actions. All times are milliseconds of
+ * this node's monotonic clock.
  */
 
-/** For each node before this one in the order of claims, an unowned shard is left alone for so long. */
+/** Delay before this node claims an unowned shard, for each node before it in the claim order. */
 export const CLAIM_DELAY_PER_NODE_MS = 1500;
-/** A cordoned node claims a shard all the same when nobody else has done so for this long. */
+/** Delay after which even a cordoned node claims a shard, because no other node has claimed it. */
 export const CORDONED_CLAIM_DELAY_MS = 12_000;
-/** A shard goes back to its home node when that has been present and not cordoned for this long. */
+/** Time for which a home node must have been present and not cordoned before its shard is returned to it. */
 export const HAND_BACK_AFTER_MS = 6000;
-/** How much longer the home node has to get in sync as the standby; after that the shard goes back without. */
+/**
+ * Additional time for the home node to get in sync as the standby; after it, the shard is returned even if the home
+ * node is not in sync.
+ */
 export const HOME_SYNC_TIMEOUT_MS = 20_000;
-/** An owner whose lease renewals have failed for this long, while its standby's have not, is cut off from the key-value store. */
+/**
+ * An owner is cut off from the key-value store when its lease renewals have failed for this long and its standby's
+ * have not.
+ */
 export const STATE_STORE_CUT_OFF_MS = 2500;
-/** By how much the standby's last renewal has to be the later one. */
+/** Minimum time by which the standby's last renewal must be later than the start of the owner's failures. */
 const STATE_STORE_CUT_OFF_MARGIN_MS = 500;
 
-/** What a decision needs to know of the standbys, on a node that has them. */
+/** State of the standbys that decisions use, on a node where standbys are enabled. */
 export interface StandbyView {
   isStandbyCapable(node: string): boolean;
-  /** Whether the shard is better off on its home node than here. */
+  /** Whether the shard should move to its home node, given load and zones. */
   shouldReturnHome(shard: number): boolean;
-  /** The standby that can take the shard over at once; null when there is none. */
+  /** The standby that can take over the shard immediately; null when there is none. */
   successorOf(shard: number): string | null;
 }
 
-/** The cluster as this node sees it. It lags behind the key-value store; whatever safety depends on is a condition of a write. */
+/**
+ * The cluster as this node sees it. The view lags behind the key-value store, so every check that safety depends on
+ * is a condition of a write instead.
+ */
 export interface ClusterView {
   readonly thisNode: string;
-  /** All nodes, in the order in which they claim. */
+  /** All configured nodes, in claim order. */
   readonly nodeOrder: readonly string[];
-  /** This node takes no shards, since the workers cannot reach it. */
+  /** Whether this node takes no shards because the workers cannot reach it. */
   readonly cordoned: boolean;
   /** Null where standbys are not enabled. */
   readonly standbys: StandbyView | null;
-  /** The owner key of a shard: its version, which is the term, and whether it hangs on this node's present lease. */
+  /**
+   * The owner key of a shard: its version, which is the term, and whether it is attached to this node's current
+   * lease; null when no node holds it.
+   */
   ownerKey(shard: number): { readonly term: number; readonly heldHere: boolean } | null;
-  /** Whether this node has handed the shard over and knows of nothing newer. */
+  /** Whether this node has handed over the shard and has not seen a newer owner since. */
   isHandedOver(shard: number): boolean;
   isPresent(node: string): boolean;
   isNodeCordoned(node: string): boolean;
 }
 
-/** Since when the conditions of a delayed decision have held; null while they do not. */
+/** Times since which the conditions of delayed decisions have held; null while they do not hold. */
 export interface ShardTimers {
-  /** Nobody holds the owner key. */
+  /** Time since which no node has held the owner key. */
   readonly unownedSince: number | null;
-  /** The home node of a shard that is owned here, away from home, is present and not cordoned. */
+  /**
+   * Time since which the home node of a shard that this node owns, but is not home to, has been present and not
+   * cordoned.
+   */
   readonly homeAvailableSince: number | null;
 }
 
-/** What this node knows of one shard by itself. */
+/** This node's own state of one shard. */
 export interface OwnShardState extends ShardTimers {
   readonly shard: number;
-  /** The shard's scheduler on this node; null when there is none. */
+  /** The shard's scheduler on this node; null when this node does not own the shard. */
   readonly owned: { readonly term: number; readonly ready: boolean } | null;
-  /** A claim, release or handover of the owner key has been sent and is not answered yet. */
+  /** Whether a claim, release or handover of the owner key has been sent and not answered yet. */
   readonly keyInFlight: boolean;
-  /** Terms under which this node has owned a shard and does so no more. */
+  /** Terms under which this node has stopped owning a shard. */
   readonly retiredTerms: ReadonlySet<number>;
 }
 
-/** What this node does about a shard. */
+/** An action of this node on a shard. */
 export type ShardAction =
   | { readonly kind: 'stopOwning' }
   | { readonly kind: 'startOwning'; readonly term: number }
-  /** Gives the key of a former ownership up: its term is never taken up again. */
+  /** Releases the key of a former ownership, whose term is never reused. */
   | { readonly kind: 'releaseRetiredTerm'; readonly term: number }
-  /** The home node is the standby and in sync: it takes over at once. */
+  /** Hands over to the home node, which is the in-sync standby and takes over immediately. */
   | { readonly kind: 'handOverToHome' }
-  /** Stops, and gives the key up for the home node to claim. */
+  /** Stops owning the shard and releases its key for the home node to claim. */
   | { readonly kind: 'handBack'; readonly to: string; readonly term: number }
   | { readonly kind: 'claim' };
 
-/** Actions in the order in which they are carried out. */
+/** Actions in the order in which they are executed, and the new timers. */
 export interface ShardDecision {
   readonly actions: readonly ShardAction[];
   readonly timers: ShardTimers;
 }
 
-/** The node that a shard is at home on. */
+/** Returns the home node of a shard. */
 export function homeNode(nodeOrder: readonly string[], shard: number): string {
   return nodeOrder[shard % nodeOrder.length]!;
 }
 
 /**
- * How long this node waits before it claims a shard that nobody holds: first the home node, then the others in turn.
- * Nobody waits for a node that is cordoned.
+ * Returns how long this node waits before it claims an unowned shard. The home node claims first, then the other
+ * nodes in claim order; no node waits for a cordoned one.
  */
 export function claimDelayMs(view: ClusterView, shard: number): number {
   if (view.cordoned) return CORDONED_CLAIM_DELAY_MS;
-  let delay = 0;
+  let delayMs = 0;
   for (let i = 0; ; i++) {
     const node = homeNode(view.nodeOrder, shard + i);
-    if (node === view.thisNode) return delay;
-    if (!view.isNodeCordoned(node)) delay += CLAIM_DELAY_PER_NODE_MS;
+    if (node === view.thisNode) return delayMs;
+    if (!view.isNodeCordoned(node)) delayMs += CLAIM_DELAY_PER_NODE_MS;
   }
 }
 
-/** What this node does about one shard now. */
+/** Decides the actions of this node on one shard at the time `now`. */
 export function decideShard(view: ClusterView, state: OwnShardState, now: number): ShardDecision {
   const key = view.ownerKey(state.shard);
   return key ? decideHeld(view, state, key, now) : decideUnowned(view, state, now);
 }
 
-/** Somebody holds the owner key. */
+/** Decides for a shard whose owner key is held by this or another node. */
 function decideHeld(
   view: ClusterView,
   state: OwnShardState,
@@ -116,13 +131,15 @@
 ): ShardDecision {
   const actions: ShardAction[] = [];
   let { owned } = state;
-  // Somebody else's, or a newer term of this node's. An older one is only what this node's view still shows.
+  // The key belongs to another node, or to a newer term of this node. An older term only means that the view is
+  // stale.
   if (owned && key.term > owned.term) {
     actions.push({ kind: 'stopOwning' });
     owned = null;
   }
   if (key.heldHere && !owned && !state.keyInFlight && !view.isHandedOver(state.shard)) {
-    // A claim that was thought lost has been applied after all; or the key of a former ownership is still there.
+    // Either a claim that was considered failed has been applied, or the key of a former ownership has not been
+    // deleted.
     if (!isFreshTerm(key.term, state.retiredTerms))
       actions.push({ kind: 'releaseRetiredTerm', term: key.term });
     else {
@@ -132,14 +149,14 @@
   }
   let { homeAvailableSince } = state;
   if (key.heldHere && owned) {
-    const home = decideReturnHome(view, { ...state, owned }, now);
-    if (home.action) actions.push(home.action);
-    homeAvailableSince = home.availableSince;
+    const homeDecision = decideReturnHome(view, { ...state, owned }, now);
+    if (homeDecision.action) actions.push(homeDecision.action);
+    homeAvailableSince = homeDecision.availableSince;
   }
   return { actions, timers: { unownedSince: null, homeAvailableSince } };
 }
 
-/** Nobody holds the owner key. */
+/** Decides for a shard whose owner key no node holds. */
 function decideUnowned(view: ClusterView, state: OwnShardState, now: number): ShardDecision {
   const { unownedSince, homeAvailableSince } = state;
   if (state.owned) return { actions: [{ kind: 'stopOwning' }], timers: { unownedSince, homeAvailableSince } };
@@ -151,7 +168,10 @@
   };
 }
 
-/** A shard owned away from home goes back when its home node has been available for a while. */
+/**
+ * Decides whether a shard that this node owns, but is not home to, is returned: only after its home node has been
+ * available for `HAND_BACK_AFTER_MS`.
+ */
 function decideReturnHome(
   view: ClusterView,
   state: OwnShardState & { readonly owned: { readonly term: number; readonly ready: boolean } },
@@ -161,20 +181,21 @@
   if (home === view.thisNode || !view.isPresent(home) || view.isNodeCordoned(home))
     return { action: null, availableSince: null };
   const since = state.homeAvailableSince ?? now;
-  const wait = { action: null, availableSince: since };
-  if (now - since < HAND_BACK_AFTER_MS || !state.owned.ready) return wait;
+  const keepShard = { action: null, availableSince: since };
+  if (now - since < HAND_BACK_AFTER_MS || !state.owned.ready) return keepShard;
   if (view.standbys?.isStandbyCapable(home)) {
-    if (!view.standbys.shouldReturnHome(state.shard)) return wait;
+    if (!view.standbys.shouldReturnHome(state.shard)) return keepShard;
     if (view.standbys.successorOf(state.shard) === home)
       return { action: { kind: 'handOverToHome' }, availableSince: null };
-    if (now - since < HAND_BACK_AFTER_MS + HOME_SYNC_TIMEOUT_MS) return wait;
+    if (now - since < HAND_BACK_AFTER_MS + HOME_SYNC_TIMEOUT_MS) return keepShard;
   }
   return { action: { kind: 'handBack', to: home, term: state.owned.term }, availableSince: null };
 }
 
 /**
- * Whether an owner is cut off from the key-value store while its standby is not, and need not wait for its lease to run
- * out. `standbyRenewedAgoMs`: how long ago the standby's lease was renewed, by its last answer; null when there is none.
+ * Returns whether an owner is cut off from the key-value store while its standby is not. Such an owner can hand over
+ * the shard without waiting for its lease to expire. `standbyRenewedAgoMs` is the age of the standby's last lease
+ * renewal, according to its last answer; null when there is no standby.
  */
 export function isCutOffFromStateStore(
   renewalFailingMs: number,
--- a/src/controller/standbycoordinator.ts
+++ b/src/controller/standbycoordinator.ts
@@ -10,34 +10,37 @@
 
 const STATUS_LOG_INTERVAL_MS = 15_000;
 const STATUS_CHECK_INTERVAL_MS = STATUS_LOG_INTERVAL_MS / 3;
-/** Machines of the shards are counted no more often than this. */
+/** Minimum interval between counts of the shards' machines. */
 const COUNT_INTERVAL_MS = 2000;
-/** A standby whose lease was renewed no longer ago than this reaches the key-value store. */
+/** A standby whose lease was renewed within this time is considered able to reach the key-value store. */
 const RECENT_RENEWAL_MS = 3500;
 
-/** What the coordinator needs of the node that it is part of. */
+/** Functions of the node that the coordinator uses. */
 export interface StandbyCoordinatorHooks {
-  /** The node that a shard is at home on. */
+  /** Returns the home node of a shard. */
   homeNode(shard: number): string;
   nodeOrder: readonly string[];
   zoneOf(node: string): string;
-  /** Whether this node takes no shard: the workers cannot reach it, or it is leaving. */
+  /** Whether this node takes no shards, because the workers cannot reach it or it is leaving the cluster. */
   isCordoned(): boolean;
-  /** This node has taken a shard over under a new term. */
+  /** Called when this node has taken over a shard under a new term. */
   onTakeover(shard: number, term: number, takeover: TakeoverState): void;
-  /** Another node has a shard that was this node's under a term. */
+  /** Called when another node has taken a shard that this node owned under `term`. */
   onShardLost(shard: number, term: number): void;
   requestPlan(shard: number): void;
 }
 
-/** Chooses the standbys of this node's shards, and holds its replicas of others'; one for a node where standbys are enabled. */
+/**
+ * Chooses the standbys of this node's shards, and holds this node's replicas of other nodes' shards. A node has one
+ * coordinator if standbys are enabled.
+ */
 export class StandbyCoordinator {
   readonly replicas: StandbyReplicas;
   private readonly jobRecords: JobRecordReplica;
   private readonly evictionBackoff = new EvictionBackoff();
   private loggedAt = 0;
-  private statusLogging: PeriodicTask | null = null;
-  /** How many machines each shard has in each zone. */
+  private statusLogTask: PeriodicTask | null = null;
+  /** Number of machines by shard and zone. */
   private readonly machinesByShard = new Map<number, Map<string, number>>();
   private countedAt = Number.NEGATIVE_INFINITY;
 
@@ -73,20 +76,20 @@
     });
   }
 
-  /** Begins to watch the owners that this node stands by for. */
+  /** Starts monitoring the owners for which this node is the standby. */
   start(): void {
     this.replicas.start();
-    this.statusLogging = startPeriodicTask(this.context.clock, STATUS_CHECK_INTERVAL_MS, () =>
+    this.statusLogTask = startPeriodicTask(this.context.clock, STATUS_CHECK_INTERVAL_MS, () =>
       this.logStatus(),
     );
   }
 
-  /** Ends the log of the status; replicas go on. */
+  /** Stops the periodic status log; the replicas keep running. */
   stop(): void {
-    this.statusLogging?.stop();
+    this.statusLogTask?.stop();
   }
 
-  /** The owner's side of a shard that is this node's now. */
+  /** Creates the owner's side of the replication for a shard that this node now owns. */
   createReplicator(shard: number, term: number, lease: number): StandbyReplicator {
     const log = this.context.log.child({ shard, term });
     const hooks: StandbyReplicatorHooks = {
@@ -106,24 +109,27 @@
     return new StandbyReplicator({ context, mesh, shard, term, evictionBackoff, log, hooks });
   }
 
-  /** Whether a node stands by for shards. */
+  /** Returns whether a node can be a standby for shards. */
   isStandbyCapable(node: string): boolean {
     return this.members.presenceOf(node)?.standbyCapable === true;
   }
 
-  /** The standby that can take a shard over at once and reaches the key-value store; null when there is none. */
+  /**
+   * Returns the standby that can take over a shard immediately and reaches the key-value store; null when there is
+   * none.
+   */
   successor(replicator: StandbyReplicator): string | null {
     const renewedAgoMs = replicator.standbyLeaseRenewedAgoMs;
     return renewedAgoMs !== null && renewedAgoMs < RECENT_RENEWAL_MS ? replicator.inSyncStandby : null;
   }
 
-  /** Whether a node may be a standby of this node's shards now. */
+  /** Returns whether a node may currently be chosen as a standby of this node's shards. */
   private isEligible(node: string): boolean {
     if (this.evictionBackoff.isBackingOff(node, this.context.clock.now())) return false;
     return this.isStandbyCapable(node) && !this.members.isNodeCordoned(node) && this.mesh.connected(node);
   }
 
-  /** How many machines a shard has in each zone; counted anew every 2 s at most. */
+  /** Returns a shard's number of machines by zone. The counts are refreshed every 2 s at most. */
   private machinesByZone(shard: number): ReadonlyMap<string, number> {
     const now = this.context.clock.now();
     if (now - this.countedAt > COUNT_INTERVAL_MS) {
@@ -140,7 +146,7 @@
     return this.machinesByShard.get(shard) ?? new Map();
   }
 
-  /** What a shard costs its owner: its machines, and one for the shard itself. */
+  /** Returns the load of a shard on its owner: one unit for each machine, and one for the shard itself. */
   private weight(shard: number): number {
     let sum = 1;
     for (const n of this.machinesByZone(shard).values()) sum += n;
@@ -148,9 +154,10 @@
   }
 
   /**
-   * Whether a shard is better off on its home node. Each move costs a request to each of its machines, so it goes there only
-   * when that takes more load off this node than it puts on the home node, or when more of its machines are in the home
-   * node's zone than in this one's.
+   * Returns whether a shard should move to its home node. A move costs a request to each of the shard's machines. It
+   * is therefore worthwhile only when this node has more load than the home node would have with the shard added, or
+   * when more of its machines are in the home node's zone than in this node's. When the two zones have different
+   * numbers of the shard's machines, the zones alone decide.
    */
   shouldReturnHome(shard: number): boolean {
     const here = this.context.settings.node;
--- a/src/controller/statusreporting.ts
+++ b/src/controller/statusreporting.ts
@@ -8,9 +8,9 @@
 
 const STATUS_INTERVAL_MS = 500;
 
-/** Reports the status of this node's shards to the leader, twice a second. */
+/** Reports the status of this node's ready shards to the leader, twice a second. */
 export class StatusReporter {
-  private reporting: PeriodicTask | null = null;
+  private reportTask: PeriodicTask | null = null;
 
   constructor(
     private readonly context: ControllerContext,
@@ -20,11 +20,11 @@
   ) {}
 
   start(): void {
-    this.reporting = startPeriodicTask(this.context.clock, STATUS_INTERVAL_MS, () => this.report());
+    this.reportTask = startPeriodicTask(this.context.clock, STATUS_INTERVAL_MS, () => this.report());
   }
 
   stop(): void {
-    this.reporting?.stop();
+    this.reportTask?.stop();
   }
 
   private report(): void {
--- a/src/controller/storedrequests.ts
+++ b/src/controller/storedrequests.ts
@@ -16,41 +16,43 @@
 });
 const answerValue = v.object({ answer: v.unknown(), at: v.number() });
 
-/** Older requests are not acted on: whoever sent one has given its user another answer by then. */
+/** Requests older than this are ignored: their sender has already given its user another answer. */
 const REQUEST_VALID_MS = 4000;
-/** Requests that nobody has deleted are deleted by any node after this. */
+/** Age after which any node deletes a request that its sender has not deleted. */
 const STALE_AFTER_MS = 60_000;
 const SWEEP_INTERVAL_MS = STALE_AFTER_MS / 4;
 const MAX_DELETED_AT_ONCE = 8;
 const MAX_HANDLED_KEYS = 1000;
 
 /**
- * Requests to a shard's owner by way of the key-value store, for when two controllers cannot reach each other while both
- * reach it: a cut between zones, or a packet filter. A stored request is a key under the prefix that every node watches
- * anyway; the owner replaces it with its answer, and whoever sent it deletes it.
+ * Requests to a shard's owner through the key-value store, for controllers that cannot reach each other while both
+ * reach the store, for example because of a network partition between zones or a packet filter. A stored request is a
+ * key under the prefix that every node watches anyway; the owner replaces its value with the answer, and the sender
+ * deletes the key.
  */
 export class StoredRequests {
   private readonly pendingReplies = new Map<string, (answer: unknown) => void>();
   private readonly handledKeys = new Set<string>();
-  private next = 0;
-  private sweeping: PeriodicTask | null = null;
+  private nextRequestNumber = 0;
+  private sweepTask: PeriodicTask | null = null;
 
   constructor(
     private readonly context: ControllerContext,
     private readonly stateCache: ClusterStateCache,
-    /** Answers a request to a shard of this node; null when the shard is not this node's. */
+    /** Answers a request to a shard of this node; null when this node does not serve it. */
     private readonly serveLocally: (shard: number, op: string, args: object) => Promise<unknown> | null,
   ) {}
 
   /**
-   * Sends a request to a shard's owner. Throws `UnreachableError` when no answer comes in time; the owner may still act on
-   * it a little later. Throws `InvalidInputError` when it is too large for the key-value store.
+   * Sends a request to a shard's owner. Throws `UnreachableError` when no answer arrives in time; the owner may still
+   * execute the request shortly afterwards. Throws `InvalidInputError` when the request is too large for the
+   * key-value store.
    */
   async send(shard: number, op: string, args: Record<string, unknown>, timeoutMs: number): Promise<unknown> {
     const value = { shard, op, args, at: Math.round(this.context.clock.wall()) };
     if (JSON.stringify(value).length > this.context.settings.stateLimits.valueKb * 1000)
       throw new InvalidInputError('too large for a stored request');
-    const key = `${KEYS.requests}${this.context.incarnation}-${this.next++}`;
+    const key = `${KEYS.requests}${this.context.incarnation}-${this.nextRequestNumber++}`;
     let timer: Timer | null = null;
     const answered = new Promise((resolve, reject) => {
       this.pendingReplies.set(key, resolve);
@@ -70,7 +72,7 @@
     }
   }
 
-  /** A stored request or an answer has been written. */
+  /** Handles a stored request or an answer that has been written. */
   onRecordChanged(key: string, entry: Entry): void {
     const answer = v.safeParse(answerValue, entry.value);
     if (answer.success) {
@@ -94,21 +96,21 @@
       const value = { answer: await served, at: Math.round(this.context.clock.wall()) };
       await this.context.store.compareAndSwap([{ key, version }], [{ put: key, value }]);
     } catch (error) {
-      // Whoever asked tells its user to come back.
+      // Without a reply, the sender's request times out and its user is asked to retry.
       this.context.log.debug({ err: error }, 'stored request reply failed');
     }
   }
 
   /**
-   * Begins to delete, now and then, what a node that has died meanwhile left behind; the first time finds nothing, as the
-   * copy of the keys is empty then.
+   * Starts to delete, every `SWEEP_INTERVAL_MS`, stale requests left by nodes that have died. The first sweep finds
+   * nothing, because the cache is still empty.
    */
   start(): void {
-    this.sweeping = startPeriodicTask(this.context.clock, SWEEP_INTERVAL_MS, () => this.sweep());
+    this.sweepTask = startPeriodicTask(this.context.clock, SWEEP_INTERVAL_MS, () => this.sweep());
   }
 
   stop(): void {
-    this.sweeping?.stop();
+    this.sweepTask?.stop();
   }
 
   private async sweep(): Promise<void> {
--- a/src/controller/teamassignment.ts
+++ b/src/controller/teamassignment.ts
@@ -6,19 +6,22 @@
 /** The shard of each team, by the team's name. */
 export type TeamAssignment = Readonly<Record<string, number>>;
 
-/** What a team is guaranteed. */
+/** The guaranteed resources of a team. */
 export interface TeamGuarantee {
   readonly name: string;
   readonly cpus: number;
   readonly gpus: number;
 }
 
-/** What a team's guarantee counts when teams, and with them machines, are assigned: in cores, 10 of them for a GPU. */
+/**
+ * Returns the weight of a team in the assignment of teams, and with them of machines: its guaranteed cores plus 10
+ * for each guaranteed GPU, plus 1.
+ */
 export function teamWeight(team: { readonly cpus: number; readonly gpus: number }): number {
   return team.cpus + 10 * team.gpus + 1;
 }
 
-/** Spreads teams over the shards by their guarantees, the largest first; teams that have a shard stay there. */
+/** Balances teams over the shards by weight, the heaviest first. Teams that already have a shard keep it. */
 export function assignTeams(
   teams: readonly TeamGuarantee[],
   assigned: TeamAssignment,
@@ -40,8 +43,8 @@
 }
 
 /**
- * An assignment in as many stored records as a limit of bytes for each asks for. The first record is the last of the list,
- * and written last: it shows that all are there.
+ * Splits an assignment into as many stored records as the size limit of one record requires. The main record is the
+ * last of the list and is written last, so that its presence shows that all records are stored.
  */
 export function assignmentRecords(
   assignment: TeamAssignment,
@@ -63,23 +66,23 @@
     .reverse();
 }
 
-/** What the assignment of teams reads and writes. */
+/** Dependencies of `TeamAssigner`. */
 export interface TeamAssignerOptions {
   readonly context: ControllerContext;
-  /** The leader's term: what it writes holds only under this. */
+  /** The leader's term; writes are conditional on it. */
   readonly term: number;
   readonly stateCache: ClusterStateCache;
-  /** Whether every node understands an assignment in several records. */
+  /** Whether every node supports an assignment in several records. */
   allSupportLatest(): boolean;
 }
 
-/** The leader's part for teams: assigns each to a shard. */
+/** Assigns each team to a shard, on the leader. */
 export class TeamAssigner {
   private assigning = false;
 
   constructor(private readonly options: TeamAssignerOptions) {}
 
-  /** Teams stay in the shard that they were assigned to; new ones go where the guarantees weigh least. */
+  /** Assigns new teams to the shards with the lowest total weight. Teams already assigned keep their shard. */
   async assign(): Promise<void> {
     const { context, stateCache } = this.options;
     const { teams, nodes } = context.settings;
--- a/src/controller/workerconnectivity.ts
+++ b/src/controller/workerconnectivity.ts
@@ -1,45 +1,57 @@
 import type { Clock } from '../clock/clock.js';
 
-/** A machine counts as misrouted when one other node has redirected it here so often, over so long, and it has not reported. */
+/**
+ * A machine counts as misrouted when one other node has redirected it to this node at least this often, redirects
+ * have been seen for at least this long, and it has not sent a heartbeat to this node since.
+ */
 const MIN_REDIRECTS = 2;
 const MIN_REDIRECT_SPAN_MS = 3000;
-/** What other nodes have notified is of no use after this. */
+/** Time after which a redirect notice from another node is outdated. */
 const REDIRECT_VALID_MS = 9000;
-/** One machine that does not report here has a fault of its own. */
+/** A single machine that sends this node no heartbeats is assumed to be faulty itself. */
 const MIN_MISROUTED_MACHINES = 2;
-/** The node is cut off when this share of its machines is misrouted, and no more than that share reports. */
+/**
+ * The node is cut off when at least `MISROUTED_SHARE` of its machines is misrouted and at most `REACHABLE_SHARE` is
+ * on time.
+ */
 const MISROUTED_SHARE = 0.5;
 const REACHABLE_SHARE = 0.1;
-/** A node that was cut off stays cordoned for this long at least, and for twice as long each time it happens again soon. */
+/**
+ * Minimum time for which a node stays cordoned. It doubles, up to a maximum, each time the node is cordoned again
+ * within `CORDON_RESET_MS` of its last uncordoning.
+ */
 const CORDON_BACKOFF_MS = 10_000;
 const MAX_CORDON_BACKOFF_MS = 160_000;
 const CORDON_RESET_MS = 300_000;
 
-/** Redirects of one machine to this node since it last reported here; times in steady milliseconds. */
+/**
+ * Redirects of one machine to this node since its last heartbeat here; times in milliseconds of the monotonic clock.
+ */
 interface RedirectHistory {
   readonly firstAt: number;
   lastAt: number;
-  /** How often each node has redirected it. */
+  /** Number of redirects by each node. */
   readonly countByNode: Map<string, number>;
 }
 
 /**
- * Whether the machines of this node's shards can reach it. A node that only the workers are cut off from can still renew
- * its lease, so nobody else would take its shards. What shows it is that machines report to other nodes, are redirected
- * here, and do not report here, but to the same node again. A machine that is at fault itself reports to nobody, or
- * receives no answers: that one goes from node to node, and passes here in its turn.
+ * Detects whether the machines of this node's shards can reach it. A node that is cut off only from the workers can
+ * still renew its lease, so no other node would take over its shards. The sign of such a cut is that machines send
+ * heartbeats to another node, are redirected to this one, and then send no heartbeat here, but to the same other node
+ * again. A machine that is faulty itself either sends heartbeats to no node, or receives no answers; the latter tries
+ * one node after another, and so also reaches this one.
  */
 export class WorkerConnectivity {
   private readonly redirects = new Map<string, RedirectHistory>();
   private cordonedUntil = 0;
   private cordonMs = CORDON_BACKOFF_MS;
   private uncordonedAt = Number.NEGATIVE_INFINITY;
-  /** The node leaves its shards to others, since the workers cannot reach it. */
+  /** Whether this node is cordoned, and so leaves its shards to other nodes because the workers cannot reach it. */
   cordoned = false;
 
   constructor(private readonly clock: Clock) {}
 
-  /** Another node, `by`, has redirected a machine here. */
+  /** Records that the node `by` has redirected a machine to this node. */
   onRedirect(machine: string, by: string): void {
     const now = this.clock.now();
     let history = this.redirects.get(machine);
@@ -51,15 +63,15 @@
     history.lastAt = now;
   }
 
-  /** A machine has reported here. */
+  /** Records a heartbeat of a machine to this node. */
   onHeartbeat(machine: string): void {
     if (this.redirects.size > 0) this.redirects.delete(machine);
   }
 
   /**
-   * Whether half of the `recent` machines, those that reported here within their lease, cannot reach this node any more. As
-   * long as some still report as regularly as they should (`current`), it is not the node that is cut off: it may be slow,
-   * with all machines of a shard just taken over.
+   * Returns whether half of the `recent` machines, those with a heartbeat to this node within their lease, can no
+   * longer reach it. While more than a tenth of them still send heartbeats on time (`current`), the node is not cut
+   * off: it may only be slow, because it has just taken over all machines of a shard.
    */
   isCutOff(recent: number, current: number): boolean {
     const now = this.clock.now();
@@ -72,7 +84,7 @@
     return misrouted >= Math.max(MIN_MISROUTED_MACHINES, recent * MISROUTED_SHARE);
   }
 
-  /** The node leaves its shards to others from now on, for longer when it did so not long ago. */
+  /** Cordons the node, for a longer time when it was uncordoned only recently. */
   cordon(): void {
     const now = this.clock.now();
     this.cordonMs =
@@ -84,12 +96,14 @@
     this.redirects.clear();
   }
 
-  /** Whether it is time to see if machines can be reached again. */
+  /**
+   * Whether the node has been cordoned for its minimum time, so that it may probe whether it reaches workers again.
+   */
   get mayUncordon(): boolean {
     return this.cordoned && this.clock.now() >= this.cordonedUntil;
   }
 
-  /** The node takes shards again. */
+  /** Uncordons the node, which then takes shards again. */
   uncordon(): void {
     this.cordoned = false;
     this.uncordonedAt = this.clock.now();
