--- a/tests/controller/cordoning.test.ts
+++ b/tests/controller/cordoning.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import { countHeartbeats } from '../../src/controller/cordoning.js';
 
-// Guards against machines that are gone for good counting as ones that cannot reach this node.
-test('only machines that reported within their lease count, and those that report regularly as current', () => {
+// Guards against counting permanently lost machines as machines that cannot reach this node.
+test('counts machines with a heartbeat within their lease, and those on time as current', () => {
   const at = (lastHeartbeatAt: number | null, leaseExpired = false) => ({ lastHeartbeatAt, leaseExpired });
   const limits = { recentMs: 1000, currentMs: 200 };
   assert.deepEqual(countHeartbeats([], 5000, limits), { recent: 0, current: 0 });
--- a/tests/controller/leaderelection.test.ts
+++ b/tests/controller/leaderelection.test.ts
@@ -23,56 +23,71 @@
   readonly vacantSince: number | null;
 }
 
-const here = { term: 5, heldHere: true };
-const elsewhere = { term: 5, heldHere: false };
-const due = NOW - LEADER_CLAIM_DELAY_PER_NODE_MS;
+const heldHere = { term: 5, heldHere: true };
+const heldElsewhere = { term: 5, heldHere: false };
+const dueSince = NOW - LEADER_CLAIM_DELAY_PER_NODE_MS;
 
 const CASES: readonly Case[] = [
   {
     name: 'another node leads',
-    state: { leaderKey: elsewhere, vacantSince: 3 },
+    state: { leaderKey: heldElsewhere, vacantSince: 3 },
     actions: [],
     vacantSince: null,
   },
-  { name: 'this node leads', state: { leaderKey: here, leading: true }, actions: [], vacantSince: null },
+  { name: 'this node leads', state: { leaderKey: heldHere, leading: true }, actions: [], vacantSince: null },
   {
-    name: 'the key is another node’s now',
-    state: { leaderKey: elsewhere, leading: true },
+    name: 'another node has taken the key',
+    state: { leaderKey: heldElsewhere, leading: true },
     actions: [{ kind: 'resign' }],
     vacantSince: null,
   },
   {
-    name: 'a claim that was thought lost',
-    state: { leaderKey: here, claimInFlight: true },
+    name: 'a claim considered failed was applied',
+    state: { leaderKey: heldHere, claimInFlight: true },
     actions: [{ kind: 'lead', term: 5 }],
     vacantSince: null,
   },
   { name: 'vacant since now', state: {}, actions: [], vacantSince: NOW },
-  { name: 'before its turn', state: { vacantSince: due + 1 }, actions: [], vacantSince: due + 1 },
-  { name: 'its turn', state: { vacantSince: due }, actions: [{ kind: 'claim' }], vacantSince: due },
   {
-    name: 'a claim is under way',
-    state: { vacantSince: due, claimInFlight: true },
+    name: 'before its claim delay has passed',
+    state: { vacantSince: dueSince + 1 },
     actions: [],
-    vacantSince: due,
+    vacantSince: dueSince + 1,
   },
-  { name: 'the first node at once', state: { nodeIndex: 0 }, actions: [{ kind: 'claim' }], vacantSince: NOW },
   {
-    name: 'its key is gone: it resigns, and claims again in its turn',
+    name: 'its claim delay has passed',
+    state: { vacantSince: dueSince },
+    actions: [{ kind: 'claim' }],
+    vacantSince: dueSince,
+  },
+  {
+    name: 'a claim is in flight',
+    state: { vacantSince: dueSince, claimInFlight: true },
+    actions: [],
+    vacantSince: dueSince,
+  },
+  {
+    name: 'the first node claims without delay',
+    state: { nodeIndex: 0 },
+    actions: [{ kind: 'claim' }],
+    vacantSince: NOW,
+  },
+  {
+    name: 'its key was deleted: it resigns, and claims again after its claim delay',
     state: { leading: true, nodeIndex: 0 },
     actions: [{ kind: 'resign' }, { kind: 'claim' }],
     vacantSince: NOW,
   },
   {
-    name: 'its key is gone, and others come first',
+    name: 'its key was deleted, and other nodes precede it in the claim order',
     state: { leading: true },
     actions: [{ kind: 'resign' }],
     vacantSince: NOW,
   },
 ];
 
-// Guards against a cluster without a leader, and against a node that goes on to lead without the key.
-test('what a node does about the leadership', () => {
+// Guards against a cluster without a leader, and against a node that keeps leading without the key.
+test('claims, starts and resigns the leadership according to the leader key', () => {
   for (const { name, state, actions, vacantSince } of CASES)
     assert.deepEqual(decideLeadership({ ...STATE, ...state }, NOW), { actions, vacantSince }, name);
 });
--- a/tests/controller/leasekeeper.test.ts
+++ b/tests/controller/leasekeeper.test.ts
@@ -12,12 +12,14 @@
 
 type Renewal = 'renewed' | 'ended' | 'no answer';
 
-/** A node's lease on a state service that grants leases 1, 2, … and answers renewals as `renewal` says. */
+/**
+ * Returns a node's lease on a fake key-value store, which grants leases 1, 2, … and answers renewals by `renewal`.
+ */
 async function joined() {
   const clock = new FakeClock();
   const calls: string[] = [];
   const service = { renewal: 'renewed' as Renewal, presences: [] as unknown[], refused: false, leases: 0 };
-  const call = (name: string) => calls.push(`${clock.now() - startedAt} ${name}`);
+  const recordCall = (name: string) => calls.push(`${clock.now() - startedAt} ${name}`);
   const store = {
     get: async () => null,
     compareAndSwap: async (_conditions: unknown, [write]: { value: unknown }[]) => {
@@ -26,33 +28,33 @@
       return { ok: true, revision: 1 };
     },
     grant: async () => {
-      call('grant');
+      recordCall('grant');
       return ++service.leases;
     },
     renew: async (lease: number, timeoutMs: number) => {
-      call(`renew ${lease} within ${timeoutMs}`);
+      recordCall(`renew ${lease} within ${timeoutMs}`);
       if (service.renewal === 'no answer') throw new Error('no answer');
       return service.renewal === 'renewed';
     },
-    revoke: async (lease: number) => call(`revoke ${lease}`),
+    revoke: async (lease: number) => recordCall(`revoke ${lease}`),
   } as unknown as StateStore;
-  const silent = { info: () => undefined, debug: () => undefined } as unknown as Log;
+  const silentLog = { info: () => undefined, debug: () => undefined } as unknown as Log;
   const startedAt = clock.now();
   const lease = new LeaseKeeper({
     clock,
     store,
-    log: silent,
+    log: silentLog,
     identity: IDENTITY,
     presence: new Presence(store, IDENTITY),
     leaseMs: LEASE_MS,
-    onLeaseLost: () => call('lost'),
+    onLeaseLost: () => recordCall('lost'),
   });
   await lease.start();
   return { clock, lease, service, calls };
 }
 
-// Guards against renewals that come later than they should: the lease of a healthy node would end.
-test('a lease is renewed each quarter of it, sooner after a failure, and joined anew at once when it has ended', async () => {
+// Guards against late renewals, by which the lease of a healthy node would expire.
+test('renews every quarter of the lease, sooner after a failure, and joins again when it has ended', async () => {
   const { clock, lease, service, calls } = await joined();
   await clock.advance(4000);
   assert.deepEqual(calls.splice(0), ['0 grant', '2000 renew 1 within 1500', '4000 renew 1 within 1500']);
@@ -68,11 +70,11 @@
   assert.equal(lease.renewalFailingMs, 0);
   await lease.leave();
   await clock.advance(60_000);
-  assert.deepEqual(calls, ['6800 revoke 2'], 'no renewal after it has left');
+  assert.deepEqual(calls, ['6800 revoke 2'], 'no renewal after leaving');
 });
 
-// Guards against a node that acts after its lease has ended.
-test('a lease is held only while it surely lasts, and a key of an earlier lease or run is not this node’s', async () => {
+// Guards against a node that acts after its lease has expired.
+test('holds a lease only while it is guaranteed valid, and no key of an earlier lease or run', async () => {
   const { clock, lease, service } = await joined();
   service.renewal = 'no answer';
   const lastsMs = LEASE_MS * (1 - 2 * MAX_CLOCK_DRIFT) - 150;
@@ -88,14 +90,14 @@
   assert.equal(lease.isHeldHere({}), false);
 });
 
-test('that a node is cordoned is stored at once, and again with a renewal when that failed', async () => {
+test('publishes the cordoned state at once, and retries a failed write with the next renewal', async () => {
   const { clock, lease, service } = await joined();
   const cordoned = () => service.presences.splice(0).map((p) => (p as { aside?: boolean }).aside);
   assert.deepEqual(cordoned(), [undefined]);
   await lease.publishCordoned(true);
   assert.deepEqual(cordoned(), [true]);
   await clock.advance(2000);
-  assert.deepEqual(cordoned(), [], 'it is stored');
+  assert.deepEqual(cordoned(), [], 'already stored');
   service.refused = true;
   await assert.rejects(lease.publishCordoned(false), StateStoreError);
   service.refused = false;
--- a/tests/controller/peerhandlers.test.ts
+++ b/tests/controller/peerhandlers.test.ts
@@ -9,10 +9,10 @@
 import { UnavailableError } from '../../src/errors/errors.js';
 import type { Shard } from '../../src/scheduler/shard.js';
 
-/** Handlers of a node that owns shard 1, is not the leader, and notes what it is asked to do. */
+/** Returns the handlers of a node that owns shard 1, with fakes that record their calls. */
 function handlers() {
   const calls: unknown[][] = [];
-  const note =
+  const recorder =
     (name: string, answer: unknown = null) =>
     (...args: unknown[]) => {
       calls.push([name, ...args]);
@@ -20,24 +20,27 @@
     };
   const shard = {
     ready: true,
-    transferMachine: note('transferMachine', true),
-    evictForTransfer: note('evictForTransfer', true),
-    reserveForTransfer: note('reserveForTransfer', true),
-    dependencyStatus: note('dependencyStatus', []),
-    onDependencyEnded: note('onDependencyEnded'),
-    status: note('status'),
-    list: note('list', []),
-    registry: { onHeartbeatElsewhere: note('onHeartbeatElsewhere') },
+    transferMachine: recorder('transferMachine', true),
+    evictForTransfer: recorder('evictForTransfer', true),
+    reserveForTransfer: recorder('reserveForTransfer', true),
+    dependencyStatus: recorder('dependencyStatus', []),
+    onDependencyEnded: recorder('onDependencyEnded'),
+    status: recorder('status'),
+    list: recorder('list', []),
+    registry: { onHeartbeatElsewhere: recorder('onHeartbeatElsewhere') },
   } as unknown as Shard;
   const shards = new Map([[1, shard]]);
   const ownership = {
     shards,
-    leader: { onUnregisteredMachine: note('onUnregisteredMachine'), onShardStatus: note('onShardStatus') },
-    workerConnectivity: { onRedirect: note('onRedirect') },
+    leader: {
+      onUnregisteredMachine: recorder('onUnregisteredMachine'),
+      onShardStatus: recorder('onShardStatus'),
+    },
+    workerConnectivity: { onRedirect: recorder('onRedirect') },
     incomingHandovers: { wait: async () => undefined },
-    handovers: { accept: note('accept', false) },
+    handovers: { accept: recorder('accept', false) },
     standbyCoordinator: null,
-    onNewerTerm: note('onNewerTerm'),
+    onNewerTerm: recorder('onNewerTerm'),
   } as unknown as Ownership;
   const ownerClient = {
     localShard: (index: number) => {
@@ -48,23 +51,23 @@
   } as unknown as OwnerClient;
   const members = {
     successor: () => null,
-    onOwnerAnnounced: note('onOwnerAnnounced'),
+    onOwnerAnnounced: recorder('onOwnerAnnounced'),
   } as unknown as Membership;
-  const served = new PeerHandlers({
+  const peerHandlers = new PeerHandlers({
     members,
     ownership,
     ownerClient,
     rateAllocator: null as unknown as RateAllocator,
     peers: new PeerConnections(),
   });
-  return { served, calls };
+  return { peerHandlers, calls };
 }
 
 const MACHINE = { id: 'm-1', addr: '10.0.0.1:1', type: 'c8', zone: 'a', spot: false, ageS: 0 };
 const HOLDER = { node: 'n1', run: 'n1-x', lease: 3 };
 
-// Guards against a reader that refuses, or answers in another way, what versions before this one sent and were answered.
-test('messages are answered as by every version, malformed ones too', async () => {
+// Guards against a parser that rejects messages of earlier versions, or answers them differently from those versions.
+test('answers messages, malformed ones included, as earlier versions do', async () => {
   for (const [op, args, answer, expected] of [
     ['give', { shard: 1, machine: 'm-1', to: 2, more: true }, true, [['transferMachine', 'm-1', 2]]],
     ['give', { shard: '1', machine: 5, to: '2' }, true, [['transferMachine', '5', 2]]],
@@ -107,15 +110,15 @@
     ['owns', { shard: 3, term: 8.5, holder: HOLDER }, null, []],
     ['owns', { shard: 3, term: 8, holder: {} }, null, []],
   ] as [string, unknown, unknown, unknown[][]][]) {
-    const { served, calls } = handlers();
+    const { peerHandlers, calls } = handlers();
     const message = `${op} ${JSON.stringify(args)}`;
-    assert.deepEqual(await served.serve(op, args, 'n2'), answer, message);
+    assert.deepEqual(await peerHandlers.serve(op, args, 'n2'), answer, message);
     assert.deepEqual(calls, expected, message);
   }
 });
 
-test('requests that cannot be served fail in the words of before', async () => {
-  const { served } = handlers();
+test('requests that cannot be served fail with the same messages as in earlier versions', async () => {
+  const { peerHandlers } = handlers();
   for (const [op, args, message] of [
     ['submit', { shard: 1 }, 'bad job'],
     ['submitAfter', null, 'bad job'],
@@ -125,8 +128,8 @@
     ['needed', {}, 'not the owner'],
     ['unheard', {}, 'unknown request unheard'],
   ] as const)
-    await assert.rejects(served.serve(op, args), { message }, op);
-  served.extensions.set('unheard', async (args) => args);
-  assert.deepEqual(await served.serve('unheard', { a: 1 }), { a: 1 });
-  assert.deepEqual(await served.serve('unheard', 5), {});
+    await assert.rejects(peerHandlers.serve(op, args), { message }, op);
+  peerHandlers.extensions.set('unheard', async (args) => args);
+  assert.deepEqual(await peerHandlers.serve('unheard', { a: 1 }), { a: 1 });
+  assert.deepEqual(await peerHandlers.serve('unheard', 5), {});
 });
--- a/tests/controller/shardownership.test.ts
+++ b/tests/controller/shardownership.test.ts
@@ -29,24 +29,24 @@
   readonly standbys?: Partial<{ capable: boolean; returnHome: boolean; successor: string | null }> | null;
 }
 
-/** A cluster of three nodes, seen by n0 unless said otherwise; shard 1 is at home on n1. */
-function view(c: Cluster): ClusterView {
-  const standbys: StandbyView | null = c.standbys
+/** Returns the view of a cluster of three nodes, by default from n0; the home node of shard 1 is n1. */
+function view(cluster: Cluster): ClusterView {
+  const standbys: StandbyView | null = cluster.standbys
     ? {
-        isStandbyCapable: () => c.standbys?.capable ?? true,
-        shouldReturnHome: () => c.standbys?.returnHome ?? true,
-        successorOf: () => c.standbys?.successor ?? null,
+        isStandbyCapable: () => cluster.standbys?.capable ?? true,
+        shouldReturnHome: () => cluster.standbys?.returnHome ?? true,
+        successorOf: () => cluster.standbys?.successor ?? null,
       }
     : null;
   return {
-    thisNode: c.thisNode ?? 'n0',
+    thisNode: cluster.thisNode ?? 'n0',
     nodeOrder: ['n0', 'n1', 'n2'],
-    cordoned: c.cordoned ?? false,
+    cordoned: cluster.cordoned ?? false,
     standbys,
-    ownerKey: () => c.key ?? null,
-    isHandedOver: () => c.handedOver ?? false,
-    isPresent: (node) => !c.absent?.includes(node),
-    isNodeCordoned: (node) => c.cordonedNodes?.includes(node) ?? false,
+    ownerKey: () => cluster.key ?? null,
+    isHandedOver: () => cluster.handedOver ?? false,
+    isPresent: (node) => !cluster.absent?.includes(node),
+    isNodeCordoned: (node) => cluster.cordonedNodes?.includes(node) ?? false,
   };
 }
 
@@ -68,21 +68,21 @@
 }
 
 function check(cases: readonly Case[]): void {
-  for (const c of cases) {
-    const decision = decideShard(view(c.cluster), { ...STATE, ...c.state }, NOW);
-    assert.deepEqual(decision.actions, c.actions, c.name);
-    if (c.timers) {
-      const expected = { unownedSince: null, homeAvailableSince: null, ...c.timers };
-      assert.deepEqual(decision.timers, expected, `${c.name}: timers`);
+  for (const testCase of cases) {
+    const decision = decideShard(view(testCase.cluster), { ...STATE, ...testCase.state }, NOW);
+    assert.deepEqual(decision.actions, testCase.actions, testCase.name);
+    if (testCase.timers) {
+      const expected = { unownedSince: null, homeAvailableSince: null, ...testCase.timers };
+      assert.deepEqual(decision.timers, expected, `${testCase.name}: timers`);
     }
   }
 }
 
-const own = { term: 7, ready: true };
+const ownedState = { term: 7, ready: true };
 const heldHere = { term: 7, heldHere: true };
 
-// Guards against a shard that two nodes act for, or that is taken up again under a term that it was dropped under.
-test('what a node does about a shard whose key somebody holds', () => {
+// Guards against a shard with two acting owners, and against resuming a shard under a term that has been retired.
+test('starts, stops or releases ownership of a shard whose key has a holder', () => {
   check([
     {
       name: 'another node holds it',
@@ -94,23 +94,23 @@
     {
       name: 'another node holds it under a newer term',
       cluster: { key: { term: 8, heldHere: false } },
-      state: { owned: own },
+      state: { owned: ownedState },
       actions: [{ kind: 'stopOwning' }],
     },
     {
       name: 'the view still shows an older term than the one owned',
       cluster: { key: { term: 6, heldHere: false } },
-      state: { owned: own },
+      state: { owned: ownedState },
       actions: [],
     },
     {
-      name: 'a claim that was thought lost',
+      name: 'a claim considered failed was applied',
       cluster: { key: heldHere, absent: ['n1'] },
       actions: [{ kind: 'startOwning', term: 7 }],
       timers: {},
     },
     {
-      name: 'a claim that was thought lost, with the home node present: its time begins',
+      name: 'a claim considered failed was applied, with the home node present: its timer starts',
       cluster: { key: heldHere },
       actions: [{ kind: 'startOwning', term: 7 }],
       timers: { homeAvailableSince: NOW },
@@ -118,13 +118,13 @@
     {
       name: 'a newer term of this node itself',
       cluster: { key: { term: 9, heldHere: true } },
-      state: { owned: own },
+      state: { owned: ownedState },
       actions: [{ kind: 'stopOwning' }, { kind: 'startOwning', term: 9 }],
     },
     {
       name: 'a newer term of this node itself that is retired',
       cluster: { key: { term: 9, heldHere: true } },
-      state: { owned: own, retiredTerms: new Set([9]) },
+      state: { owned: ownedState, retiredTerms: new Set([9]) },
       actions: [{ kind: 'stopOwning' }, { kind: 'releaseRetiredTerm', term: 9 }],
     },
     {
@@ -134,7 +134,7 @@
       actions: [{ kind: 'releaseRetiredTerm', term: 7 }],
     },
     {
-      name: 'a claim, release or handover is under way',
+      name: 'a claim, release or handover is in flight',
       cluster: { key: heldHere },
       state: { keyInFlight: true, retiredTerms: new Set([7]) },
       actions: [],
@@ -143,148 +143,153 @@
   ]);
 });
 
-// Guards against two nodes that claim a free shard at once, and against one that nobody claims.
-test('what a node does about a shard whose key nobody holds', () => {
+// Guards against two nodes that claim an unowned shard at the same time, and against a shard that no node claims.
+test('claims a shard whose key has no holder after the delay of the claim order', () => {
   const free = { key: null };
-  const waited = (ms: number) => ({ unownedSince: NOW - ms });
-  // n0 comes after n1 and n2 for shard 1.
-  const delay = 2 * CLAIM_DELAY_PER_NODE_MS;
+  const unownedFor = (ms: number) => ({ unownedSince: NOW - ms });
+  // n0 follows n1 and n2 in the claim order of shard 1.
+  const turnDelayMs = 2 * CLAIM_DELAY_PER_NODE_MS;
   check([
     {
-      name: 'it owns it: the key is lost',
+      name: 'this node owns the shard, but has lost its key',
       cluster: free,
-      state: { owned: own, unownedSince: null },
+      state: { owned: ownedState, unownedSince: null },
       actions: [{ kind: 'stopOwning' }],
       timers: {},
     },
-    { name: 'seen first now', cluster: free, actions: [], timers: { unownedSince: NOW } },
+    { name: 'first seen unowned now', cluster: free, actions: [], timers: { unownedSince: NOW } },
     {
-      name: 'before its turn',
+      name: 'before its claim delay has passed',
       cluster: free,
-      state: waited(delay - 1),
+      state: unownedFor(turnDelayMs - 1),
       actions: [],
-      timers: waited(delay - 1),
+      timers: unownedFor(turnDelayMs - 1),
     },
     {
-      name: 'its turn',
+      name: 'its claim delay has passed',
       cluster: free,
-      state: waited(delay),
+      state: unownedFor(turnDelayMs),
       actions: [{ kind: 'claim' }],
-      timers: waited(delay),
+      timers: unownedFor(turnDelayMs),
     },
     {
-      name: 'a claim is under way',
+      name: 'a claim is in flight',
       cluster: free,
-      state: { ...waited(delay), keyInFlight: true },
+      state: { ...unownedFor(turnDelayMs), keyInFlight: true },
       actions: [],
     },
-    { name: 'the home node claims at once', cluster: { thisNode: 'n1' }, actions: [{ kind: 'claim' }] },
+    { name: 'the home node claims without delay', cluster: { thisNode: 'n1' }, actions: [{ kind: 'claim' }] },
     {
-      name: 'nobody waits for a cordoned node',
+      name: 'does not wait for a cordoned node',
       cluster: { cordonedNodes: ['n1'] },
-      state: waited(CLAIM_DELAY_PER_NODE_MS),
+      state: unownedFor(CLAIM_DELAY_PER_NODE_MS),
       actions: [{ kind: 'claim' }],
     },
     {
       name: 'a cordoned node leaves it to the others',
       cluster: { thisNode: 'n1', cordoned: true },
-      state: waited(CORDONED_CLAIM_DELAY_MS - 1),
+      state: unownedFor(CORDONED_CLAIM_DELAY_MS - 1),
       actions: [],
     },
     {
-      name: 'a cordoned node claims it when nobody else does',
+      name: 'a cordoned node claims it when no other node does',
       cluster: { thisNode: 'n1', cordoned: true },
-      state: waited(CORDONED_CLAIM_DELAY_MS),
+      state: unownedFor(CORDONED_CLAIM_DELAY_MS),
       actions: [{ kind: 'claim' }],
     },
   ]);
 });
 
-// Guards against shards that stay where they were taken over, and against ones that go to and fro.
-test('when a shard owned away from home goes back', () => {
-  const since = (ms: number) => ({ owned: own, homeAvailableSince: NOW - ms });
+// Guards against shards that are never returned to their home node, and against shards that move back and forth.
+test('returns a shard to its home node once that node has been available long enough', () => {
+  const homeAvailableFor = (ms: number) => ({ owned: ownedState, homeAvailableSince: NOW - ms });
   const handBack = { kind: 'handBack', to: 'n1', term: 7 } as const;
-  const late = HAND_BACK_AFTER_MS + HOME_SYNC_TIMEOUT_MS;
+  const handBackTimeoutMs = HAND_BACK_AFTER_MS + HOME_SYNC_TIMEOUT_MS;
   check([
     {
-      name: 'owned at home',
+      name: 'owned by its home node',
       cluster: { thisNode: 'n1', key: heldHere },
-      state: since(late),
+      state: homeAvailableFor(handBackTimeoutMs),
       actions: [],
       timers: {},
     },
     {
-      name: 'home absent',
+      name: 'home node absent',
       cluster: { key: heldHere, absent: ['n1'] },
-      state: since(late),
+      state: homeAvailableFor(handBackTimeoutMs),
       actions: [],
       timers: {},
     },
     {
-      name: 'home cordoned',
+      name: 'home node cordoned',
       cluster: { key: heldHere, cordonedNodes: ['n1'] },
-      state: since(late),
+      state: homeAvailableFor(handBackTimeoutMs),
       actions: [],
       timers: {},
     },
     {
-      name: 'home back now',
+      name: 'home node first seen available now',
       cluster: { key: heldHere },
-      state: { owned: own },
+      state: { owned: ownedState },
       actions: [],
       timers: { homeAvailableSince: NOW },
     },
-    { name: 'too soon', cluster: { key: heldHere }, state: since(HAND_BACK_AFTER_MS - 1), actions: [] },
     {
-      name: 'home back long enough',
+      name: 'home node not available long enough',
       cluster: { key: heldHere },
-      state: since(HAND_BACK_AFTER_MS),
+      state: homeAvailableFor(HAND_BACK_AFTER_MS - 1),
+      actions: [],
+    },
+    {
+      name: 'home node available long enough',
+      cluster: { key: heldHere },
+      state: homeAvailableFor(HAND_BACK_AFTER_MS),
       actions: [handBack],
       timers: {},
     },
     {
-      name: 'not ready',
+      name: 'shard not ready',
       cluster: { key: heldHere },
-      state: { ...since(late), owned: { term: 7, ready: false } },
+      state: { ...homeAvailableFor(handBackTimeoutMs), owned: { term: 7, ready: false } },
       actions: [],
-      timers: { homeAvailableSince: NOW - late },
+      timers: { homeAvailableSince: NOW - handBackTimeoutMs },
     },
     {
-      name: 'the home node is no standby',
+      name: 'the home node cannot be a standby',
       cluster: { key: heldHere, standbys: { capable: false, returnHome: false } },
-      state: since(HAND_BACK_AFTER_MS),
+      state: homeAvailableFor(HAND_BACK_AFTER_MS),
       actions: [handBack],
     },
     {
-      name: 'better off here',
+      name: 'a move would not improve the placement',
       cluster: { key: heldHere, standbys: { returnHome: false } },
-      state: since(late),
+      state: homeAvailableFor(handBackTimeoutMs),
       actions: [],
     },
     {
       name: 'the home node is in sync',
       cluster: { key: heldHere, standbys: { successor: 'n1' } },
-      state: since(HAND_BACK_AFTER_MS),
+      state: homeAvailableFor(HAND_BACK_AFTER_MS),
       actions: [{ kind: 'handOverToHome' }],
       timers: {},
     },
     {
       name: 'the home node is not in sync yet',
       cluster: { key: heldHere, standbys: { successor: 'n2' } },
-      state: since(late - 1),
+      state: homeAvailableFor(handBackTimeoutMs - 1),
       actions: [],
-      timers: { homeAvailableSince: NOW - late + 1 },
+      timers: { homeAvailableSince: NOW - handBackTimeoutMs + 1 },
     },
     {
       name: 'the home node does not get in sync',
       cluster: { key: heldHere, standbys: {} },
-      state: since(late),
+      state: homeAvailableFor(handBackTimeoutMs),
       actions: [handBack],
     },
   ]);
 });
 
-test('the order of claims begins with the home node and goes round', () => {
+test('the claim order starts with the home node and continues cyclically', () => {
   const nodes = ['n0', 'n1', 'n2'];
   for (const [shard, order] of [
     ['n0', 'n1', 'n2'],
@@ -298,7 +303,7 @@
   assert.equal(homeNode(nodes, 4), 'n1');
 });
 
-test('an owner is cut off from the state service only while its standby is not', () => {
+test('an owner counts as cut off from the key-value store only while its standby is not', () => {
   for (const [failingMs, standbyAgoMs, expected] of [
     [0, 0, false],
     [2499, 0, false],
--- a/tests/controller/teamassignment.test.ts
+++ b/tests/controller/teamassignment.test.ts
@@ -3,8 +3,9 @@
 import { assignmentRecords } from '../../src/controller/teamassignment.js';
 import { readTeamAssignment } from '../../src/schema/schema.js';
 
-// Guards against a record larger than the state service takes, and against a first record that is there before the rest.
-test('an assignment is stored in as many records as the limit asks for, the first of them last', () => {
+// Guards against a record above the key-value store's size limit, and against a main record that is stored before the
+// rest.
+test('splits an assignment into as many records as the size limit requires, with the main record last', () => {
   assert.deepEqual(assignmentRecords({}, 100), [['c/teams', {}]]);
   assert.deepEqual(assignmentRecords({ red: 0, blue: 1 }, 100), [['c/teams', { red: 0, blue: 1 }]]);
   const assignment = Object.fromEntries(Array.from({ length: 40 }, (_, i) => [`team-${i}`, i % 5]));
--- a/tests/controller/writes.test.ts
+++ b/tests/controller/writes.test.ts
@@ -8,82 +8,83 @@
 import { FakeClock } from '../support/clock.js';
 import { FakeCluster, STATE } from '../support/cluster.js';
 
-// Guards against a question that goes to and fro for ever between two nodes that have each handed the shard to the other.
-test('a question is passed on once at most', async () => {
+// Guards against a request that is forwarded forever between two nodes that have each handed the shard to the other.
+test('a request is forwarded at most once', async () => {
   const { c, k } = await busy(1);
   const owner = c.owner(k)!;
-  const [x, y] = NODES.filter((n) => n !== owner) as [string, string];
+  const [firstNode, secondNode] = NODES.filter((n) => n !== owner) as [string, string];
   const term = c.state.items.get(`c/own/${k}`)!.version;
   for (const [at, to] of [
-    [x, y],
-    [y, x],
+    [firstNode, secondNode],
+    [secondNode, firstNode],
   ] as const) {
     const { membership: members } = c.nodes.get(at)!.node;
     members.setSuccessor(k, members.presenceOf(to), term);
   }
   c.sent.length = 0;
   const before = c.clock.now();
-  const reply = await c.call(x, 'GET', '/api/jobs/wk-1');
+  const reply = await c.call(firstNode, 'GET', '/api/jobs/wk-1');
   assert.ok(reply.status === 200 || reply.status === 503);
   assert.ok(c.clock.now() - before < 2000);
-  assert.ok(c.sent.filter((m) => m.op === 'status').length <= 2, 'asked and passed on');
+  assert.ok(c.sent.filter((m) => m.op === 'status').length <= 2, 'sent once and forwarded once');
 });
 
-// Guards against a node that is absent for good: a late copy of the write of its presence, under a lease that it gave up at once, took
-// the place of the present one and went with that lease. Nor may a late word of standing aside outlast a newer one.
-test('late writes of its presence and of standing aside leave a node as it last showed itself', async () => {
-  const c = new FakeCluster(NODES);
-  let lost = 0;
-  c.net.fate = (from, addr, _method, path, body) =>
+// Guards against a node that is absent permanently: a late duplicate of its presence write, under a lease that the
+// node had already given up, replaced the current record and was deleted with that lease. A late write of the
+// cordoned state must not override a newer one either.
+test('late writes of a node’s presence or cordoned state do not override newer ones', async () => {
+  const cluster = new FakeCluster(NODES);
+  let presenceWrites = 0;
+  cluster.net.fate = (from, addr, _method, path, body) =>
     from === 'n0' &&
     addr === STATE &&
     path === '/txn' &&
     JSON.stringify(body).includes('"c/node/n0"') &&
-    lost++ === 0
+    presenceWrites++ === 0
       ? 6000
       : 'deliver';
-  for (const n of NODES) c.startNode(n);
-  const shown = () => c.state.value('c/node/n0') as { lease: number; aside?: boolean } | undefined;
-  await c.clock.advance(20_000);
-  assert.ok(lost > 1, 'written once more');
+  for (const n of NODES) cluster.startNode(n);
+  const presence = () => cluster.state.value('c/node/n0') as { lease: number; aside?: boolean } | undefined;
+  await cluster.clock.advance(20_000);
+  assert.ok(presenceWrites > 1, 'written again');
   assert.equal(
-    shown()?.lease,
-    c.nodes.get('n0')!.node.membership.leaseId,
-    'present under the lease that it has',
+    presence()?.lease,
+    cluster.nodes.get('n0')!.node.membership.leaseId,
+    'present under its current lease',
   );
-  const { membership: members } = c.nodes.get('n0')!.node;
-  lost = 0;
+  const { membership: members } = cluster.nodes.get('n0')!.node;
+  presenceWrites = 0;
   void members.publishCordoned(true).catch(() => undefined);
-  await c.clock.advance(3000);
+  await cluster.clock.advance(3000);
   void members.publishCordoned(false).catch(() => undefined);
-  await c.clock.advance(12_000);
-  assert.equal(shown()?.aside ?? false, false);
-  // What could not be told at all is told with a later renewal.
-  c.net.fate = (from, addr, _method, path) =>
+  await cluster.clock.advance(12_000);
+  assert.equal(presence()?.aside ?? false, false);
+  // A state that could not be written is written with a later renewal.
+  cluster.net.fate = (from, addr, _method, path) =>
     from === 'n0' && addr === STATE && path === '/txn' ? 'refuse' : 'deliver';
   void members.publishCordoned(true).catch(() => undefined);
-  await c.clock.advance(1000);
-  c.net.fate = () => 'deliver';
-  await c.clock.advance(5000);
-  assert.equal(shown()?.aside, true);
+  await cluster.clock.advance(1000);
+  cluster.net.fate = () => 'deliver';
+  await cluster.clock.advance(5000);
+  assert.equal(presence()?.aside, true);
 });
 
-// Guards against a chunk of done tasks that a late write leaves behind for good, after the job's end.
-test('a late write of done tasks finds its job over', async () => {
+// Guards against a chunk of done tasks that a late write leaves behind permanently after its job has ended.
+test('a late write of done tasks has no effect after its job has ended', async () => {
   const { c, k } = await busy(1);
   const owner = c.owner(k)!;
-  let late = 0;
+  let doneTaskWrites = 0;
   c.net.fate = (from, addr, _method, path, body) =>
     from === owner &&
     addr === STATE &&
     path === '/txn' &&
     JSON.stringify(body).includes('"act/wk-1/0"') &&
-    late++ === 0
+    doneTaskWrites++ === 0
       ? 11_000
       : 'deliver';
   c.workers.find((w) => w.on('wk-1/0'))!.end('wk-1/0', 'done');
   await c.clock.advance(2500);
-  assert.equal(late, 1);
+  assert.equal(doneTaskWrites, 1);
   assert.equal((await c.call(owner, 'POST', '/api/jobs/wk-1/abort')).status, 200);
   await c.clock.advance(15_000);
   assert.deepEqual(
@@ -92,8 +93,8 @@
   );
 });
 
-test('a lease of a node is as short as cancellations need it, and where none is short enough that is said', () => {
-  // The known sites, and tighter ones.
+test('a node lease is as short as cancellations require, and any time still missing is returned', () => {
+  // The known sites, and settings with tighter limits.
   for (const [leaseS, cancelS] of [
     [20, 45],
     [16, 41],
@@ -106,16 +107,16 @@
   assert.ok(nodeLease({ leaseS: 20, cancelS: 22 }).missingMs > 3000);
 });
 
-// Guards against a copy of the keys that misses a change for good: a watch ended while its node was refused, with a revision of which
-// it had not told the changes, and a shard that nobody had was taken for somebody's.
-test('an empty answer to a watch does not move the copy of the keys on', async () => {
+// Guards against a cache of the keys that misses a change permanently: a watch ended while its node was being
+// refused, with a revision whose changes it had not delivered, and an unowned shard was considered owned.
+test('an empty answer to a watch does not advance the revision of the cache', async () => {
   const clock = new FakeClock();
-  const asked: number[] = [];
+  const watchedRevisions: number[] = [];
   const answers: Change[][] = [[], [{ key: 'c/own/0', gone: true, version: 9 }]];
   const store = {
     list: async () => ({ entries: [{ key: 'c/own/0', value: {}, version: 4 }], revision: 7 }),
     watch: async (_under: string, since: number) => {
-      asked.push(since);
+      watchedRevisions.push(since);
       const changes = answers.shift();
       return changes ? { revision: 20, changes } : new Promise<never>(() => undefined);
     },
@@ -123,6 +124,6 @@
   const stateCache = new ClusterStateCache(clock, store, 'c/', pino({ level: 'silent' }), () => undefined);
   void stateCache.run();
   await clock.advance(1000);
-  assert.deepEqual(asked, [7, 7, 20]);
+  assert.deepEqual(watchedRevisions, [7, 7, 20]);
   assert.equal(stateCache.entries.size, 0);
 });
