--- a/src/controller/leader.ts
+++ b/src/controller/leader.ts
@@ -13,7 +13,7 @@
 export interface LeaderHooks extends TransferHooks {
   /** Whether this node's lease is guaranteed to be valid. */
   holdsLease(): boolean;
-  /** Whether every node supports the latest protocol version. */
+  /** Whether every node supports `PROTOCOL_VERSION`, and so the features that the first version lacks. */
   allSupportLatest(): boolean;
 }
 
--- a/src/controller/membership.ts
+++ b/src/controller/membership.ts
@@ -225,7 +225,9 @@
     return this.announcedOwners.has(shard);
   }
 
-  /** Records the node to which a shard is handed over from this node's term; null when the handover has failed. */
+  /**
+   * Records the node to which this node hands over a shard that it owned under `term`; null when the handover failed.
+   */
   setSuccessor(shard: number, to: LeaseHolder | null, term: number): void {
     if (to) this.successors.set(shard, { owner: to, term });
     else this.successors.delete(shard);
@@ -237,7 +239,10 @@
     return successor && this.owner(shard) === successor.owner ? successor.owner : null;
   }
 
-  /** Drops announcements and successors that the key-value store's current owner record has superseded. */
+  /**
+   * Handles a change of a shard's owner record: drops an announcement that is not newer than the record, or whose
+   * record was deleted, and a successor whose term is older than the record.
+   */
   onOwnerRecordChanged(shard: number): void {
     const entry = this.stateCache.entries.get(KEYS.owner(shard));
     if (!entry || entry.version >= (this.announcedOwners.get(shard)?.term ?? 0))
--- a/src/controller/ownerclient.ts
+++ b/src/controller/ownerclient.ts
@@ -192,7 +192,7 @@
     else if (owner) this.options.peers.notify(owner.node, PEER_OPS.dependencyEnded, { shard, id, status });
   }
 
-  /** Whether every node supports the latest protocol version. */
+  /** Whether every node supports `PROTOCOL_VERSION`, and so the features that the first version lacks. */
   get allSupportLatest(): boolean {
     return this.options.members.allSupport(this.options.nodes, PROTOCOL_VERSION);
   }
--- a/src/controller/routing.ts
+++ b/src/controller/routing.ts
@@ -63,9 +63,9 @@
 
   /**
    * Returns the shard of a new job; null while teams have not been assigned. In a cluster without teams, the shard is
-   * chosen by a hash of the job's id. So it is for a team with neither a guarantee nor a limit, among the shards of
-   * teams that have one: the resources of such a team need not be counted in one place, and its small tasks can use
-   * what is left on the machines of all these shards.
+   * chosen by a hash of the job's id. The jobs of a team with neither a guarantee nor a limit are spread by the same
+   * hash over the shards of the other teams, because the resources of such a team need not be counted in one place.
+   * Its small tasks can then use what is left on the machines of all these shards.
    */
   shardOf(spec: JobSpec): number | null {
     const { teams, nodes } = this.context.settings;
@@ -109,8 +109,8 @@
     const entry = await findJob((key) => this.context.store.getCoalesced(key), id);
     if (!entry) return null;
     this.cacheRoute(id, entry);
-    // A waiting job whose dependency has been cancelled meanwhile will be cancelled too, and must not be reported as
-    // queued for long.
+    // A dependency of a waiting job may have been cancelled, and the job must not be reported as queued for long in
+    // that case.
     if (
       !entry.final &&
       hasDependencies(entry) &&
--- a/src/controller/shardownership.ts
+++ b/src/controller/shardownership.ts
@@ -62,8 +62,8 @@
   /** Time since which no node has held the owner key. */
   readonly unownedSince: number | null;
   /**
-   * Time since which the home node of a shard that this node owns, but is not home to, has been present and not
-   * cordoned.
+   * Time since which the home node has been present and not cordoned, for a shard that this node owns without being
+   * its home node.
    */
   readonly homeAvailableSince: number | null;
 }
@@ -169,8 +169,8 @@
 }
 
 /**
- * Decides whether a shard that this node owns, but is not home to, is returned: only after its home node has been
- * available for `HAND_BACK_AFTER_MS`.
+ * Decides whether a shard that this node owns without being its home node is returned, which requires that the home
+ * node has been available for `HAND_BACK_AFTER_MS`.
  */
 function decideReturnHome(
   view: ClusterView,
--- a/src/controller/storedrequests.ts
+++ b/src/controller/storedrequests.ts
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Starts to delete, every `SWEEP_INTERVAL_MS`, stale requests left by nodes that have died. The first sweep finds
-   * nothing, because the cache is still empty.
+   * Starts to delete, every `SWEEP_INTERVAL_MS`, stale requests and answers left by nodes that have died. The first
+   * sweep finds nothing, because the cache is still empty.
    */
   start(): void {
     this.sweepTask = startPeriodicTask(this.context.clock, SWEEP_INTERVAL_MS, () => this.sweep());
--- a/tests/controller/cluster.test.ts
+++ b/tests/controller/cluster.test.ts
@@ -125,8 +125,8 @@
   assert.ok(await started(cluster, 'wk-1/0', 2000), 'started in the next session');
   assert.equal(worker.session, 2);
   const other = cluster.addWorker('c8', 'a');
-  // Just after a lease counted from the last answered heartbeat would have expired, and before the session's lease
-  // does.
+  // Half a second after a lease counted from the last answered heartbeat would have expired, and before the session's
+  // own lease expires.
   await cluster.clock.advance(lastHeartbeatAt + (15 + LEASE_S + 2) * 1000 - cluster.clock.now());
   assert.ok(worker.on('wk-1/0'), 'its lease is still valid');
   assert.equal(other.started.length, 0, 'not started elsewhere while the lease is valid');
@@ -808,7 +808,7 @@
   assert.ok(await started(cluster, 'wk-1/0'));
 });
 
-test('idle time starts after booting, and a released machine that is still listed is not registered again', async () => {
+test('idle time starts after booting, and a released machine still listed is not registered again', async () => {
   const cluster = new FakeCluster(['n0']);
   cluster.objectives = [];
   cluster.capacity = true;
