--- a/src/scheduler/admission.ts
+++ b/src/scheduler/admission.ts
@@ -10,16 +10,21 @@
 import type { RuntimeEstimates } from './runtimeestimates.js';
 import { planJobOf, type SchedulingOrder } from './schedulingorder.js';
 
-/** A job without a deadline gets one at so many times the finish that the plans allow. */
-const DEFAULT_SLACK = 1.5;
-/** New jobs are weighed against the same plan for so long, each reserved on top of those before it. */
+/** A job submitted without a deadline gets this multiple of its planned time to finish. */
+const DEFAULT_DEADLINE_FACTOR = 1.5;
+/**
+ * New jobs are admitted against the same plan for this long; each is reserved on top of those admitted before it.
+ */
 const ADMISSION_PLAN_VALID_MS = 1000;
-/** A service runs until it is cancelled: a deadline that it never misses. */
-const SERVICE_DUE_S = 1e7;
-/** So many machines of each kind that could be rented are counted in. */
-const RENTABLE_PER_KIND = 2;
+/**
+ * Deadline of a service, in seconds from now: too far away to be missed, because a service runs until it is
+ * cancelled.
+ */
+const SERVICE_DEADLINE_S = 1e7;
+/** Number of machines that admission plans assume can be rented of each kind on offer. */
+const ASSUMED_RENTALS_PER_KIND = 2;
 
-/** What `Admission` is made of. */
+/** Collaborators of `Admission`. */
 export interface AdmissionParts {
   readonly context: ControllerContext;
   readonly jobTable: JobTable;
@@ -28,28 +33,28 @@
   readonly order: SchedulingOrder;
   readonly dependencies: DependencyTracker;
   readonly autoscaler: Autoscaler;
-  /** The plan that tasks were last started by; null before the first one. */
+  /** Returns the plan by which tasks were last started; null before the first one. */
   readonly lastPlan: () => PlanOnMachines | null;
 }
 
-/** Decides on new jobs by whether they can be done by their deadlines. */
+/** Accepts or refuses new jobs, by whether they can be finished by their deadlines. */
 export class Admission {
-  /** Plans with all jobs of at least a priority, by that priority. */
+  /** Cached plans by priority; each contains all jobs of that priority and above. */
   private readonly plans = new Map<number, { readonly plan: Plan; readonly at: number }>();
 
   constructor(private readonly parts: AdmissionParts) {}
 
   /**
-   * Whether the plan finishes all tasks of a job by its deadline; returns the deadline in seconds from now, or null to
-   * refuse. What is reserved stays, except that jobs of lower priority that have not started come after. `unfinished` are
-   * the jobs that it depends on and that are not done.
+   * Returns the deadline of a job in seconds from now if the plan finishes all of its tasks by then, or null to
+   * refuse the job. Existing reservations are kept, except that jobs of lower priority that have not started are
+   * planned after this one. `unfinished` contains the job's dependencies that are not done.
    */
   admit(job: Job, unfinished: ReadonlySet<string>): number | null {
-    if (job.spec.kind === 'service') return SERVICE_DUE_S;
+    if (job.spec.kind === 'service') return SERVICE_DEADLINE_S;
     const { context, planInput, dependencies } = this.parts;
     const now = context.clock.now();
     const plan = this.planFor(job.priority, now);
-    // A job that waits begins no earlier than the jobs that it depends on are planned to end.
+    // A waiting job starts no earlier than the expected end of its dependencies.
     const releaseAt = unfinished.size > 0 ? dependencies.releaseAt(unfinished, now) : null;
     const planJob = planInput.planJob(job, now, releaseAt)!;
     const dueS =
@@ -57,7 +62,7 @@
         ? this.reserveByDefaultDeadline(plan, job, planJob, now)
         : reserveByDeadline(plan, planJob, now / 1000, job.spec.deadlineS);
     if (dueS === null) return null;
-    // Jobs of lower priority come after this one from now on.
+    // Drops the plans that contain jobs of lower priority: from now on these are planned after this job.
     for (const priority of this.plans.keys()) if (priority < job.priority) this.plans.delete(priority);
     return dueS;
   }
@@ -70,16 +75,18 @@
     return dueS;
   }
 
-  /** All jobs of a priority or more in their place, on the machines that there are or could be rented. */
+  /**
+   * Returns a plan of all jobs of at least a priority on the existing machines and on those that could be rented.
+   */
   private planFor(priority: number, now: number): Plan {
-    const known = this.plans.get(priority);
-    if (known && now - known.at < ADMISSION_PLAN_VALID_MS) return known.plan;
+    const cached = this.plans.get(priority);
+    if (cached && now - cached.at < ADMISSION_PLAN_VALID_MS) return cached.plan;
     const { context, planInput, autoscaler, lastPlan } = this.parts;
     const { machines, refs } = planInput.machines(now);
     const previous = planInput.previousPlacements(lastPlan(), refs);
-    for (const o of autoscaler.rentOptions(now)) {
-      for (let i = 0; i < RENTABLE_PER_KIND; i++)
-        machines.push(planInput.virtualMachine(o, (now + o.bootS * 1100) / 1000));
+    for (const option of autoscaler.rentOptions(now)) {
+      for (let i = 0; i < ASSUMED_RENTALS_PER_KIND; i++)
+        machines.push(planInput.virtualMachine(option, (now + option.bootS * 1100) / 1000));
     }
     const plan = planInput.plan(now, machines);
     for (const entry of this.parts.order.entries()) {
@@ -88,13 +95,13 @@
       if (p && plan.probes < MAX_PLAN_PROBES) reserveAsBefore(plan, p, previous.get(p.id));
     }
     this.reserveDependents(plan, priority, now);
-    // A plan that took long to make serves longer.
+    // A plan that took long to compute is reused for longer.
     const at = context.clock.now();
     this.plans.set(priority, { plan, at: at + pauseAfterPlanMs(context, at - now) });
     return plan;
   }
 
-  /** Reserves for the jobs that wait for others, from when they are expected to be released. */
+  /** Reserves capacity for jobs that wait for others, starting at their expected release. */
   private reserveDependents(plan: Plan, priority: number, now: number): void {
     const { jobTable, planInput, dependencies } = this.parts;
     for (const job of jobTable.jobs.values()) {
@@ -106,18 +113,21 @@
   }
 }
 
-/** Reserves a job if it can be done within `dueS` seconds of `nowS`; returns `dueS`, or null when it cannot. */
+/** Reserves a job if it can finish within `dueS` seconds of `nowS`; returns `dueS`, or null if it cannot. */
 function reserveByDeadline(plan: Plan, planJob: PlanJob, nowS: number, dueS: number): number | null {
-  const mark = plan.reservations.length;
+  const reservationsBefore = plan.reservations.length;
   const finish = plan.reserve({ ...planJob, deadline: nowS + dueS });
   if (finish !== null && finish <= nowS + dueS) return dueS;
-  plan.undo(mark);
+  plan.undo(reservationsBefore);
   return null;
 }
 
-/** The deadline of a job without one, in seconds from now: from the earliest finish in the plan, if there is one. */
+/**
+ * Returns the deadline of a job that was submitted without one, in seconds from now. It derives from the earliest
+ * finish in the plan, if there is one.
+ */
 export function defaultDueS(context: ControllerContext, finishS: number | null, runS: number): number {
-  // No machine in sight: the longest way, from renting one on.
-  const longest = Math.max(60, ...context.catalog.all().map(([, t]) => t.bootS)) * 2 + runS;
-  return DEFAULT_SLACK * (finishS ?? longest);
+  // Without a planned finish, assumes the worst case, in which a machine has to be rented and booted first.
+  const worstCaseS = Math.max(60, ...context.catalog.all().map(([, t]) => t.bootS)) * 2 + runS;
+  return DEFAULT_DEADLINE_FACTOR * (finishS ?? worstCaseS);
 }
--- a/src/scheduler/completionstore.ts
+++ b/src/scheduler/completionstore.ts
@@ -7,25 +7,27 @@
 import type { TaskAttempt } from '../workers/machine.js';
 import type { JobTable } from './jobtable.js';
 
-/** Completed tasks of a job are stored no more often than this, until the last one. */
+/**
+ * Minimum interval between two writes of a job's completed tasks; the write of the last task does not wait for it.
+ */
 const STORE_INTERVAL_MS = 2000;
-/** How often it is looked whether that is over. */
+/** How often `store` checks whether that interval has passed. */
 const STORE_POLL_MS = 100;
 const STORE_RETRY_MS = 400;
 
-/** What `CompletionStore` asks of its shard, and what it reports to it. */
+/** Callbacks by which `CompletionStore` queries and notifies its shard. */
 export interface CompletionStoreHooks {
-  /** Whether the shard is no longer this node's. */
+  /** Returns whether this node no longer owns the shard. */
   stopped(): boolean;
-  /** Stops the shard; returns the error to be thrown. */
+  /** Stops the shard after its ownership was lost; returns the error to throw. */
   lostOwnership(): Error;
-  /** A job has been stored as over. */
+  /** Called when the end of a job has been stored. */
   onStoredEnd(job: Job, status: 'done' | 'cancelled'): void;
-  /** The completion of an attempt is durable: nothing of it is still to be stored. */
-  onAttemptLeft(job: Job, h: TaskAttempt): void;
+  /** Called when the completion of an attempt is durable and nothing about the attempt remains to be stored. */
+  onAttemptLeft(job: Job, attempt: TaskAttempt): void;
 }
 
-/** What `CompletionStore` is made of. */
+/** Collaborators of `CompletionStore`. */
 export interface CompletionStoreParts {
   readonly context: ControllerContext;
   readonly jobTable: JobTable;
@@ -34,25 +36,28 @@
   readonly hooks: CompletionStoreHooks;
 }
 
-/** Makes completed tasks durable; only then may the machines forget them. */
+/** Stores completed tasks durably. Machines may forget a completed task only after it has been stored. */
 export class CompletionStore {
   constructor(private readonly parts: CompletionStoreParts) {}
 
   /**
-   * Stores the completed tasks of a job, again until all are. Completions that come close together are stored together: an
-   * array of tiny tasks would take the key-value store's rate away from acceptances.
+   * Stores the completed tasks of a job, and repeats this until all of them are stored. Completions in quick
+   * succession are stored in one write: otherwise an array of tiny tasks would use up the write rate of the
+   * key-value store that the acceptance of new jobs needs.
    */
   async store(job: Job): Promise<void> {
     if (job.storing) return;
     job.storing = true;
     const { context, jobTable, log, hooks } = this.parts;
     const { clock } = context;
-    const unfinished = () => !hooks.stopped() && job.state === 'active' && job.done.count < job.spec.tasks;
+    const hasUnfinishedTasks = () =>
+      !hooks.stopped() && job.state === 'active' && job.done.count < job.spec.tasks;
     try {
-      while (unfinished() && clock.now() < job.storeAfter) await pause(clock, STORE_POLL_MS);
+      while (hasUnfinishedTasks() && clock.now() < job.storeAfter) await pause(clock, STORE_POLL_MS);
       await jobTable.exclusive(job.spec.id, () => this.storeOnce(job));
     } catch (error) {
-      if (!(error instanceof NotOwnerError)) log.error({ err: error }, 'storing task completions gave up');
+      if (!(error instanceof NotOwnerError))
+        log.error({ err: error }, 'storing task completions failed unexpectedly; will be retried');
     } finally {
       job.storeAfter = clock.now() + STORE_INTERVAL_MS;
       job.storing = false;
@@ -74,15 +79,16 @@
   }
 
   private acknowledgeExits(job: Job): void {
-    // A shard that is lost leaves what it could not store to its next owner; to try on would never end.
+    // After the shard is lost, completions not yet stored are left to its next owner; retrying them here would
+    // never end.
     if (this.parts.hooks.stopped()) return;
     if (job.storedCount < job.done.count && job.state === 'active') {
       void this.store(job);
       return;
     }
-    for (const h of job.unacknowledgedExits.splice(0)) {
-      h.exitRecorded = true;
-      this.parts.hooks.onAttemptLeft(job, h);
+    for (const attempt of job.unacknowledgedExits.splice(0)) {
+      attempt.exitRecorded = true;
+      this.parts.hooks.onAttemptLeft(job, attempt);
     }
   }
 }
--- a/src/scheduler/dependencypoller.ts
+++ b/src/scheduler/dependencypoller.ts
@@ -4,63 +4,74 @@
 import type { DependencyStatus, DependentClaim } from './dependencymessages.js';
 import type { UrgencyPropagation } from './urgencypropagation.js';
 
-/** Owners of jobs that jobs of this shard depend on are asked this often, all jobs of a shard with one request. */
+/** Interval between polls of the owners of dependencies; one request covers all dependencies in a shard. */
 const POLL_INTERVAL_MS = 1000;
-/** Many changes that come close together make one poll. */
+/** Delay before a requested poll, so that many changes in quick succession cause only one. */
 const POLL_DELAY_MS = 60;
 const MAX_CLAIMS_PER_REQUEST = 2000;
-/** When an owner has not answered for so long, the key-value store is asked. */
-const OWNER_SILENT_MS = 3000;
-/** Reads of the key-value store under way at a time, on behalf of dependencies. */
+/** When no answer of its owner has confirmed a dependency as active for this long, the key-value store is read. */
+const STATUS_STALE_MS = 3000;
+/** Maximum number of concurrent reads of the key-value store on behalf of dependencies. */
 export const MAX_CONCURRENT_READS = 8;
 
-/** A job that others depend on and that is not known to be over. */
+/** A job that jobs of this shard depend on and that is not known to have ended. */
 export interface Dependency {
   /** The jobs of this shard that wait for it. */
   readonly dependents: Set<Job>;
-  /** The shard that it is in, when that is known. */
+  /** The index of the shard that the job belongs to; null when it is not known. */
   shard: number | null;
-  /** When it was last known not to be cancelled, nor to be about to be; steady milliseconds. */
+  /**
+   * The last time when it was certain that the job was neither cancelled nor about to be; monotonic clock, in
+   * milliseconds.
+   */
   activeAsOf: number;
-  /** When it is expected to end, in steady milliseconds; null when that is not known. */
+  /** Expected end on the monotonic clock, in milliseconds; null when it is not known. */
   expectedEndAt: number | null;
-  /** A read of the key-value store on its behalf is under way. */
+  /** Whether a read of the key-value store on its behalf is in flight. */
   readInFlight: boolean;
 }
 
-/** What the poller asks of the owners of other shards, the key-value store and its own shard. */
+/** Callbacks by which the poller queries the owners of other shards, the key-value store and its own shard. */
 export interface DependencyPollerHooks {
-  /** How a job of this shard ended, as far as it is remembered. */
+  /** Returns how a job of this shard ended; null when it has not ended or its end is no longer in memory. */
   endedStatus(id: string): 'done' | 'cancelled' | null;
-  /** Where a job is, or how it ended; null when it was never accepted. */
+  /** Looks up the shard of a job and how the job ended, if it has; returns null when it was never accepted. */
   locate(id: string): Promise<JobEntry | null>;
-  /** The status of a job by the key-value store alone, with all that it depends on. */
+  /**
+   * Returns the status of a job by the key-value store alone, which includes the records of everything that it
+   * depends on; `unsure` when one of these was cancelled or when too much would have to be read.
+   */
   jobStatusFromStore(id: string): Promise<'active' | 'done' | 'cancelled' | 'unsure'>;
-  /** Loads a job of this shard that is stored and that this owner does not know of. */
+  /** Loads a job of this shard that is stored but not in the memory of this owner. */
   recall(id: string): Promise<unknown>;
-  /** Asks the owner of another shard about its jobs, with the claims of their dependents. */
+  /**
+   * Requests the status of jobs from the owner of another shard; the request carries the claims of their
+   * dependents.
+   */
   requestStatus(shard: number, claims: DependentClaim[]): Promise<DependencyStatus[]>;
-  /** A job that others depend on is durably over. */
+  /** Called when a job that others depend on has durably ended. */
   onEnded(id: string, status: 'done' | 'cancelled'): void;
 }
 
-/** What `DependencyPoller` is made of. */
+/** Collaborators of `DependencyPoller`. */
 export interface DependencyPollerParts {
   readonly context: ControllerContext;
   /** The shard's index among the shards of the cluster. */
   readonly index: number;
   readonly jobs: ReadonlyMap<string, Job>;
-  /** What is polled for, by job id; kept by the tracker. */
+  /** The dependencies to poll for, by job id; maintained by the tracker. */
   readonly dependencies: ReadonlyMap<string, Dependency>;
   readonly urgency: UrgencyPropagation;
   readonly log: Log;
   readonly hooks: DependencyPollerHooks;
 }
 
-/** Asks owners, and where they do not answer the key-value store, about the jobs that jobs of this shard depend on. */
+/**
+ * Polls the status of the jobs that jobs of this shard depend on: from their owners, else from the key-value store.
+ */
 export class DependencyPoller {
   private readsInFlight = 0;
-  /** Something was not read since too many reads were under way. */
+  /** Whether a read was skipped because too many reads were in flight. */
   private readsDeferred = false;
   private polledAt = Number.NEGATIVE_INFINITY;
   private pollScheduled = false;
@@ -68,17 +79,17 @@
 
   constructor(private readonly parts: DependencyPollerParts) {}
 
-  /** The shard is lost: what its jobs depend on is its next owner's to find out. */
+  /** Stops polling after the shard is lost: its next owner determines the status of the dependencies. */
   stop(): void {
     this.stopped = true;
   }
 
-  /** Polls when the last poll is long enough ago; `now` in steady milliseconds. */
+  /** Polls if the poll interval has passed; `now` is the monotonic clock in milliseconds. */
   pollIfDue(now: number): void {
     if (now - this.polledAt >= POLL_INTERVAL_MS) this.poll(now);
   }
 
-  /** Polls shortly; many calls at once make one poll. */
+  /** Schedules a poll after a short delay; further calls before it runs have no effect. */
   pollSoon(): void {
     if (this.pollScheduled) return;
     this.pollScheduled = true;
@@ -97,12 +108,12 @@
     for (const [id, dependency] of dependencies) {
       if (jobs.has(id)) dependency.shard = index;
       else if (dependency.shard === null) this.locate(id, dependency);
-      else if (dependency.shard === index) this.recall(id, dependency);
+      else if (dependency.shard === index) this.loadFromOwnShard(id, dependency);
       else {
         const claims = claimsByShard.get(dependency.shard) ?? [];
         if (claims.length < MAX_CLAIMS_PER_REQUEST) claims.push(this.claimFor(id, dependency));
         claimsByShard.set(dependency.shard, claims);
-        if (now - dependency.activeAsOf > OWNER_SILENT_MS) this.readStatus(id, dependency);
+        if (now - dependency.activeAsOf > STATUS_STALE_MS) this.readStatus(id, dependency);
       }
     }
     for (const [shard, claims] of claimsByShard) void this.requestFromOwner(shard, claims);
@@ -143,7 +154,7 @@
   }
 
   private locate(id: string, dependency: Dependency): void {
-    this.read(dependency, async () => {
+    this.startRead(dependency, async () => {
       const entry = await this.parts.hooks.locate(id);
       if (entry?.final) this.parts.hooks.onEnded(id, entry.final);
       else if (entry) {
@@ -153,10 +164,13 @@
     });
   }
 
-  /** A job that was accepted for this shard by another controller, or whose acceptance was applied late; or one long over. */
-  private recall(id: string, dependency: Dependency): void {
+  /**
+   * Loads a dependency that belongs to this shard but is not in memory: one that another controller accepted for
+   * this shard, one whose acceptance was applied late, or one that ended long ago.
+   */
+  private loadFromOwnShard(id: string, dependency: Dependency): void {
     const { hooks, jobs } = this.parts;
-    this.read(dependency, async () => {
+    this.startRead(dependency, async () => {
       await hooks.recall(id);
       const final = hooks.endedStatus(id);
       const state = final ?? (jobs.has(id) ? 'active' : await hooks.jobStatusFromStore(id));
@@ -165,7 +179,7 @@
   }
 
   private readStatus(id: string, dependency: Dependency): void {
-    this.read(dependency, async () => {
+    this.startRead(dependency, async () => {
       const sentAt = this.parts.context.clock.now();
       const state = await this.parts.hooks.jobStatusFromStore(id);
       if (state === 'active') dependency.activeAsOf = Math.max(dependency.activeAsOf, sentAt);
@@ -173,8 +187,11 @@
     });
   }
 
-  /** Few reads at a time, however many jobs wait: they take from the rate that acceptances need. */
-  private read(dependency: Dependency, work: () => Promise<void>): void {
+  /**
+   * Starts a read unless too many are in flight. The limit holds however many jobs wait, because reads use up the
+   * request rate of the key-value store that the acceptance of new jobs needs.
+   */
+  private startRead(dependency: Dependency, read: () => Promise<void>): void {
     if (dependency.readInFlight) return;
     if (this.readsInFlight >= MAX_CONCURRENT_READS) {
       this.readsDeferred = true;
@@ -182,13 +199,18 @@
     }
     dependency.readInFlight = true;
     this.readsInFlight++;
-    void work()
+    void read()
       .then(() => {
-        // The next ones at once, but after a failure only with the next tick.
+        // Starts the skipped reads at once after a success, but only with the next tick after a failure.
         if (this.readsDeferred) this.pollSoon();
         this.readsDeferred = false;
       })
-      .catch((error) => this.parts.log.debug({ err: error }, 'dependency read failed'))
+      .catch((error) =>
+        this.parts.log.debug(
+          { err: error },
+          'reading the status of a dependency from the key-value store failed',
+        ),
+      )
       .finally(() => {
         dependency.readInFlight = false;
         this.readsInFlight--;
--- a/src/scheduler/dependencytracker.ts
+++ b/src/scheduler/dependencytracker.ts
@@ -11,51 +11,58 @@
 } from './dependencypoller.js';
 import { UrgencyPropagation } from './urgencypropagation.js';
 
-/** What another owner has said of the dependents of a job counts for so long. */
+/** How long a claim that another shard has sent on a job remains valid. */
 const CLAIM_VALID_MS = 5000;
-/** When a job that others depend on ends is not known: so long from now. */
+/** Assumed time until the end of a dependency whose expected end is not known. */
 const DEFAULT_REMAINING_MS = 30_000;
-/** Of the time in which the dependents of a cancelled job have to be cancelled, the share that may pass without knowing of it. */
-const MAX_KNOWLEDGE_AGE_SHARE = 0.5;
-/** Sent for an age that is not finite, which JSON could not hold. */
+/**
+ * Maximum age of the status of a waiting job's dependencies, as a share of the time within which the dependents of
+ * a cancelled job have to be cancelled.
+ */
+const MAX_STATUS_AGE_SHARE = 0.5;
+/** Sent in place of an age that is not finite, because JSON cannot represent infinity. */
 const UNKNOWN_AGE_MS = 1e9;
 
-/** What the tracker asks of its shard and of the owners of other shards. */
+/** Callbacks by which the tracker queries and notifies its shard and the owners of other shards. */
 export interface DependencyTrackerHooks extends Omit<DependencyPollerHooks, 'onEnded'> {
-  /** Tells the owner of a shard how a job ended that jobs of that shard depend on. */
+  /** Notifies the owner of a shard of the end of a job that jobs of that shard depend on. */
   notifyEnded(shard: number, id: string, status: 'done' | 'cancelled'): void;
-  /** All that the job depends on is done. */
+  /** Called when all dependencies of a job are done. */
   onReleased(job: Job): void;
-  /** A job that it depends on was cancelled. */
+  /** Called when a dependency of a job was cancelled. */
   onCancelledByDependency(job: Job): void;
-  /** When a job that waits for no other is expected to end, in steady milliseconds. */
+  /** Returns the expected end of a job without unfinished dependencies, on the monotonic clock in milliseconds. */
   expectedEnd(job: Job, now: number): number;
-  /** How long a task of a job is expected to run, in seconds. */
+  /** Returns the expected run time of a task of a job, in seconds. */
   runS(spec: JobSpec): number;
 }
 
-/** What the dependencies of a new job allow: which of them are not known to be done, or that one was never accepted. */
+/**
+ * The dependencies of a new job: which of them are unfinished and whether one was cancelled, or that one was never
+ * accepted.
+ */
 export type DependencyCheck =
   | { readonly kind: 'known'; readonly unfinished: ReadonlySet<string>; readonly anyCancelled: boolean }
   | { readonly kind: 'neverAccepted'; readonly id: string };
 
-/** What is known of a job that waits; times in steady milliseconds. */
+/** Assessment of a waiting job; times are on the monotonic clock, in milliseconds. */
 interface Assessment {
-  /** Until when it was surely not to be cancelled. */
-  readonly sureAt: number;
-  /** When all that it waits for is expected to have ended. */
+  /** The last time when it was certain that no dependency causes the job to be cancelled. */
+  readonly activeAsOf: number;
+  /** When all of its unfinished dependencies are expected to have ended. */
   readonly expectedReleaseAt: number;
 }
 
 /**
- * Jobs of a shard that wait for others to be done, and their release. What becomes of them follows from the durable ends
- * of the jobs that they name: messages between owners only make it quick, and whatever is lost is asked for again.
+ * Tracks the jobs of a shard that wait for other jobs, and releases or cancels them. Their outcome depends only on
+ * the durably stored ends of the jobs that they name: messages between owners merely speed this up, and information
+ * from a lost message is requested again.
  */
 export class DependencyTracker {
   private readonly dependencies = new Map<string, Dependency>();
-  /** The claims of other shards on jobs of this one, by job and shard. */
+  /** The claims of other shards on jobs of this one, by job and by the claiming shard. */
   private readonly claims = new Map<string, Map<number, DependentClaim & { until: number }>>();
-  /** Of the jobs that wait. */
+  /** The assessments of the waiting jobs. */
   private readonly assessments = new WeakMap<Job, Assessment>();
   private readonly urgency: UrgencyPropagation;
   private readonly poller: DependencyPoller;
@@ -79,63 +86,63 @@
     });
   }
 
-  /** The shard is lost: what its jobs depend on is its next owner's to find out. */
+  /** Stops polling after the shard is lost: its next owner determines the status of the dependencies. */
   stop(): void {
     this.poller.stop();
   }
 
-  /** Of the jobs that a new job names, those that are not known to be done. */
+  /** Looks up the dependencies that a new job names. */
   async unfinishedDependencies(spec: JobSpec): Promise<DependencyCheck> {
     const unfinished = new Set<string>();
     let anyCancelled = false;
     let neverAccepted: string | null = null;
     const ids = [...spec.after];
-    const check = async () => {
+    const checkRemaining = async () => {
       for (let id = ids.pop(); id !== undefined && neverAccepted === null; id = ids.pop()) {
-        const entry = await this.find(id);
+        const entry = await this.locateJob(id);
         if (!entry) neverAccepted = id;
         else if (entry.final === 'cancelled') anyCancelled = true;
         else if (!entry.final) unfinished.add(id);
       }
     };
-    await Promise.all(Array.from({ length: Math.min(MAX_CONCURRENT_READS, ids.length) }, check));
+    await Promise.all(Array.from({ length: Math.min(MAX_CONCURRENT_READS, ids.length) }, checkRemaining));
     return neverAccepted === null
       ? { kind: 'known', unfinished, anyCancelled }
       : { kind: 'neverAccepted', id: neverAccepted };
   }
 
-  private async find(id: string): Promise<JobEntry | null> {
+  private async locateJob(id: string): Promise<JobEntry | null> {
     if (this.jobs.has(id)) return { shard: this.index };
     const final = this.hooks.endedStatus(id);
     return final ? { shard: this.index, final } : this.hooks.locate(id);
   }
 
-  /** Takes up jobs that were accepted, by this owner or one before it. */
+  /** Starts tracking the dependencies of jobs that this owner or a former one has accepted. */
   add(jobs: Iterable<Job>): void {
     const now = this.context.clock.now();
-    let waits = false;
+    let anyWaiting = false;
     for (const job of jobs) {
-      if (!this.addOne(job)) continue;
-      waits = true;
-      // The dependencies of its dependencies follow with the next tick.
+      if (!this.trackDependencies(job)) continue;
+      anyWaiting = true;
+      // Boosts only the direct dependencies; the indirect ones follow with the next tick.
       this.assess(job, now);
       this.urgency.boostDependencies(job);
     }
-    if (waits) this.poller.pollSoon();
+    if (anyWaiting) this.poller.pollSoon();
   }
 
-  private addOne(job: Job): boolean {
+  private trackDependencies(job: Job): boolean {
     for (const id of job.spec.after) {
       const final = this.hooks.endedStatus(id);
       if (final === 'done') continue;
       job.pendingDependencies.add(id);
       if (final === 'cancelled') this.cancelByDependency(job);
-      else this.dependency(id).dependents.add(job);
+      else this.dependencyOf(id).dependents.add(job);
     }
     return job.pendingDependencies.size > 0;
   }
 
-  private dependency(id: string): Dependency {
+  private dependencyOf(id: string): Dependency {
     let dependency = this.dependencies.get(id);
     if (!dependency) {
       dependency = {
@@ -157,17 +164,17 @@
   }
 
   /**
-   * A job is durably over: its dependents are released or cancelled, here and in other shards. `job` is the job itself when it
-   * was in memory here.
+   * Releases or cancels the dependents of a job that has durably ended, and notifies the other shards that depend
+   * on it. `job` is the job itself if it was in memory here.
    */
   onJobEnded(id: string, status: 'done' | 'cancelled', job: Job | null): void {
     if (job) this.removeDependent(job);
-    const ended = this.dependencies.get(id);
+    const dependency = this.dependencies.get(id);
     this.dependencies.delete(id);
-    for (const dependent of ended?.dependents ?? []) {
+    for (const dependent of dependency?.dependents ?? []) {
       if (status === 'cancelled') this.cancelByDependency(dependent);
       else if (dependent.pendingDependencies.delete(id) && dependent.pendingDependencies.size === 0) {
-        this.log.info({ job: dependent.spec.id }, 'job released');
+        this.log.info({ job: dependent.spec.id }, 'job released: all of its dependencies are done');
         this.hooks.onReleased(dependent);
       }
     }
@@ -183,54 +190,58 @@
     }
   }
 
-  /** Notes the claims of another shard on jobs of this one; returns the status of each of those jobs. */
-  onDependentClaims(from: number, claims: readonly DependentClaim[]): DependencyStatus[] {
+  /** Records the claims of another shard on jobs of this one, and returns the status of each of those jobs. */
+  onDependentClaims(fromShard: number, claims: readonly DependentClaim[]): DependencyStatus[] {
     const now = this.context.clock.now();
-    return claims.map((c): DependencyStatus => {
-      const job = this.jobs.get(c.id);
-      if (!job) return { id: c.id, state: this.hooks.endedStatus(c.id) ?? 'unknown', ageMs: 0, endInMs: 0 };
-      const byShard = this.claims.get(c.id) ?? new Map<number, DependentClaim & { until: number }>();
-      this.claims.set(c.id, byShard);
-      byShard.set(from, { ...c, until: now + CLAIM_VALID_MS });
-      const age = this.knowledgeAgeMs(job, now);
+    return claims.map((claim): DependencyStatus => {
+      const job = this.jobs.get(claim.id);
+      if (!job)
+        return { id: claim.id, state: this.hooks.endedStatus(claim.id) ?? 'unknown', ageMs: 0, endInMs: 0 };
+      const byShard = this.claims.get(claim.id) ?? new Map<number, DependentClaim & { until: number }>();
+      this.claims.set(claim.id, byShard);
+      byShard.set(fromShard, { ...claim, until: now + CLAIM_VALID_MS });
+      const statusAge = this.statusAgeMs(job, now);
       return {
-        id: c.id,
+        id: claim.id,
         state: 'active',
-        ageMs: Number.isFinite(age) ? age : UNKNOWN_AGE_MS,
+        ageMs: Number.isFinite(statusAge) ? statusAge : UNKNOWN_AGE_MS,
         endInMs: Math.max(0, this.expectedEndOf(job, now) - now),
       };
     });
   }
 
-  /** How long ago a job was surely not to be cancelled for one of its dependencies, direct or not; milliseconds. */
-  private knowledgeAgeMs(job: Job, now: number): number {
-    // One that its user wants cancelled may be called so by whoever reads its record, before its owner knows that it is stored.
+  /**
+   * Returns the time since it was last certain that no direct or indirect dependency causes a job to be cancelled,
+   * in milliseconds.
+   */
+  private statusAgeMs(job: Job, now: number): number {
+    // A job whose user has requested its cancellation may be reported as cancelled by any node that reads its
+    // record, before its owner knows that the cancellation is stored.
     if (job.cancelledByDependency || job.cancelRequested) return Number.POSITIVE_INFINITY;
-    return job.pendingDependencies.size === 0 ? 0 : now - (this.assessments.get(job)?.sureAt ?? 0);
+    return job.pendingDependencies.size === 0 ? 0 : now - (this.assessments.get(job)?.activeAsOf ?? 0);
   }
 
   /**
-   * Whether it may be reported to a user that a job waits or runs. A job that is cancelled with one of its dependencies must
-   * not be called queued for long: where that cannot be known for some time, the user has to ask again.
+   * Returns whether a job may be reported to a user as queued or running. A job that is cancelled because of one of
+   * its dependencies must not be reported as queued for long: while the status of its dependencies is too old to
+   * rule this out, the user has to ask again.
    */
   mayReportStatus(job: Job): boolean {
-    const maxAgeMs = this.context.settings.workers.cancelS * 1000 * MAX_KNOWLEDGE_AGE_SHARE;
-    return (
-      job.pendingDependencies.size === 0 || this.knowledgeAgeMs(job, this.context.clock.now()) <= maxAgeMs
-    );
+    const maxAgeMs = this.context.settings.workers.cancelS * 1000 * MAX_STATUS_AGE_SHARE;
+    return job.pendingDependencies.size === 0 || this.statusAgeMs(job, this.context.clock.now()) <= maxAgeMs;
   }
 
-  /** When the last of these jobs is expected to end, in steady milliseconds. */
+  /** Returns the expected end of the last of these jobs, on the monotonic clock in milliseconds. */
   releaseAt(unfinished: Iterable<string>, now: number): number {
-    let at = now;
+    let latest = now;
     for (const id of unfinished) {
       const local = this.jobs.get(id);
       const end = local
         ? this.expectedEndOf(local, now)
         : (this.dependencies.get(id)?.expectedEndAt ?? now + DEFAULT_REMAINING_MS);
-      at = Math.max(at, end);
+      latest = Math.max(latest, end);
     }
-    return at;
+    return latest;
   }
 
   private expectedEndOf(job: Job, now: number): number {
@@ -238,7 +249,10 @@
     return (this.assessments.get(job)?.expectedReleaseAt ?? now) + this.hooks.runS(job.spec) * 1000;
   }
 
-  /** Assesses all jobs that wait by their dependencies; those come before them in order. */
+  /**
+   * Assesses all waiting jobs and propagates urgency to their dependencies. An assessment uses those of the job's
+   * dependencies, which precede it in the order of acceptance.
+   */
   private assessAll(now: number): void {
     const waiting = [...this.jobs.values()]
       .filter((j) => j.pendingDependencies.size > 0)
@@ -248,25 +262,32 @@
   }
 
   private assess(job: Job, now: number): void {
-    let sureAt = now;
+    let activeAsOf = now;
     for (const id of job.pendingDependencies) {
       const local = this.jobs.get(id);
-      sureAt = Math.min(
-        sureAt,
-        local ? now - this.knowledgeAgeMs(local, now) : (this.dependencies.get(id)?.activeAsOf ?? 0),
+      activeAsOf = Math.min(
+        activeAsOf,
+        local ? now - this.statusAgeMs(local, now) : (this.dependencies.get(id)?.activeAsOf ?? 0),
       );
     }
-    this.assessments.set(job, { sureAt, expectedReleaseAt: this.releaseAt(job.pendingDependencies, now) });
+    this.assessments.set(job, {
+      activeAsOf,
+      expectedReleaseAt: this.releaseAt(job.pendingDependencies, now),
+    });
   }
 
   private *allClaims(): Iterable<readonly [string, DependentClaim]> {
     for (const [id, byShard] of this.claims) for (const claim of byShard.values()) yield [id, claim];
   }
 
-  /** Drops claims that have run out, assesses the jobs that wait, and polls when it is time; `now` in steady milliseconds. */
+  /**
+   * Drops expired claims, assesses the waiting jobs, and polls when due; `now` is the monotonic clock in
+   * milliseconds.
+   */
   tick(now: number): void {
     for (const [id, byShard] of this.claims) {
-      for (const [shard, c] of byShard) if (c.until < now || !this.jobs.has(id)) byShard.delete(shard);
+      for (const [shard, claim] of byShard)
+        if (claim.until < now || !this.jobs.has(id)) byShard.delete(shard);
       if (byShard.size === 0) this.claims.delete(id);
     }
     this.assessAll(now);
--- a/src/scheduler/jobrequests.ts
+++ b/src/scheduler/jobrequests.ts
@@ -12,27 +12,33 @@
 import { RetryAfterPacer } from './retryafterpacer.js';
 import type { TaskProgress } from './taskprogress.js';
 
-/** A new job is rejected for the time being when it would wait longer than this to be stored. */
+/** A new job is rejected as busy, to be retried later, when it would wait longer than this to be stored. */
 const MAX_WRITE_DELAY_MS = 700;
-/** New jobs for each change that the key-value store takes: one to accept one, and some for what else goes on. */
+/**
+ * Rate of new jobs relative to the write rate of the key-value store: accepting a job takes one write, and other
+ * work needs some.
+ */
 const JOBS_PER_WRITE = 0.6;
-/** Cancellations stored at a time, of jobs that go with one that they depend on: all else is stored beside them. */
+/**
+ * Maximum number of cancellations stored at a time, of dependents or at a user's request; all other changes are
+ * stored beside them.
+ */
 const MAX_CONCURRENT_CANCELLATIONS = 8;
-/** When a user whose job was refused is asked to try again, in seconds. */
+/** Delay after which a user whose job was refused is asked to retry, in seconds. */
 const REFUSED_RETRY_S = 3;
 
-/** What `JobRequests` asks of its shard. */
+/** Callbacks by which `JobRequests` queries and notifies its shard. */
 export interface JobRequestsHooks {
-  /** Whether the shard is loaded and its owner may act. */
+  /** Returns whether the shard is loaded and its owner may act. */
   ready(): boolean;
-  /** Whether this node surely owns the shard, by the clock just now. */
+  /** Returns whether this node is certain to own the shard, checked against the clock at the time of the call. */
   mayAct(): boolean;
-  /** Stops the shard, which is another node's by now. */
+  /** Stops the shard, which another node owns by now. */
   lostOwnership(): Error;
   requestPlan(): void;
 }
 
-/** What `JobRequests` is made of. */
+/** Collaborators of `JobRequests`. */
 export interface JobRequestsParts {
   readonly context: ControllerContext;
   /** The shard's index among the shards of the cluster. */
@@ -46,7 +52,7 @@
   readonly hooks: JobRequestsHooks;
 }
 
-/** What users request of a shard's owner: submissions, the status of jobs, lists and cancellations. */
+/** Handles the requests of users to a shard's owner: submissions, status queries, lists and cancellations. */
 export class JobRequests {
   private readonly retryAfterPacer: RetryAfterPacer;
   private readonly cancellationsInFlight = new Set<Job>();
@@ -60,15 +66,17 @@
     if (!this.parts.hooks.ready()) throw new OwnerUnavailableError(NOT_READY);
   }
 
-  /** Accepts a job or refuses it. Throws `UnavailableError` when the outcome is not known now. */
+  /** Accepts a job or refuses it. Throws `UnavailableError` when the outcome is not known at present. */
   async submit(spec: JobSpec): Promise<SubmitAnswer> {
     this.requireReady();
     const { store } = this.parts.context;
-    // What is known is answered at once: behind a write under way it would be answered when it may be another node's to answer.
+    // A known job is answered at once: if the answer waited for a write in flight, another node might own the shard
+    // by the time it was given.
     const known = this.knownAnswer(spec.id);
     if (known) return known;
-    // More submissions than the key-value store takes are at once asked to come back: waiting here until their users have
-    // given up, they would be stored for nobody, and sent once more.
+    // Submissions beyond the write rate of the key-value store are rejected at once, with a time to retry. If they
+    // waited here until their users gave up, they would be stored although no user waited for the answer, and
+    // submitted once more.
     if (store.writeDelayMs > MAX_WRITE_DELAY_MS)
       return {
         kind: 'busy',
@@ -77,10 +85,14 @@
     return this.parts.jobTable.exclusive(spec.id, () => this.accept(spec));
   }
 
-  /** Weighs a job against the plan and stores it; nothing else is done with the job meanwhile. */
+  /**
+   * Checks a job against the plan and stores it. The job's mutex, held by the caller, excludes all other changes to
+   * the job.
+   */
   private async accept(spec: JobSpec): Promise<SubmitAnswer> {
     const { context, jobTable, records, admission, dependencies } = this.parts;
-    // The one before may have taken seconds: the shard may be another node's by now, which has answered what is not known here.
+    // The previous holder of the mutex may have taken seconds: another node may own the shard by now, and may have
+    // given answers that are not known here.
     this.requireReady();
     const known = this.knownAnswer(spec.id);
     if (known) return known;
@@ -98,10 +110,10 @@
     );
     if (accepted.kind === 'known') return this.answerRepeated(spec.id, accepted.entry);
     this.requireReady();
-    // A request for the job while its acceptance was under way may have had it loaded, and tasks of it may run by now: a
-    // second copy in its place would know nothing of them and start them again.
-    const recalled = this.knownAnswer(spec.id);
-    if (recalled) return recalled;
+    // A request for the job during its acceptance may have caused it to be loaded, and its tasks may be running by
+    // now. A second copy in its place would not know of these tasks and would start them again.
+    const alreadyLoaded = this.knownAnswer(spec.id);
+    if (alreadyLoaded) return alreadyLoaded;
     job.version = accepted.version;
     job.partsUnder = accepted.partsUnder;
     this.addAccepted(job, deadline, dueS);
@@ -124,20 +136,23 @@
     this.parts.hooks.requestPlan();
   }
 
-  /** A job that the plan has no place for may have been accepted before. */
+  /**
+   * Answers a submission that the plan has no capacity for: the job may have been accepted before, else it is
+   * refused.
+   */
   private async answerRefused(id: string): Promise<SubmitAnswer> {
     const entry = await this.parts.records.entry(id);
     if (entry) return this.answerRepeated(id, entry);
     return { kind: 'refused', retryS: REFUSED_RETRY_S };
   }
 
-  /** Stores a job as cancelled, and ends it once that is done. */
+  /** Stores a job as cancelled, and ends it in memory once the write has succeeded. */
   private async storeCancellation(job: Job): Promise<void> {
     const status = await this.stopOnOwnershipLoss(this.parts.records.finish(job, 'cancelled'));
     this.parts.taskProgress.endJob(job, status);
   }
 
-  /** The answer on a job that is submitted again; null when it is not in memory. */
+  /** Returns the answer to a repeated submission of a job; null when the job is not in memory. */
   private knownAnswer(id: string): SubmitAnswer | null {
     const answer = this.parts.jobTable.statusOf(id);
     return answer && { kind: 'known', status: this.requireReportable(id, answer).status };
@@ -146,7 +161,8 @@
   private async answerRepeated(id: string, entry: JobEntry): Promise<SubmitAnswer> {
     if (entry.final) return { kind: 'known', status: entry.final };
     if (entry.shard !== this.parts.index) {
-      // Its owner knows whether it is about to be cancelled with one that it waits for.
+      // Only the owner of that shard knows whether the job is about to be cancelled because of one of its
+      // dependencies.
       if (hasDependencies(entry)) throw new UnavailableError('the job is in another shard');
       return { kind: 'known', status: 'queued' };
     }
@@ -155,7 +171,10 @@
     return { kind: 'known', status: this.requireReportable(id, status).status };
   }
 
-  /** Loads a job that is not in memory: one whose acceptance was applied late is stored all the same. */
+  /**
+   * Loads a job that is not in memory: a job whose acceptance was applied late is stored, although this owner does
+   * not have it.
+   */
   async recall(id: string): Promise<StatusAnswer | null> {
     const known = this.parts.jobTable.statusOf(id);
     if (known) return known;
@@ -168,9 +187,9 @@
     return this.parts.jobTable.statusOf(id);
   }
 
-  private async stopOnOwnershipLoss<T>(work: Promise<T>): Promise<T> {
+  private async stopOnOwnershipLoss<T>(write: Promise<T>): Promise<T> {
     try {
-      return await work;
+      return await write;
     } catch (error) {
       if (error instanceof NotOwnerError) {
         this.parts.hooks.lostOwnership();
@@ -180,7 +199,10 @@
     }
   }
 
-  /** The status of a job; null when the shard has none of that id. Throws `UnavailableError` when it is not known now. */
+  /**
+   * Returns the status of a job; null when the shard has no job of that id. Throws `UnavailableError` when the
+   * status is not known at present.
+   */
   async status(id: string): Promise<StatusAnswer | null> {
     this.requireReady();
     const answer = this.parts.jobTable.statusOf(id) ?? (await this.recall(id));
@@ -189,8 +211,8 @@
   }
 
   /**
-   * The first unfinished jobs after an id that begin with `prefix`, in the order of ids; at most `limit`, and without those
-   * whose end may be stored by now.
+   * Returns the first unfinished jobs, in the order of ids, whose ids come after `after` and begin with `prefix`;
+   * at most `limit`, and without the jobs whose end may already be stored.
    */
   list(prefix: string, after: string, limit: number): ListedJob[] {
     this.requireReady();
@@ -208,8 +230,9 @@
   }
 
   /**
-   * Nothing is reported that may be wrong: of a job that may have to be cancelled with one that it depends on, or whose end may
-   * be stored by now, so that another node has reported it. What the key-value store has is reported instead.
+   * Returns the answer, or throws `UnavailableError` when it may be wrong, so that the status in the key-value
+   * store is reported instead. It may be wrong when the job may have to be cancelled because of one of its
+   * dependencies, or when its end may already be stored, so that another node may have reported it.
    */
   private requireReportable(id: string, answer: StatusAnswer): StatusAnswer {
     const job = this.parts.jobTable.jobs.get(id);
@@ -219,7 +242,9 @@
     return answer;
   }
 
-  /** Cancels a job; returns how it has ended, or null when the shard has none of that id. Throws as `status`. */
+  /**
+   * Cancels a job; returns how it has ended, or null when the shard has no job of that id. Throws like `status`.
+   */
   async cancel(id: string): Promise<'done' | 'cancelled' | null> {
     this.requireReady();
     if (!this.parts.jobTable.statusOf(id)) await this.recall(id);
@@ -235,9 +260,10 @@
   }
 
   /**
-   * Cancels jobs of which one that they depend on was cancelled, or that their users want cancelled; what cannot be stored now
-   * is tried again until it is decided one way. A write without an answer may have been made, or be made later: whoever reads the
-   * record reports it to the user, who need not ask again, and here the job would never end.
+   * Cancels the jobs of which a dependency was cancelled or whose users have requested it. A cancellation that
+   * cannot be stored now is retried until the end of the job is decided one way or the other. A write that got no
+   * answer may have been applied, or may be applied later: any node that reads the record then reports the end to
+   * the user, who need not ask again, and without the retry the job would never end in this shard.
    */
   storePendingCancellations(): void {
     for (const job of this.parts.jobTable.jobs.values()) {
--- a/src/scheduler/jobtable.ts
+++ b/src/scheduler/jobtable.ts
@@ -6,7 +6,7 @@
 import type { TaskAttempt } from '../workers/machine.js';
 import type { StatusAnswer } from './responses.js';
 
-/** What is remembered of a job that has ended. */
+/** The information kept in memory about a job that has ended. */
 interface EndedJob {
   status: 'done' | 'cancelled';
   tasks: number;
@@ -14,16 +14,16 @@
   need: Amounts;
 }
 
-/** So many are remembered, the last to end. */
+/** Maximum number of ended jobs kept in memory; the ones that ended first are dropped. */
 const MAX_ENDED_JOBS = 5000;
 
-/** The jobs of one shard in memory: the unfinished ones, and how those ended that ended not long ago. */
+/** The jobs of one shard in memory: the unfinished ones, and the outcome of those that ended recently. */
 export class JobTable {
   /** The unfinished jobs, by id. */
   readonly jobs = new Map<string, Job>();
   private readonly ended = new Map<string, EndedJob>();
   private readonly mutexes = new Map<string, { mutex: Mutex; users: number }>();
-  /** What a task of each class takes, as last seen. */
+  /** The resources that a task of each job class needs, by the last job of the class. */
   readonly taskSizeByClass = new Map<string, Amounts>();
   private order = 0;
 
@@ -34,28 +34,35 @@
   ) {}
 
   /**
-   * A job for the table, which does not hold it yet. `accepted` and `deadline` in milliseconds of the time of day, `fresh` when
-   * it was accepted under this term, `version` that of its record.
+   * Creates a job without adding it to the table. `accepted` and `deadline` are on the wall clock, in milliseconds;
+   * `fresh` says whether the job was accepted under the present term, `version` is the version of its record.
    */
   make(spec: JobSpec, accepted: number, deadline: number, fresh: boolean, version: number): Job {
-    const n = this.context.names;
+    const names = this.context.names;
     this.taskSizeByClass.set(spec.class, { cpus: spec.cpus, gpus: spec.gpus, memoryGb: spec.memoryGb });
     return makeJob(
       spec,
-      { accepted, deadline, order: accepted * 4096 + (this.order++ % 4096), fresh, version },
       {
-        team: n.teams.find(spec.team) ?? -1,
-        types: spec.types && new Set(spec.types.map((t) => n.types.index(t))),
-        zone: spec.zone === null ? null : n.zones.index(spec.zone),
-        image: n.images.index(spec.image),
+        accepted,
+        deadline,
+        order: accepted * 4096 + (this.order++ % 4096),
+        fresh,
+        version,
+      },
+      {
+        team: names.teams.find(spec.team) ?? -1,
+        types: spec.types && new Set(spec.types.map((t) => names.types.index(t))),
+        zone: spec.zone === null ? null : names.zones.index(spec.zone),
+        image: names.images.index(spec.image),
         match: spec.match ? (this.context.matchCompiler?.compile(spec.match) ?? MATCHES_NOTHING) : null,
       },
     );
   }
 
   /**
-   * Acceptance, completion and cancellation of one job go one after the other. The mutex of a job is dropped with the last that
-   * holds it or waits for it: dropped earlier, one that comes then would get another, and two of one job would go side by side.
+   * Runs `work` under the mutex of a job, which serializes acceptance, completion and cancellation of the job. The
+   * mutex is dropped only with its last holder or waiter: if it were dropped earlier, a later caller would get
+   * another mutex, and two operations on one job would run concurrently.
    */
   async exclusive<T>(id: string, work: () => Promise<T>): Promise<T> {
     const entry = this.mutexes.get(id) ?? { mutex: new Mutex(), users: 0 };
@@ -68,12 +75,12 @@
     }
   }
 
-  /** How a job has ended; null when it is unfinished or not remembered. */
+  /** Returns how a job has ended; null when it is unfinished or its end is not in memory. */
   endedStatus(id: string): 'done' | 'cancelled' | null {
     return this.ended.get(id)?.status ?? null;
   }
 
-  /** The status of a job; null when it is not in memory. */
+  /** Returns the status of a job; null when it is not in memory. */
   statusOf(id: string): StatusAnswer | null {
     const job = this.jobs.get(id);
     if (job) return jobStatus(job);
@@ -81,7 +88,7 @@
     return ended ? endedStatus(ended.status, ended.tasks) : null;
   }
 
-  /** Moves a job to those that have ended. */
+  /** Moves a job from the unfinished to the ended jobs. */
   end(job: Job, status: 'done' | 'cancelled'): void {
     job.state = status;
     job.storedCount = job.done.count;
@@ -94,12 +101,18 @@
     }
   }
 
-  /** The team of a task on a machine and what the task takes there; null when its job is not in memory. */
+  /**
+   * Returns the team of a task on a machine and the resources that the task uses there; null when its job is not in
+   * memory.
+   */
   usageOf(h: TaskAttempt): { team: number; need: Amounts; spec?: JobSpec } | null {
     return this.jobs.get(h.job) ?? this.ended.get(h.job) ?? null;
   }
 
-  /** A name that nobody ever uses again: a shard can come back to the same process, but never with the same term. */
+  /**
+   * Returns a name that is never used again: the same process may own the shard again, but never under the same
+   * term.
+   */
   uniqueName(kind: string): string {
     return `${this.context.incarnation}-${kind}${this.index}-${this.term}-${this.order++}`;
   }
--- a/src/scheduler/machinerecords.ts
+++ b/src/scheduler/machinerecords.ts
@@ -7,18 +7,18 @@
 import type { Machine } from '../workers/machine.js';
 import type { MachineRegistry } from '../workers/machineregistry.js';
 
-/** What `MachineRecords` asks of its shard. */
+/** Callbacks by which `MachineRecords` queries and notifies its shard. */
 export interface MachineRecordsHooks {
-  /** Whether the shard has been loaded and its owner may act. */
+  /** Returns whether the shard has been loaded and its owner may act. */
   isReady(): boolean;
-  /** Whether jobs and machines have been read from the key-value store. */
+  /** Returns whether jobs and machines have been read from the key-value store. */
   isLoaded(): boolean;
-  /** Whether a machine holds nothing and nothing is planned or reserved for it. */
+  /** Returns whether a machine holds no task, has none planned, and is not reserved for another shard. */
   isIdle(m: Machine): boolean;
   requestPlan(): void;
 }
 
-/** What `MachineRecords` is made of. */
+/** Collaborators of `MachineRecords`. */
 export interface MachineRecordsParts {
   readonly context: ControllerContext;
   /** The shard's index and the term of its owner. */
@@ -30,11 +30,13 @@
   readonly hooks: MachineRecordsHooks;
 }
 
-/** The assignment records of a shard's machines as the key-value store has them, and their transfer to other shards. */
+/**
+ * The assignment records of a shard's machines as the key-value store has them, and their transfer to other shards.
+ */
 export class MachineRecords {
   constructor(private readonly parts: MachineRecordsParts) {}
 
-  /** Applies the record of a machine to the registry; null when the record has been deleted. */
+  /** Applies the record of a machine to the registry; `entry` is null when the record has been deleted. */
   apply(id: string, entry: Entry | null): void {
     const { registry, index } = this.parts;
     const machine = registry.machines.get(id);
@@ -88,12 +90,18 @@
     };
   }
 
-  /** Transfers an idle machine to another shard. False when it is not idle or the record could not be written. */
+  /**
+   * Transfers an idle machine to another shard. Returns false when it is not idle or the record could not be
+   * written.
+   */
   transferIdle(id: string, to: number): Promise<boolean> {
     return this.transfer(id, to, (m) => this.parts.hooks.isIdle(m));
   }
 
-  /** Transfers a machine that was reserved for another shard, once it is empty. False as for `transferIdle`. */
+  /**
+   * Transfers a machine that was reserved for another shard. Returns false when it is not empty or the record could
+   * not be written.
+   */
   transferReserved(id: string, to: number): Promise<boolean> {
     return this.transfer(id, to, isEmpty);
   }
@@ -118,7 +126,7 @@
   }
 }
 
-/** Takes up a newer version of a known machine's record; a newer fencing token has to be confirmed by the machine. */
+/** Applies a newer version of a known machine's record. The machine has to confirm a newer fencing token. */
 function updateMachine(machine: Machine, record: MachineRecord, version: number): void {
   if (version <= machine.version) return;
   machine.version = version;
@@ -129,14 +137,14 @@
   }
 }
 
-/** Whether a machine is in service and surely holds no task. */
-export function isEmpty(m: Machine): boolean {
+/** Returns whether a machine is in service and certain to hold no task. */
+export function isEmpty(machine: Machine): boolean {
   return (
-    m.reconciled &&
-    !m.decommissioning &&
-    !m.leaseExpired &&
-    !m.mayHoldUnreportedTasks &&
-    m.attempts.size === 0 &&
-    m.reclaimAt === null
+    machine.reconciled &&
+    !machine.decommissioning &&
+    !machine.leaseExpired &&
+    !machine.mayHoldUnreportedTasks &&
+    machine.attempts.size === 0 &&
+    machine.reclaimAt === null
   );
 }
--- a/src/scheduler/machinetransfers.ts
+++ b/src/scheduler/machinetransfers.ts
@@ -6,40 +6,43 @@
 import type { Machine, TaskAttempt } from '../workers/machine.js';
 import type { MachineRegistry } from '../workers/machineregistry.js';
 
-/** A machine whose tasks are stopped for another shard is empty by then, or kept. */
+/** A machine whose tasks are stopped for another shard stays in this shard if it is not empty within this time. */
 const TRANSFER_TIMEOUT_MS = 15_000;
-/** A machine is reserved when its tasks end within this, and so many at a time. */
+/** A machine is reserved only if its tasks are expected to end within this time. */
 const RESERVE_WITHIN_MS = 20_000;
+/** Maximum number of machines reserved at a time. */
 const MAX_RESERVED_MACHINES = 12;
-/** Nothing is reserved where fewer machines than this fit. */
+/** No machine is reserved when fewer machines than this fit the demand. */
 const MIN_FITTING_MACHINES = 40;
-/** What it counts for, as so many milliseconds more until a machine is empty, that it has GPUs which are not needed. */
+/**
+ * Cost of choosing a machine with GPUs that are not needed, equivalent to this delay until the machine is empty.
+ */
 const UNNEEDED_GPUS_COST_MS = 10_000;
-/** The same for a machine in another zone than that of the other shard's owner. */
+/** The same cost for a machine outside the zone of the other shard's owner. */
 const OTHER_ZONE_COST_MS = 5000;
 
-/** What `MachineTransfers` asks of its shard. */
+/** Callbacks by which `MachineTransfers` queries and notifies its shard. */
 export interface MachineTransfersHooks {
-  /** Whether the shard is loaded and its owner may act. */
+  /** Returns whether the shard is loaded and its owner may act. */
   ready(): boolean;
-  /** Whether a machine is on its way to another shard or back to the cloud. */
+  /** Returns whether a machine is being transferred to another shard or returned to the cloud. */
   isMoving(id: string): boolean;
-  /** Gives a machine that is empty by now to the shard that it was reserved for. */
+  /** Transfers a machine that has become empty to the shard that it was reserved for. */
   transferMachine(id: string, to: number): Promise<boolean>;
   requestPlan(): void;
 }
 
-/** A machine that goes to another shard once it is empty. */
+/** A pending transfer: the machine goes to another shard once it is empty. */
 interface Transfer {
-  /** The shard that it goes to. */
+  /** The index of the destination shard. */
   readonly to: number;
-  /** When it is kept after all, in steady milliseconds. */
+  /** When the transfer expires and the machine stays in this shard; monotonic clock, in milliseconds. */
   readonly until: number;
-  /** `evicting`: its tasks were stopped. `reserved`: they end by themselves. */
+  /** `evicting`: its tasks were told to stop. `reserved`: its tasks run to their end. */
   readonly kind: 'evicting' | 'reserved';
 }
 
-/** Machines that are emptied for other shards' more urgent jobs. */
+/** Frees machines of this shard for more urgent jobs of other shards. */
 export class MachineTransfers {
   private readonly transfers = new Map<string, Transfer>();
 
@@ -51,35 +54,42 @@
     private readonly hooks: MachineTransfersHooks,
   ) {}
 
-  /** Whether a machine is being emptied for another shard. */
+  /** Returns whether a machine has a pending transfer to another shard. */
   isReserved(id: string): boolean {
     return this.transfers.has(id);
   }
 
-  /** Stops all tasks on a machine for another shard's more urgent jobs. False when they may not be stopped for that. */
+  /**
+   * Stops all tasks on a machine to transfer it to a shard with more urgent jobs. Returns false when the tasks may
+   * not be stopped for this.
+   */
   evictForTransfer(id: string, to: number, priority: number): boolean {
-    const m = this.registry.machines.get(id);
-    if (!m || !this.hooks.ready() || this.isReserved(id) || !this.isPreemptibleFor(m, priority)) return false;
+    const machine = this.registry.machines.get(id);
+    if (!machine || !this.hooks.ready() || this.isReserved(id) || !this.isPreemptibleFor(machine, priority))
+      return false;
     const now = this.context.clock.now();
     this.transfers.set(id, { to, until: now + TRANSFER_TIMEOUT_MS, kind: 'evicting' });
-    this.log.info({ machine: id, to, held: m.attempts.size }, 'machine eviction started');
-    for (const h of m.attempts.values())
-      this.registry.stopTask(h, (this.jobs.get(h.job)?.spec.saveS ?? 0) + 1);
+    this.log.info(
+      { machine: id, to, held: machine.attempts.size },
+      'stopping all tasks on a machine to transfer it to another shard',
+    );
+    for (const attempt of machine.attempts.values())
+      this.registry.stopTask(attempt, (this.jobs.get(attempt.job)?.spec.saveS ?? 0) + 1);
     this.registry.sendStops();
     this.hooks.requestPlan();
     return true;
   }
 
   /**
-   * Reserves the machine that is empty soonest for a shard where urgent jobs wait longer: nothing is stopped, but nothing
-   * more starts there. `zone` is that of the other shard's owner, `endOf` when a task is expected to end. False when there is
-   * none.
+   * Reserves the machine that becomes empty first for a shard where urgent jobs wait longer: running tasks are not
+   * stopped, but no further task starts there. `zone` is the zone of the other shard's owner, `endOf` returns the
+   * expected end of a task. Returns false when no machine qualifies.
    */
   reserveForTransfer(
     to: number,
     need: ResourceDemand,
     zone: string,
-    endOf: (h: TaskAttempt) => number,
+    endOf: (attempt: TaskAttempt) => number,
   ): boolean {
     if (!this.hooks.ready()) return false;
     const now = this.context.clock.now();
@@ -93,12 +103,14 @@
       fitting++;
       if (this.isReserved(machine.id) || this.hooks.isMoving(machine.id)) continue;
       let end = now;
-      for (const h of machine.attempts.values()) if (h.state !== 'exited') end = Math.max(end, endOf(h));
+      for (const attempt of machine.attempts.values())
+        if (attempt.state !== 'exited') end = Math.max(end, endOf(attempt));
       if (end > now + RESERVE_WITHIN_MS) continue;
       const cost = end - now + this.mismatchCostMs(machine, need, zone);
       if (!best || cost < best.cost) best = { machine, cost };
     }
-    // Where few machines fit, the moments in which one of them is empty cost more than an even wait is worth.
+    // When few machines fit, the time that a reserved machine stands empty costs more than evening out the waiting
+    // times gains.
     if (!best || fitting < MIN_FITTING_MACHINES) return false;
     const { id, attempts } = best.machine;
     this.transfers.set(id, { to, until: now + RESERVE_WITHIN_MS * 2, kind: 'reserved' });
@@ -107,50 +119,57 @@
     return true;
   }
 
-  /** Whether a machine is in service and of a kind that the other shard can use. */
-  private isFitting(m: Machine, need: ResourceDemand, now: number): boolean {
-    if (!inService(m) || m.quarantinedUntil > now) return false;
+  /** Returns whether a machine is in service and of a kind that the other shard can use. */
+  private isFitting(machine: Machine, need: ResourceDemand, now: number): boolean {
+    if (!inService(machine) || machine.quarantinedUntil > now) return false;
     const { types, zones } = this.context.names;
-    const type = types.name(m.type);
-    const zone = zones.name(m.zone);
+    const type = types.name(machine.type);
+    const zone = zones.name(machine.zone);
     if (need.types && !need.types.includes(type)) return false;
-    if ((m.spot && !need.spot) || (need.zone !== null && need.zone !== zone)) return false;
-    if (need.kinds && !need.kinds.includes(machineKindName(type, zone, m.spot))) return false;
-    return fitCount(this.context.catalog.size(m.type), need, 1) > 0;
+    if ((machine.spot && !need.spot) || (need.zone !== null && need.zone !== zone)) return false;
+    if (need.kinds && !need.kinds.includes(machineKindName(type, zone, machine.spot))) return false;
+    return fitCount(this.context.catalog.size(machine.type), need, 1) > 0;
   }
 
-  /** Machines without GPUs that are not needed and in the zone of the other shard's owner go first. */
-  private mismatchCostMs(m: Machine, need: ResourceDemand, zone: string): number {
-    const unneededGpus = need.gpus === 0 && this.context.catalog.size(m.type).gpus > 0;
-    const otherZone = this.context.names.zones.name(m.zone) !== zone;
+  /** Returns the extra cost of unneeded GPUs and of a zone other than that of the other shard's owner. */
+  private mismatchCostMs(machine: Machine, need: ResourceDemand, zone: string): number {
+    const unneededGpus = need.gpus === 0 && this.context.catalog.size(machine.type).gpus > 0;
+    const otherZone = this.context.names.zones.name(machine.zone) !== zone;
     return (unneededGpus ? UNNEEDED_GPUS_COST_MS : 0) + (otherZone ? OTHER_ZONE_COST_MS : 0);
   }
 
-  /** Whether all that a machine holds may be stopped for jobs of a priority; false for an empty machine. */
-  isPreemptibleFor(m: Machine, priority: number): boolean {
-    if (!inService(m) || m.attempts.size === 0) return false;
-    for (const h of m.attempts.values()) {
-      const job = this.jobs.get(h.job);
-      if (!job || h.stop || job.priority >= priority || job.spec.kind === 'gang') return false;
+  /** Returns whether all tasks on a machine may be stopped for jobs of a priority; false for an empty machine. */
+  isPreemptibleFor(machine: Machine, priority: number): boolean {
+    if (!inService(machine) || machine.attempts.size === 0) return false;
+    for (const attempt of machine.attempts.values()) {
+      const job = this.jobs.get(attempt.job);
+      if (!job || attempt.stop || job.priority >= priority || job.spec.kind === 'gang') return false;
     }
     return true;
   }
 
-  /** Hands over the machines that are empty by now; `now` in steady milliseconds. */
+  /**
+   * Transfers the machines that have become empty and drops expired transfers; `now` is the monotonic clock in
+   * milliseconds.
+   */
   completeTransfers(now: number): void {
-    for (const [id, t] of this.transfers) {
-      const m = this.registry.machines.get(id);
-      if (!m || now > t.until) this.transfers.delete(id);
-      else if (m.attempts.size === 0 && m.reconciled && !this.hooks.isMoving(id)) {
-        void this.hooks.transferMachine(id, t.to).finally(() => this.transfers.delete(id));
+    for (const [id, transfer] of this.transfers) {
+      const machine = this.registry.machines.get(id);
+      if (!machine || now > transfer.until) this.transfers.delete(id);
+      else if (machine.attempts.size === 0 && machine.reconciled && !this.hooks.isMoving(id)) {
+        void this.hooks.transferMachine(id, transfer.to).finally(() => this.transfers.delete(id));
       }
     }
   }
 }
 
-/** Whether a machine has reported all that it holds and is to stay. */
-function inService(m: Machine): boolean {
+/** Returns whether a machine has reported all tasks that it holds and is not about to leave. */
+function inService(machine: Machine): boolean {
   return (
-    m.reconciled && !m.decommissioning && !m.leaseExpired && !m.mayHoldUnreportedTasks && m.reclaimAt === null
+    machine.reconciled &&
+    !machine.decommissioning &&
+    !machine.leaseExpired &&
+    !machine.mayHoldUnreportedTasks &&
+    machine.reclaimAt === null
   );
 }
--- a/tests/scheduler/failuretracker.test.ts
+++ b/tests/scheduler/failuretracker.test.ts
@@ -7,68 +7,74 @@
 import { MAX_CONSECUTIVE_ERRORS, type Machine } from '../../src/workers/machine.js';
 import { FakeCluster, job } from '../support/cluster.js';
 
-function setting(jobs: string[], machines: string[]) {
-  const j = new Map<string, Job>();
+function createTracker(jobs: string[], machines: string[]) {
+  const jobsById = new Map<string, Job>();
   for (const [i, id] of jobs.entries()) {
     const spec = readJob(job(id, { pieces: 8 }));
     assert.ok(typeof spec !== 'string');
     const record = { accepted: 0, deadline: 0, order: i, fresh: true, version: 1 };
-    j.set(id, makeJob(spec, record, { team: 0, types: null, zone: null, image: 0, match: null }));
+    jobsById.set(id, makeJob(spec, record, { team: 0, types: null, zone: null, image: 0, match: null }));
   }
-  const m = new Map(machines.map((id) => [id, { id, consecutiveErrors: 0, quarantinedUntil: 0 } as Machine]));
-  const failures = new FailureTracker(j, m, pino({ level: 'silent' }));
-  const fails = (id: string, on: string, at: number) => failures.onTaskFailed(j.get(id)!, m.get(on)!, at);
-  return { jobs: j, machines: m, failures, fails };
+  const machinesById = new Map(
+    machines.map((id) => [id, { id, consecutiveErrors: 0, quarantinedUntil: 0 } as Machine]),
+  );
+  const tracker = new FailureTracker(jobsById, machinesById, pino({ level: 'silent' }));
+  const reportFailure = (id: string, on: string, at: number) =>
+    tracker.onTaskFailed(jobsById.get(id)!, machinesById.get(on)!, at);
+  return { jobs: jobsById, machines: machinesById, tracker, reportFailure };
 }
 
-// Guards against good machines closed and given back for a job that was submitted with a mistake.
-test('failures on several machines speak against the job, and clear the machines', () => {
-  const { jobs, machines, failures, fails } = setting(['wk-1'], ['a', 'b', 'c', 'd']);
-  const bad = jobs.get('wk-1')!;
-  for (let i = 0; i < 4; i++) fails('wk-1', 'a', 1000);
-  assert.equal(machines.get('a')!.consecutiveErrors, 1, 'four failures of one job at once are one');
+// Guards against quarantining and returning healthy machines because of a job that was submitted with a mistake.
+test('failures of one job on several machines quarantine the job and clear the machines', () => {
+  const { jobs, machines, tracker, reportFailure } = createTracker(['wk-1'], ['a', 'b', 'c', 'd']);
+  const faultyJob = jobs.get('wk-1')!;
+  for (let i = 0; i < 4; i++) reportFailure('wk-1', 'a', 1000);
+  assert.equal(machines.get('a')!.consecutiveErrors, 1, 'simultaneous failures of one job count once');
   assert.ok(machines.get('a')!.quarantinedUntil > 1000);
-  fails('wk-1', 'b', 1100);
-  assert.equal(bad.quarantined, false);
-  fails('wk-1', 'c', 1200);
-  assert.equal(bad.quarantined, true);
+  reportFailure('wk-1', 'b', 1100);
+  assert.equal(faultyJob.quarantined, false);
+  reportFailure('wk-1', 'c', 1200);
+  assert.equal(faultyJob.quarantined, true);
   for (const id of ['a', 'b', 'c']) assert.equal(machines.get(id)!.quarantinedUntil, 0);
-  const first = bad.notBefore;
-  fails('wk-1', 'd', 1300);
-  assert.equal(bad.notBefore, first, 'the same round');
+  const firstRetryAt = faultyJob.notBefore;
+  reportFailure('wk-1', 'd', 1300);
+  assert.equal(faultyJob.notBefore, firstRetryAt, 'failures in the same retry round do not extend the delay');
   assert.equal(machines.get('d')!.consecutiveErrors, 0);
-  fails('wk-1', 'd', first + 10);
-  assert.ok(bad.notBefore - (first + 10) >= 2 * (first - 1200), 'ever less often');
-  failures.onTaskSucceeded(bad, machines.get('d')!);
-  assert.equal(bad.quarantined, false);
-  assert.equal(bad.notBefore, 0, 'soon again when it turns out good');
+  reportFailure('wk-1', 'd', firstRetryAt + 10);
+  assert.ok(
+    faultyJob.notBefore - (firstRetryAt + 10) >= 2 * (firstRetryAt - 1200),
+    'the retry delay doubles',
+  );
+  tracker.onTaskSucceeded(faultyJob, machines.get('d')!);
+  assert.equal(faultyJob.quarantined, false);
+  assert.equal(faultyJob.notBefore, 0, 'a success ends the retry delay');
 });
 
-test('failures of several jobs on one machine speak against the machine, also where a job met three such', () => {
-  const { jobs, machines, fails } = setting(['wk-1', 'wk-2', 'wk-3', 'wk-4'], ['a', 'b', 'c']);
-  fails('wk-2', 'a', 0);
-  fails('wk-3', 'b', 0);
-  fails('wk-1', 'a', 100);
-  fails('wk-1', 'b', 200);
+test('failures of several jobs on one machine count against the machine, even if one job failed on three such machines', () => {
+  const { jobs, machines, reportFailure } = createTracker(['wk-1', 'wk-2', 'wk-3', 'wk-4'], ['a', 'b', 'c']);
+  reportFailure('wk-2', 'a', 0);
+  reportFailure('wk-3', 'b', 0);
+  reportFailure('wk-1', 'a', 100);
+  reportFailure('wk-1', 'b', 200);
   assert.equal(machines.get('a')!.consecutiveErrors, MAX_CONSECUTIVE_ERRORS);
   assert.equal(machines.get('b')!.consecutiveErrors, MAX_CONSECUTIVE_ERRORS);
-  fails('wk-1', 'c', 300);
-  fails('wk-4', 'c', 400);
+  reportFailure('wk-1', 'c', 300);
+  reportFailure('wk-4', 'c', 400);
   assert.ok(
     [...jobs.values()].every((j) => !j.quarantined),
-    'a gang on sick machines keeps its aim',
+    'a job that failed only on faulty machines is not quarantined',
   );
   assert.equal(machines.get('c')!.consecutiveErrors, MAX_CONSECUTIVE_ERRORS);
 });
 
-test('a job that fails everywhere rents nothing, is tried with one task, keeps nobody waiting, and can be cancelled', async () => {
-  const c = new FakeCluster(['n0']);
-  const machines = [1, 2, 3, 4].map(() => c.addWorker('c8', 'a'));
-  c.startNode('n0');
-  await c.clock.advance(6000);
+test('a job that fails everywhere causes no rentals, is retried with one task, delays no other job and can be cancelled', async () => {
+  const cluster = new FakeCluster(['n0']);
+  const machines = [1, 2, 3, 4].map(() => cluster.addWorker('c8', 'a'));
+  cluster.startNode('n0');
+  await cluster.clock.advance(6000);
   let running = 0;
-  let most = 0;
-  c.clock.after(10, function fail() {
+  let maxRunning = 0;
+  cluster.clock.after(10, function fail() {
     running = 0;
     for (const w of machines) {
       for (const p of w.attempts) {
@@ -77,19 +83,20 @@
         w.end(p.task, 'error');
       }
     }
-    most = Math.max(most, running);
-    c.clock.after(700, fail);
+    maxRunning = Math.max(maxRunning, running);
+    cluster.clock.after(700, fail);
   });
-  assert.ok(await c.submit('n0', job('wk-1', { pieces: 30, cpus: 8 })));
-  await c.clock.advance(20_000);
-  const rented = c.rented.length;
-  assert.equal(c.released.length, 0, 'no machine given back for its failures');
-  const begun = () => machines.reduce((n, w) => n + w.started.filter((p) => p.startsWith('wk-1/')).length, 0);
-  const before = begun();
-  most = 0;
-  assert.ok(await c.submit('n0', job('wk-2', { pieces: 4, cpus: 8 })));
+  assert.ok(await cluster.submit('n0', job('wk-1', { pieces: 30, cpus: 8 })));
+  await cluster.clock.advance(20_000);
+  const rentedBefore = cluster.rented.length;
+  assert.equal(cluster.released.length, 0, 'its failures cause no machine to be returned');
+  const startCount = () =>
+    machines.reduce((n, w) => n + w.started.filter((p) => p.startsWith('wk-1/')).length, 0);
+  const startsBefore = startCount();
+  maxRunning = 0;
+  assert.ok(await cluster.submit('n0', job('wk-2', { pieces: 4, cpus: 8 })));
   assert.ok(
-    await c.clock.until(
+    await cluster.clock.until(
       () =>
         machines.every(
           (w) => w.on(`wk-2/${machines.indexOf(w)}`) || w.attempts.some((p) => p.task.startsWith('wk-2/')),
@@ -98,10 +105,13 @@
     ),
   );
   for (const w of machines) for (const p of w.attempts) if (p.task.startsWith('wk-2/')) w.end(p.task, 'done');
-  await c.clock.advance(60_000);
-  assert.ok(most <= 1, `${most} at once`);
-  assert.ok(begun() > before && begun() - before <= 6, `${begun() - before} more starts`);
-  assert.equal(c.rented.length, rented);
-  const reply = await c.call('n0', 'POST', '/api/jobs/wk-1/abort');
+  await cluster.clock.advance(60_000);
+  assert.ok(maxRunning <= 1, `${maxRunning} at once`);
+  assert.ok(
+    startCount() > startsBefore && startCount() - startsBefore <= 6,
+    `${startCount() - startsBefore} more starts`,
+  );
+  assert.equal(cluster.rented.length, rentedBefore);
+  const reply = await cluster.call('n0', 'POST', '/api/jobs/wk-1/abort');
   assert.equal((reply.body as { status: string }).status, 'aborted');
 });
--- a/tests/scheduler/jobrequests.test.ts
+++ b/tests/scheduler/jobrequests.test.ts
@@ -5,34 +5,35 @@
 import { type FakeCluster, job, STATE } from '../support/cluster.js';
 import { checkMeetings } from '../support/process.js';
 
-/** Submits at a node without waiting; what was answered, and when. */
-function submit(c: FakeCluster, node: string, wire: object): { status: number | null; body: unknown } {
-  const heard: { status: number | null; body: unknown } = { status: null, body: null };
-  void c.nodes
+/** Sends a submission to a node without waiting; returns an object that is filled in when the answer arrives. */
+function submit(cluster: FakeCluster, node: string, wire: object): { status: number | null; body: unknown } {
+  const answer: { status: number | null; body: unknown } = { status: null, body: null };
+  void cluster.nodes
     .get(node)!
-    .api.handle(c.request('POST', '/api/jobs', wire))
-    .then((r) => Object.assign(heard, { status: r.status, body: r.body }));
-  return heard;
+    .api.handle(cluster.request('POST', '/api/jobs', wire))
+    .then((r) => Object.assign(answer, { status: r.status, body: r.body }));
+  return answer;
 }
 
-// Guards against a submission that waited seconds for another write of its job, and was then answered from the memory of an owner
-// whose shard was another's by that time: that one had confirmed the cancellation.
-test('a submission that waited for a write says nothing of a shard that is another’s by then', async () => {
+// Guards against a stale answer: a submission waits for seconds behind another write of its job and is then
+// answered from the memory of its owner, although another node has taken over the shard meanwhile and confirmed the
+// cancellation of the job.
+test('a submission delayed by a write is not answered by a node that has lost the shard in the meantime', async () => {
   const { c, k } = await busy(1);
   const old = c.owner(k)!;
   const other = NODES.find((n) => n !== old)!;
   c.net.fate = (from, addr, _method, path, body) => {
     if (from !== old || addr !== STATE) return 'deliver';
     if (path === '/txn' && JSON.stringify(body).includes('"act/wk-9"')) return 'lost-answer';
-    // What would read it back.
+    // Blocks the read by which the owner would check whether the write was applied.
     return path.startsWith('/keys/act/wk-9') ? 'silent' : 'deliver';
   };
   const wire = job('wk-9', { cpus: 8 });
   const first = submit(c, old, wire);
   await c.clock.advance(100);
-  const again = submit(c, old, wire);
+  const second = submit(c, old, wire);
   await c.clock.advance(100);
-  assert.equal(await status(c, other, 'wk-9'), 'queued', 'stored, and read by its owner');
+  assert.equal(await status(c, other, 'wk-9'), 'queued', 'the job is stored and its owner has loaded it');
   c.state.refusing.add(old);
   assert.ok(await c.clock.until(() => c.owner(k) !== undefined && c.owner(k) !== old, 4500));
   const next = c.owner(k)!;
@@ -41,9 +42,12 @@
     cancelled = (await c.call(next, 'POST', '/api/jobs/wk-9/abort')).status === 200;
     if (!cancelled) await c.clock.advance(50);
   }
-  assert.ok(cancelled && again.status === null, 'confirmed while it still waits');
+  assert.ok(
+    cancelled && second.status === null,
+    'the cancellation is confirmed while the second submission still waits',
+  );
   await c.clock.advance(6000);
-  for (const heard of [first, again]) assert.equal(heard.status, 503);
+  for (const answer of [first, second]) assert.equal(answer.status, 503);
   c.state.refusing.delete(old);
   c.net.fate = () => 'deliver';
   await c.clock.advance(9000);
@@ -54,55 +58,55 @@
   }
 });
 
-// Guards against two that decide about one job side by side: the mutex of a job that was refused was dropped while others waited for
-// it, and who came then got another one.
-test('one at a time decides about a job, also after a refusal', async () => {
+// Guards against concurrent decisions about one job: the mutex of a refused job was dropped while other submissions
+// waited for it, so that a later submission got another mutex.
+test('serializes decisions about one job, also after a refusal', async () => {
   const { c, k } = await busy(1);
   const owner = c.owner(k)!;
   const serve = c.net.peers.get(STATE)!;
-  let reading = 0;
-  let most = 0;
+  let concurrentReads = 0;
+  let maxConcurrentReads = 0;
   let reads = 0;
   c.net.peers.set(STATE, async (method, path, body, from) => {
     if (from !== owner || path !== '/keys/act/wk-9') return serve(method, path, body, from);
     reads++;
-    most = Math.max(most, ++reading);
+    maxConcurrentReads = Math.max(maxConcurrentReads, ++concurrentReads);
     await pause(c.clock, 400);
-    reading--;
+    concurrentReads--;
     return serve(method, path, body, from);
   });
-  // No plan meets that; each reads whether it was accepted before.
+  // No plan can meet this deadline, so each submission reads whether the job was accepted before.
   const wire = job('wk-9', { cpus: 8, expectedS: 600, dueS: 1 });
-  const heard = [];
+  const answers = [];
   for (const ms of [0, 100, 500, 300, 200]) {
     await c.clock.advance(ms);
-    heard.push(submit(c, owner, wire));
+    answers.push(submit(c, owner, wire));
   }
   await c.clock.advance(6000);
   assert.deepEqual(
-    heard.map((h) => h.status),
+    answers.map((h) => h.status),
     [429, 429, 429, 429, 429],
   );
   assert.equal(reads, 5);
-  assert.equal(most, 1);
+  assert.equal(maxConcurrentReads, 1);
 });
 
-// Guards against a list that names a job as unfinished whose end another node has read and told.
-test('a job whose end may be stored is on no list of unfinished ones', async () => {
+// Guards against listing a job as unfinished after another node has read its end and reported it.
+test('does not list a job as unfinished when its end may already be stored', async () => {
   const { c, k } = await busy(2);
   const owner = c.owner(k)!;
-  let met = false;
+  let endWriteSent = false;
   c.net.fate = (from, addr, _method, path, body) => {
     if (from !== owner || addr !== STATE) return 'deliver';
     if (path === '/txn' && JSON.stringify(body).includes('"job/wk-1"')) {
-      met = true;
+      endWriteSent = true;
       return 'lost-answer';
     }
     return path.includes('job/wk-1') ? 'silent' : 'deliver';
   };
   submit(c, owner, job('wk-1'));
   void c.nodes.get(owner)!.api.handle(c.request('POST', '/api/jobs/wk-1/abort'));
-  assert.ok(await c.clock.until(() => met, 1000));
+  assert.ok(await c.clock.until(() => endWriteSent, 1000));
   const other = NODES.find((n) => n !== owner)!;
   assert.equal(await status(c, other, 'wk-1'), 'aborted', 'read from its record');
   for (const n of NODES) {
@@ -115,8 +119,9 @@
   }
 });
 
-// Users ask all nodes within milliseconds of each acceptance, end and confirmation, submit again and cancel again: whatever they
-// had heard when a request was sent, no node may answer with something older.
+// Users query all nodes within milliseconds of each acceptance, end and confirmation, and repeat submissions and
+// cancellations. No node may answer with a state older than the one that the users had been given when the request
+// was sent.
 for (const troubles of [
   ['odd requests@10+30*1'],
   ['lost answers@10+20*0.6', 'called off at the end@8+40*0.7'],
@@ -124,7 +129,7 @@
   ['slow state@10+20*1', 'state refuses owner@22+12*1', 'called off at once@22+5*0.8'],
   ['ten leaders@12+60*1', 'odd requests@10+30*1', 'called off at the end@10+40*0.6'],
 ]) {
-  test(`looks at all nodes while there is ${troubles.join(', ')}`, async () => {
+  test(`no node answers with an outdated state during ${troubles.join(', ')}`, async () => {
     const args =
       troubles.length > 0 ? troubles.flatMap((t) => ['--trouble', t]) : ['--trouble', 'odd requests@10+30*1'];
     const { code, out } = await checkMeetings('--from', '300', '--seeds', '3', ...args);
