--- a/src/scheduler/admission.ts
+++ b/src/scheduler/admission.ts
@@ -76,7 +76,8 @@
   }
 
   /**
-   * Returns a plan of all jobs of at least a priority on the existing machines and on those that could be rented.
+   * Returns a plan of all jobs with at least the given priority, on the existing machines and on those that could
+   * be rented.
    */
   private planFor(priority: number, now: number): Plan {
     const cached = this.plans.get(priority);
--- a/src/scheduler/jobrequests.ts
+++ b/src/scheduler/jobrequests.ts
@@ -15,13 +15,13 @@
 /** A new job is rejected as busy, to be retried later, when it would wait longer than this to be stored. */
 const MAX_WRITE_DELAY_MS = 700;
 /**
- * Rate of new jobs relative to the write rate of the key-value store: accepting a job takes one write, and other
- * work needs some.
+ * New jobs per write that the key-value store can take: accepting a job takes one write, and the remaining writes
+ * are left for everything else.
  */
 const JOBS_PER_WRITE = 0.6;
 /**
- * Maximum number of cancellations stored at a time, of dependents or at a user's request; all other changes are
- * stored beside them.
+ * Maximum number of cancellations stored at a time, of dependents or at a user's request. The limit leaves capacity
+ * for all other changes, which are stored at the same time.
  */
 const MAX_CONCURRENT_CANCELLATIONS = 8;
 /** Delay after which a user whose job was refused is asked to retry, in seconds. */
@@ -86,8 +86,8 @@
   }
 
   /**
-   * Checks a job against the plan and stores it. The job's mutex, held by the caller, excludes all other changes to
-   * the job.
+   * Checks a job against the plan and stores it. The caller holds the job's mutex, so that no other acceptance,
+   * completion or cancellation of the job runs at the same time.
    */
   private async accept(spec: JobSpec): Promise<SubmitAnswer> {
     const { context, jobTable, records, admission, dependencies } = this.parts;
--- a/src/scheduler/machinerecords.ts
+++ b/src/scheduler/machinerecords.ts
@@ -31,7 +31,8 @@
 }
 
 /**
- * The assignment records of a shard's machines as the key-value store has them, and their transfer to other shards.
+ * Applies the assignment records of a shard's machines in the key-value store, and transfers machines to other
+ * shards.
  */
 export class MachineRecords {
   constructor(private readonly parts: MachineRecordsParts) {}
