--- a/src/plan/arrayplacement.ts
+++ b/src/plan/arrayplacement.ts
@@ -2,23 +2,26 @@
 import type { PlanJob, PreviousPlacement } from './model.js';
 import { MAX_RESERVATIONS, type ReservationTable } from './reservationtable.js';
 
-/** Beyond so many tasks of one job, the rest is estimated instead of reserved. */
+/**
+ * Maximum number of tasks of one job that get reservations; the finish of the remaining tasks is estimated.
+ */
 export const MAX_RESERVED_TASKS = 256;
-/** No start on this machine. */
+/** Start time of a task on a machine where it cannot start. */
 const NEVER = Number.POSITIVE_INFINITY;
 
-/** How many tasks of a job that is spread over zones each zone has, and how many it may have. */
+/** Number of tasks per zone of a job that is spread over zones, and the maximum that each zone may hold. */
 interface ZoneSpread {
   readonly perZone: Map<number, number>;
-  readonly half: number;
+  readonly maxPerZone: number;
 }
 
 /**
- * Places the tasks of arrays and services one by one. The tasks of a job are alike, so where one could go is worked out once per
- * job and machine, and again only for a machine on which something has been reserved meanwhile.
+ * Places the tasks of arrays and services one at a time. All tasks of a job are alike, so the earliest start
+ * is computed once per job and machine, and recomputed only for a machine that has received a reservation
+ * since.
  */
 export class ArrayPlacement {
-  /** Of the job being placed: when a task could start on each machine, and how long it would take there. */
+  /** Earliest start and duration on each machine, by machine index, for the job that is being placed. */
   private readonly starts: Float64Array;
   private readonly spans: Float64Array;
 
@@ -28,20 +31,21 @@
   }
 
   /**
-   * Reserves for all unstarted tasks of a job, each on the most loaded machine that meets the deadline, as early as possible
-   * there; where none meets it, where it ends first. In one zone if one is given. Returns when the last one ends, or null when
-   * one finds no place.
+   * Reserves capacity for all unstarted tasks of a job. Each task goes to the most loaded machine that meets
+   * the deadline, at the earliest start there; if no machine meets it, to the machine where it ends first.
+   * Uses only machines in `zone` unless it is null. Returns the end of the last task, or null when a task
+   * fits on no machine.
    */
   reserve(job: PlanJob, zone: number | null): number | null {
     const { table } = this;
-    const spread: ZoneSpread = { perZone: new Map(job.present), half: Math.ceil(job.total / 2) };
+    const spread: ZoneSpread = { perZone: new Map(job.present), maxPerZone: Math.ceil(job.total / 2) };
     const tasks = tasksToReserve(job, zone, spread);
     const team = table.teams.get(job.team);
     const first = table.earliestStart(job);
     const longest = this.estimateAll(job, zone, first);
     let teamFrom = first;
     let finish = first;
-    let m = -1;
+    let machineIndex = -1;
     let start = NEVER;
     for (const task of tasks) {
       if (team) {
@@ -49,75 +53,89 @@
         if (from === null) return null;
         teamFrom = from;
       }
-      // The machine that was the best is more loaded now: as long as the next task could start there at the same moment,
-      // it still is, and tiny tasks by the thousand do not each look at all machines.
+      // The machine chosen for the previous task is even more loaded now, so it stays the best choice as long
+      // as the next task could start there at the same time. Thousands of tiny tasks then need not each scan
+      // all machines.
       const isStillBest =
-        m >= 0 &&
-        this.starts[m] === start &&
+        machineIndex >= 0 &&
+        this.starts[machineIndex] === start &&
         !job.spread &&
-        (!team || team.earliest(Math.max(start, teamFrom), this.spans[m]!, job.need) === start);
-      if (!isStillBest) m = this.bestFor(job, job.spread ? spread : null, teamFrom, team);
-      if (m < 0) return null;
-      start = this.starts[m]!;
-      const end = start + this.spans[m]!;
-      table.reserve({ job, task, machine: m, start, end });
-      this.estimate(job, m, start);
-      const { zone: taskZone } = table.machines[m]!;
+        (!team || team.earliest(Math.max(start, teamFrom), this.spans[machineIndex]!, job.need) === start);
+      if (!isStillBest) machineIndex = this.bestMachineFor(job, job.spread ? spread : null, teamFrom, team);
+      if (machineIndex < 0) return null;
+      start = this.starts[machineIndex]!;
+      const end = start + this.spans[machineIndex]!;
+      table.reserve({ job, task, machine: machineIndex, start, end });
+      this.estimate(job, machineIndex, start);
+      const { zone: taskZone } = table.machines[machineIndex]!;
       spread.perZone.set(taskZone, (spread.perZone.get(taskZone) ?? 0) + 1);
       finish = Math.max(finish, end);
     }
-    // The tasks beyond those reserved take their time at the same pace.
+    // Extrapolates to the tasks without a reservation: they are assumed to proceed at the same pace.
     return first + (finish - first) * Math.max(1, job.tasks.length / Math.max(1, tasks.length));
   }
 
   /**
-   * Reserves for the tasks of a job again where an earlier plan had them, as far as they still fit. Returns the other tasks, for
-   * a job that is held to one zone or spread over zones all of them.
+   * Repeats the reservations that an earlier plan made for the tasks of a job, where they still fit. Returns
+   * the remaining tasks; these are all tasks for a job that is restricted to one zone or spread over zones.
    */
   keep(job: PlanJob, previous: ReadonlyMap<number, PreviousPlacement>): number[] {
     if (job.oneZone || job.spread) return job.tasks;
     const { table } = this;
     const team = table.teams.get(job.team);
-    const left: number[] = [];
+    const remaining: number[] = [];
     for (const task of job.tasks) {
-      const p = previous.get(task);
-      if (!p || p.start <= table.earliestStart(job) || !table.allowed(job, p.machine, job.zone)) {
-        left.push(task);
+      const placement = previous.get(task);
+      if (
+        !placement ||
+        placement.start <= table.earliestStart(job) ||
+        !table.allowed(job, placement.machine, job.zone)
+      ) {
+        remaining.push(task);
         continue;
       }
-      const span = table.spanOn(job, p.machine);
+      const spanS = table.spanOn(job, placement.machine);
       table.probes++;
       const fits =
-        table.profiles[p.machine]!.capacityFor(p.start, span, job.need, 1) > 0 &&
-        (!team || team.capacityFor(p.start, span, job.need, 1) > 0);
-      if (fits) table.reserve({ job, task, machine: p.machine, start: p.start, end: p.start + span });
-      else left.push(task);
+        table.profiles[placement.machine]!.capacityFor(placement.start, spanS, job.need, 1) > 0 &&
+        (!team || team.capacityFor(placement.start, spanS, job.need, 1) > 0);
+      if (fits)
+        table.reserve({
+          job,
+          task,
+          machine: placement.machine,
+          start: placement.start,
+          end: placement.start + spanS,
+        });
+      else remaining.push(task);
     }
-    return left;
+    return remaining;
   }
 
-  /** Works out for all machines when a task could start there; returns how long it takes where it takes the longest. */
+  /** Computes the earliest start on every machine; returns the longest duration of a task on any of them. */
   private estimateAll(job: PlanJob, zone: number | null, from: number): number {
     let longest = 0;
-    for (let m = 0; m < this.starts.length; m++) {
-      this.starts[m] = NEVER;
-      if (!this.table.allowed(job, m, zone)) continue;
-      this.spans[m] = this.table.spanOn(job, m);
-      longest = Math.max(longest, this.spans[m]!);
-      this.estimate(job, m, from);
+    for (let machineIndex = 0; machineIndex < this.starts.length; machineIndex++) {
+      this.starts[machineIndex] = NEVER;
+      if (!this.table.allowed(job, machineIndex, zone)) continue;
+      this.spans[machineIndex] = this.table.spanOn(job, machineIndex);
+      longest = Math.max(longest, this.spans[machineIndex]!);
+      this.estimate(job, machineIndex, from);
     }
     return longest;
   }
 
-  private estimate(job: PlanJob, m: number, from: number): void {
-    const profile = this.table.profiles[m]!;
+  private estimate(job: PlanJob, machineIndex: number, from: number): void {
+    const profile = this.table.profiles[machineIndex]!;
     const full = profile.size >= MAX_RESERVATIONS;
     this.table.probes++;
-    this.starts[m] = full ? NEVER : (profile.earliest(from, this.spans[m]!, job.need) ?? NEVER);
+    this.starts[machineIndex] = full
+      ? NEVER
+      : (profile.earliest(from, this.spans[machineIndex]!, job.need) ?? NEVER);
   }
 
-  /** The machine that the next task goes to, by what is known of when it could start on each; -1 when there is none. */
-  private bestFor(
+  /** Returns the index of the best machine for the next task by the computed starts; -1 when none is left. */
+  private bestMachineFor(
     job: PlanJob,
     spread: ZoneSpread | null,
     teamFrom: number,
@@ -128,11 +146,11 @@
       let best = -1;
       for (let m = 0; m < machines.length; m++) {
         if (this.starts[m] === NEVER) continue;
-        if (spread && (spread.perZone.get(machines[m]!.zone) ?? 0) >= spread.half) continue;
+        if (spread && (spread.perZone.get(machines[m]!.zone) ?? 0) >= spread.maxPerZone) continue;
         if (best < 0 || this.ranksBefore(job, m, best)) best = m;
       }
       if (best < 0 || !team) return best;
-      // The team's limit may allow the task only later; then that machine is weighed anew.
+      // The team's limit may allow the task only later; the start on this machine is then recomputed.
       const start = this.starts[best]!;
       this.table.probes++;
       const allowed = team.earliest(Math.max(start, teamFrom), this.spans[best]!, job.need) ?? NEVER;
@@ -142,30 +160,33 @@
     }
   }
 
-  /** Whether a task goes rather to machine `a` than to `b`. */
-  private ranksBefore(job: PlanJob, a: number, b: number): boolean {
+  /** Returns whether machine `first` is preferred to machine `second` for a task of the job. */
+  private ranksBefore(job: PlanJob, first: number, second: number): boolean {
     const { table } = this;
-    const endA = this.starts[a]! + this.spans[a]!;
-    const endB = this.starts[b]! + this.spans[b]!;
-    const lateA = endA > job.deadline;
-    if (lateA !== endB > job.deadline) return !lateA;
-    if (lateA) return endA < endB || (endA === endB && this.starts[a]! < this.starts[b]!);
-    const waste = table.unneededGpus(job, a) - table.unneededGpus(job, b);
+    const firstEnd = this.starts[first]! + this.spans[first]!;
+    const secondEnd = this.starts[second]! + this.spans[second]!;
+    const firstIsLate = firstEnd > job.deadline;
+    if (firstIsLate !== secondEnd > job.deadline) return !firstIsLate;
+    if (firstIsLate)
+      return firstEnd < secondEnd || (firstEnd === secondEnd && this.starts[first]! < this.starts[second]!);
+    const waste = table.unneededGpus(job, first) - table.unneededGpus(job, second);
     if (waste !== 0) return waste < 0;
-    // An image matters only to a task that starts now; one that is to start later may well find it fetched.
-    const fetchA = this.starts[a]! > table.now ? 0 : table.fetchS(job, a);
-    const fetchB = this.starts[b]! > table.now ? 0 : table.fetchS(job, b);
-    if (fetchA !== fetchB) return fetchA < fetchB;
-    const load = table.profiles[a]!.load - table.profiles[b]!.load;
+    // Only a task that starts now has to wait for the image; for a later start the image may already be
+    // cached by then.
+    const firstFetchS = this.starts[first]! > table.now ? 0 : table.fetchS(job, first);
+    const secondFetchS = this.starts[second]! > table.now ? 0 : table.fetchS(job, second);
+    if (firstFetchS !== secondFetchS) return firstFetchS < secondFetchS;
+    const load = table.profiles[first]!.load - table.profiles[second]!.load;
     if (load !== 0) return load > 0;
-    const preference = table.preference(job, a) - table.preference(job, b);
-    return preference > 0 || (preference === 0 && this.starts[a]! < this.starts[b]!);
+    const preference = table.preference(job, first) - table.preference(job, second);
+    return preference > 0 || (preference === 0 && this.starts[first]! < this.starts[second]!);
   }
 }
 
-/** The first tasks of a job, up to a bound. */
-function tasksToReserve(job: PlanJob, zone: number | null, { perZone, half }: ZoneSpread): number[] {
-  // Of a job that is held to one zone and spread as well, half can run at once, and the others after them.
-  const max = job.oneZone && job.spread ? half - (perZone.get(zone ?? -1) ?? 0) : MAX_RESERVED_TASKS;
+/** Returns the first tasks of a job, up to the maximum number of reservations. */
+function tasksToReserve(job: PlanJob, zone: number | null, { perZone, maxPerZone }: ZoneSpread): number[] {
+  // A job with both `oneZone` and `spread` can run only half of its tasks at a time; the other half runs
+  // after them.
+  const max = job.oneZone && job.spread ? maxPerZone - (perZone.get(zone ?? -1) ?? 0) : MAX_RESERVED_TASKS;
   return job.tasks.slice(0, Math.max(0, Math.min(MAX_RESERVED_TASKS, max)));
 }
--- a/src/plan/backfilling.ts
+++ b/src/plan/backfilling.ts
@@ -2,51 +2,66 @@
 import type { PlanJob, Reservation } from './model.js';
 import { MAX_RESERVATIONS, type ReservationTable } from './reservationtable.js';
 
-/** A machine has capacity at this moment when a task fits for so long, in seconds. */
-const INSTANT_S = 1e-3;
+/** A machine has capacity now if a task fits for at least this long, in seconds. */
+const MIN_FREE_SPAN_S = 1e-3;
 
-/** Starts tasks now that were to start later or have no reservation, where they fit beside all that is reserved. */
+/**
+ * Starts tasks now that are reserved for later or not reserved at all, where they fit without delaying any
+ * reservation.
+ */
 export class Backfilling {
-  /** For `reserveNow`: machines with capacity at this moment for the first job that it was called with. */
+  /** Indices of the machines with capacity now for the first job passed to `reserveNow`. */
   private machinesWithCapacityNow: readonly number[] | null = null;
 
   constructor(private readonly table: ReservationTable) {}
 
   /**
-   * Limited backfilling: a task reserved for later starts now on another machine if it fits there beside all that is
-   * reserved, so that no other task moves.
+   * Backfills conservatively: starts a task that is reserved for later now on another machine if it fits next
+   * to all existing reservations, so that no other task moves.
    */
   startEarly(): void {
     const { table } = this;
     let job: PlanJob | null = null;
-    let open: number[] = [];
+    let openMachines: number[] = [];
     const withCapacity = this.machinesWithCapacityFor(
-      table.reservations.filter((r) => r.start > table.now).map((r) => r.job),
+      table.reservations
+        .filter((reservation) => reservation.start > table.now)
+        .map((reservation) => reservation.job),
     );
-    for (const r of table.reservations) {
-      if (r.start <= table.now || r.job.kind === 'gang' || table.earliestStart(r.job) > table.now) continue;
-      if (r.job !== job) {
-        job = r.job;
-        open = this.machinesOpenNow(job, withCapacity);
+    for (const reservation of table.reservations) {
+      if (
+        reservation.start <= table.now ||
+        reservation.job.kind === 'gang' ||
+        table.earliestStart(reservation.job) > table.now
+      )
+        continue;
+      if (reservation.job !== job) {
+        job = reservation.job;
+        openMachines = this.openMachinesFor(job, withCapacity);
       }
-      if (open.length > 0) this.pullForward(r, open);
+      if (openMachines.length > 0) this.moveToNow(reservation, openMachines);
     }
   }
 
-  /** As `Plan.reserveNow`, for arrays and services. */
+  /** Implements `Plan.reserveNow` for arrays and services. */
   reserveNow(job: PlanJob): number {
     if (job.oneZone || job.spread) return 0;
     const { table } = this;
     this.machinesWithCapacityNow ??= this.machinesWithCapacityFor([job]);
     const team = table.teams.get(job.team);
     let placed = 0;
-    for (const m of this.machinesOpenNow(job, this.machinesWithCapacityNow)) {
-      const span = table.spanOn(job, m);
-      let count = table.profiles[m]!.capacityFor(table.now, span, job.need, job.tasks.length - placed);
+    for (const machineIndex of this.openMachinesFor(job, this.machinesWithCapacityNow)) {
+      const span = table.spanOn(job, machineIndex);
+      let count = table.profiles[machineIndex]!.capacityFor(
+        table.now,
+        span,
+        job.need,
+        job.tasks.length - placed,
+      );
       if (team) count = Math.min(count, team.capacityFor(table.now, span, job.need, count));
       for (; count > 0; count--) {
         const task = job.tasks[placed++]!;
-        table.reserve({ job, task, machine: m, start: table.now, end: table.now + span });
+        table.reserve({ job, task, machine: machineIndex, start: table.now, end: table.now + span });
       }
       if (placed === job.tasks.length) break;
     }
@@ -54,39 +69,40 @@
   }
 
   /**
-   * Machines that have capacity at this moment for the smallest of what tasks of these jobs take. A full fleet has few of
-   * them, so that a swarm of small jobs does not look at every machine for each.
+   * Returns the machines with capacity now for the smallest requirements among the tasks of these jobs. A
+   * full fleet has few such machines, so a large number of small jobs need not each scan every machine.
    */
   private machinesWithCapacityFor(jobs: readonly PlanJob[]): number[] {
     const { table } = this;
     const infinite = Number.POSITIVE_INFINITY;
-    const least: Amounts = { cpus: infinite, gpus: infinite, memoryGb: infinite };
+    const smallestNeed: Amounts = { cpus: infinite, gpus: infinite, memoryGb: infinite };
     for (const { need } of jobs) {
-      least.cpus = Math.min(least.cpus, need.cpus);
-      least.gpus = Math.min(least.gpus, need.gpus);
-      least.memoryGb = Math.min(least.memoryGb, need.memoryGb);
+      smallestNeed.cpus = Math.min(smallestNeed.cpus, need.cpus);
+      smallestNeed.gpus = Math.min(smallestNeed.gpus, need.gpus);
+      smallestNeed.memoryGb = Math.min(smallestNeed.memoryGb, need.memoryGb);
     }
     const machines: number[] = [];
     if (jobs.length === 0) return machines;
     for (let m = 0; m < table.machines.length; m++) {
       if (table.machines[m]!.quarantined) continue;
       table.probes++;
-      if (table.profiles[m]!.capacityFor(table.now, INSTANT_S, least, 1) > 0) machines.push(m);
+      if (table.profiles[m]!.capacityFor(table.now, MIN_FREE_SPAN_S, smallestNeed, 1) > 0) machines.push(m);
     }
     return machines;
   }
 
-  /** Machines where a task of the job fits from now on, the best first. */
-  private machinesOpenNow(job: PlanJob, among: readonly number[]): number[] {
+  /** Returns the machines where a task of the job fits from now on, best first. */
+  private openMachinesFor(job: PlanJob, candidates: readonly number[]): number[] {
     const { table } = this;
-    const open: number[] = [];
-    for (const m of among) {
+    const openMachines: number[] = [];
+    for (const m of candidates) {
       if (!table.allowed(job, m, job.zone)) continue;
       if (table.profiles[m]!.size >= MAX_RESERVATIONS) continue;
       table.probes++;
-      if (table.profiles[m]!.capacityFor(table.now, table.spanOn(job, m), job.need, 1) > 0) open.push(m);
+      if (table.profiles[m]!.capacityFor(table.now, table.spanOn(job, m), job.need, 1) > 0)
+        openMachines.push(m);
     }
-    return open.sort(
+    return openMachines.sort(
       (a, b) =>
         table.unneededGpus(job, a) - table.unneededGpus(job, b) ||
         table.fetchS(job, a) - table.fetchS(job, b) ||
@@ -95,34 +111,39 @@
     );
   }
 
-  /** Moves a reservation to now on the first of the open machines where it fits; drops those without capacity from the list. */
-  private pullForward(r: Reservation, open: number[]): void {
+  /**
+   * Moves a reservation to start now on the first open machine where it fits; removes machines without
+   * capacity from the list.
+   */
+  private moveToNow(reservation: Reservation, openMachines: number[]): void {
     const { table } = this;
-    const zone = this.fixedZone(r);
-    table.withdraw(r);
-    for (let i = 0; i < open.length; i++) {
-      const m = open[i]!;
-      if (zone !== null && table.machines[m]!.zone !== zone) continue;
-      const span = table.spanOn(r.job, m);
+    const zone = this.fixedZone(reservation);
+    table.withdraw(reservation);
+    for (let i = 0; i < openMachines.length; i++) {
+      const machineIndex = openMachines[i]!;
+      if (zone !== null && table.machines[machineIndex]!.zone !== zone) continue;
+      const span = table.spanOn(reservation.job, machineIndex);
       const end = table.now + span;
-      if (end > r.job.deadline && end > r.end) continue;
+      if (end > reservation.job.deadline && end > reservation.end) continue;
       table.probes++;
-      if (table.profiles[m]!.capacityFor(table.now, span, r.job.need, 1) === 0) {
-        open.splice(i--, 1);
+      if (table.profiles[machineIndex]!.capacityFor(table.now, span, reservation.job.need, 1) === 0) {
+        openMachines.splice(i--, 1);
         continue;
       }
-      const team = table.teams.get(r.job.team);
-      if (team && team.capacityFor(table.now, span, r.job.need, 1) === 0) break;
-      r.machine = m;
-      r.start = table.now;
-      r.end = end;
+      const team = table.teams.get(reservation.job.team);
+      if (team && team.capacityFor(table.now, span, reservation.job.need, 1) === 0) break;
+      reservation.machine = machineIndex;
+      reservation.start = table.now;
+      reservation.end = end;
       break;
     }
-    table.apply(r);
+    table.apply(reservation);
   }
 
-  private fixedZone(r: Reservation): number | null {
-    // A job held to one zone or spread over zones keeps the zone that its reservation has.
-    return r.job.oneZone || r.job.spread ? this.table.machines[r.machine]!.zone : r.job.zone;
+  private fixedZone(reservation: Reservation): number | null {
+    // A job that is restricted to one zone or spread over zones keeps the zone of its reservation.
+    return reservation.job.oneZone || reservation.job.spread
+      ? this.table.machines[reservation.machine]!.zone
+      : reservation.job.zone;
   }
 }
--- a/src/plan/capacityprofile.ts
+++ b/src/plan/capacityprofile.ts
@@ -1,21 +1,27 @@
-/** What a task takes of its machine, or a machine has. */
+/** Resources that a task requires or that a machine provides. */
 export interface Amounts {
   cpus: number;
   gpus: number;
   memoryGb: number;
 }
 
-/** By so much a sum of fractions may exceed what is free. */
+/** Tolerance for rounding errors in sums of fractional resources. */
 const ROUNDING_TOLERANCE = 1e-6;
-/** Load counts reserved time no further ahead than this, so that a service does not outweigh everything. */
+/**
+ * Horizon of reserved time that counts as load, so that a service, which has no end, does not outweigh
+ * everything else.
+ */
 const LOAD_HORIZON_S = 3600;
 
 /**
- * Reserved use of one machine, or of one team, over time, as steps of what is free: a query costs one walk along the
- * steps, whatever the number of reservations. Times are seconds on the steady clock.
+ * Reserved use of one machine or one team over time, stored as a step function of the free capacity: a query
+ * walks along the steps once, whatever the number of reservations. Times are seconds on the monotonic clock.
  */
 export class CapacityProfile {
-  /** `cpus[i]`, `gpus[i]` and `memory[i]` are free from `times[i]` until `times[i + 1]`, the last ones for good. */
+  /**
+   * `cpus[i]`, `gpus[i]` and `memory[i]` are free from `times[i]` until `times[i + 1]`; the last step has no
+   * end.
+   */
   private readonly times: number[] = [Number.NEGATIVE_INFINITY];
   private readonly cpus: number[];
   private readonly gpus: number[];
@@ -23,24 +29,27 @@
   private reservationCount = 0;
   private reservedLoad = 0;
 
-  /** `cap` is free from `readyAt` until `until`; load counts from `now`. */
+  /**
+   * Creates a profile with `capacity` free from `readyAt` until `until`; load counts reserved time from `now`
+   * on.
+   */
   constructor(
-    private readonly cap: Amounts,
+    private readonly capacity: Amounts,
     private readonly now: number,
     readonly readyAt: number,
     private readonly until: number,
   ) {
-    this.cpus = [cap.cpus];
-    this.gpus = [cap.gpus];
-    this.memory = [cap.memoryGb];
+    this.cpus = [capacity.cpus];
+    this.gpus = [capacity.gpus];
+    this.memory = [capacity.memoryGb];
   }
 
-  /** How many reservations there are. */
+  /** Number of reservations. */
   get size(): number {
     return this.reservationCount;
   }
 
-  /** Reserved time left, in seconds, weighted by the share of the machine that it takes. */
+  /** Reserved time that is left, in seconds, weighted by the reserved share of the capacity. */
   get load(): number {
     return this.reservedLoad;
   }
@@ -49,22 +58,22 @@
   add(start: number, end: number, need: Amounts): void {
     this.reservationCount++;
     this.reservedLoad += this.weight(start, end, need);
-    this.change(start, end, need, -1);
+    this.adjust(start, end, need, -1);
   }
 
-  /** Takes back what `add` has reserved. */
+  /** Releases a reservation made by `add`. */
   remove(start: number, end: number, need: Amounts): void {
     this.reservationCount--;
     this.reservedLoad -= this.weight(start, end, need);
-    this.change(start, end, need, 1);
+    this.adjust(start, end, need, 1);
   }
 
-  /** How many times `need` fits throughout [t, t + span), up to `max`. */
-  capacityFor(t: number, span: number, need: Amounts, max: number): number {
-    const end = t + span;
-    if (t < this.readyAt || end > this.until) return 0;
+  /** Returns how many times `need` fits throughout [time, time + span), up to `max`. */
+  capacityFor(time: number, span: number, need: Amounts, max: number): number {
+    const end = time + span;
+    if (time < this.readyAt || end > this.until) return 0;
     let count = max;
-    let i = this.stepAt(t);
+    let i = this.stepAt(time);
     do {
       count = Math.min(count, this.countAt(i, need, count));
       i++;
@@ -72,10 +81,12 @@
     return count;
   }
 
-  /** The first moment not before `t` from which `need` fits for `span`; null when there is none. */
-  earliest(t: number, span: number, need: Amounts): number | null {
+  /**
+   * Returns the earliest start at or after `time` at which `need` fits for `span`; null when there is none.
+   */
+  earliest(time: number, span: number, need: Amounts): number | null {
     const last = this.times.length;
-    let start = Math.max(t, this.readyAt);
+    let start = Math.max(time, this.readyAt);
     let i = this.stepAt(start);
     for (;;) {
       if (start + span > this.until) return null;
@@ -92,24 +103,24 @@
     }
   }
 
-  /** From when on nothing is reserved any more. */
-  get freeFrom(): number {
+  /** Time after which nothing is reserved. */
+  get unreservedFrom(): number {
     return Math.max(this.readyAt, this.now, this.times.at(-1)!);
   }
 
   private weight(start: number, end: number, need: Amounts): number {
-    const left = Math.min(end, this.now + LOAD_HORIZON_S) - Math.max(start, this.now);
-    if (left <= 0) return 0;
-    let share = this.cap.cpus > 0 ? need.cpus / this.cap.cpus : 0;
-    if (this.cap.gpus > 0) share = Math.max(share, need.gpus / this.cap.gpus);
-    if (this.cap.memoryGb > 0) share = Math.max(share, need.memoryGb / this.cap.memoryGb);
-    return left * share;
+    const remaining = Math.min(end, this.now + LOAD_HORIZON_S) - Math.max(start, this.now);
+    if (remaining <= 0) return 0;
+    let share = this.capacity.cpus > 0 ? need.cpus / this.capacity.cpus : 0;
+    if (this.capacity.gpus > 0) share = Math.max(share, need.gpus / this.capacity.gpus);
+    if (this.capacity.memoryGb > 0) share = Math.max(share, need.memoryGb / this.capacity.memoryGb);
+    return remaining * share;
   }
 
-  private change(start: number, end: number, need: Amounts, sign: number): void {
+  private adjust(start: number, end: number, need: Amounts, sign: number): void {
     if (end <= start) return;
-    const from = this.cut(start);
-    const to = end === Number.POSITIVE_INFINITY ? this.times.length : this.cut(end);
+    const from = this.splitStepAt(start);
+    const to = end === Number.POSITIVE_INFINITY ? this.times.length : this.splitStepAt(end);
     for (let i = from; i < to; i++) {
       this.cpus[i]! += sign * need.cpus;
       this.gpus[i]! += sign * need.gpus;
@@ -117,23 +128,23 @@
     }
   }
 
-  /** The step that holds `t`. */
-  private stepAt(t: number): number {
+  /** Returns the index of the step that contains `time`. */
+  private stepAt(time: number): number {
     let low = 0;
     let high = this.times.length - 1;
     while (low < high) {
       const mid = (low + high + 1) >> 1;
-      if (this.times[mid]! <= t) low = mid;
+      if (this.times[mid]! <= time) low = mid;
       else high = mid - 1;
     }
     return low;
   }
 
-  /** Makes a step begin at `t`; returns its index. */
-  private cut(t: number): number {
-    const i = this.stepAt(t);
-    if (this.times[i] === t) return i;
-    insert(this.times, i + 1, t);
+  /** Splits the step that contains `time` so that a step begins there; returns the index of that step. */
+  private splitStepAt(time: number): number {
+    const i = this.stepAt(time);
+    if (this.times[i] === time) return i;
+    insert(this.times, i + 1, time);
     insert(this.cpus, i + 1, this.cpus[i]!);
     insert(this.gpus, i + 1, this.gpus[i]!);
     insert(this.memory, i + 1, this.memory[i]!);
@@ -164,7 +175,7 @@
   list[at] = value;
 }
 
-/** How many times `need` fits into `free`, up to `max`. */
+/** Returns how many times `need` fits into `free`, up to `max`. */
 export function fitCount(free: Amounts, need: Amounts, max: number): number {
   let count = max;
   if (need.cpus > 0) count = Math.min(count, Math.floor((free.cpus + ROUNDING_TOLERANCE) / need.cpus));
--- a/src/plan/gangplacement.ts
+++ b/src/plan/gangplacement.ts
@@ -3,70 +3,76 @@
 import type { ReservationTable } from './reservationtable.js';
 
 const MAX_GANG_TASKS = 4096;
-/** So many moments at which a gang might fit are looked at closely. */
-const MAX_MOMENTS_TRIED = 16;
-/** A machine has capacity at this moment when a task fits for so long, in seconds. */
+/** Maximum number of candidate starts for which a placement of the whole gang is tried. */
+const MAX_STARTS_TRIED = 16;
+/** A machine has capacity now if a task fits for at least this long, in seconds. */
 const CAPACITY_SPAN_S = 1;
 
-/** A moment from which on a machine could take some of a gang's tasks. */
-interface GangMoment {
+/** Time from which a machine could run some of a gang's tasks. */
+interface CandidateStart {
   readonly at: number;
   readonly zone: number | null;
-  /** How many more tasks than before. */
+  /** Number of tasks that the machine can run from then on, beyond those of its earlier candidate start. */
   readonly count: number;
-  /** How long a task would take there. */
+  /** Duration of a task on this machine, in seconds. */
   readonly span: number;
 }
 
-/** A machine that could take some of a gang's tasks at a moment. */
-interface MachineOffer {
+/** Machine that could run some of a gang's tasks from a given time on. */
+interface CandidateMachine {
   readonly machine: number;
   readonly count: number;
-  /** How long it would fetch the image. */
+  /** Time to fetch the image, in seconds. */
   readonly fetchS: number;
 }
 
 /** Places gangs, whose tasks all run at the same time. */
 export class GangPlacement {
-  private readonly all: readonly number[];
-  /** Machines with capacity at this moment, by what a task takes. What is reserved later only takes some of it away. */
+  private readonly allMachines: readonly number[];
+  /**
+   * Indices of the machines with capacity now, by the size of a task. Later reservations can only reduce that
+   * capacity.
+   */
   private readonly machinesWithCapacity = new Map<string, readonly number[]>();
 
   constructor(private readonly table: ReservationTable) {
-    this.all = table.machines.map((_, m) => m);
+    this.allMachines = table.machines.map((_, m) => m);
   }
 
-  /** Reserves for all tasks of a gang as early as possible. Returns when they end, or null when there is no place. */
+  /**
+   * Reserves capacity for all tasks of a gang as early as possible. Returns their end, or null when they do
+   * not fit.
+   */
   reserve(job: PlanJob): number | null {
     const { table } = this;
-    const n = job.tasks.length;
-    if (n === 0) return table.earliestStart(job);
-    if (n > MAX_GANG_TASKS) return null;
+    const taskCount = job.tasks.length;
+    if (taskCount === 0) return table.earliestStart(job);
+    if (taskCount > MAX_GANG_TASKS) return null;
     const team = table.teams.get(job.team);
-    const whole = { cpus: job.need.cpus * n, gpus: job.need.gpus * n, memoryGb: 0 };
-    const moments = this.moments(job, n);
+    const gangNeed = { cpus: job.need.cpus * taskCount, gpus: job.need.gpus * taskCount, memoryGb: 0 };
+    const candidateStarts = this.candidateStarts(job, taskCount);
     const countByZone = new Map<number | null, number>();
     let longest = 0;
     let tries = 0;
-    for (let i = 0; i < moments.length; i++) {
-      const { at, zone, count, span } = moments[i]!;
+    for (let i = 0; i < candidateStarts.length; i++) {
+      const { at, zone, count, span } = candidateStarts[i]!;
       longest = Math.max(longest, span);
       countByZone.set(zone, (countByZone.get(zone) ?? 0) + count);
-      // What comes at the same moment in the same zone is counted together.
-      const next = moments[i + 1];
+      // Candidate starts at the same time in the same zone are counted together before a placement is tried.
+      const next = candidateStarts[i + 1];
       if (next && next.at === at && next.zone === zone) continue;
-      if (countByZone.get(zone)! < n) continue;
-      const start = team ? team.earliest(at, longest, whole) : at;
+      if (countByZone.get(zone)! < taskCount) continue;
+      const start = team ? team.earliest(at, longest, gangNeed) : at;
       if (start === null) return null;
       const finish = this.reserveAt(job, start, zone);
       if (finish !== null) return finish;
-      if (++tries >= MAX_MOMENTS_TRIED) break;
+      if (++tries >= MAX_STARTS_TRIED) break;
     }
-    // Some time everything in a zone is free.
+    // Falls back to the time at which all machines in a zone are free of reservations.
     for (const [zone, count] of countByZone) {
-      if (count < n) continue;
-      const at = this.allFreeFrom(job, zone);
-      const start = team ? team.earliest(at, longest, whole) : at;
+      if (count < taskCount) continue;
+      const at = this.allUnreservedFrom(job, zone);
+      const start = team ? team.earliest(at, longest, gangNeed) : at;
       const finish = start === null ? null : this.reserveAt(job, start, zone);
       if (finish !== null) return finish;
     }
@@ -74,8 +80,8 @@
   }
 
   /**
-   * Reserves for a gang again where an earlier plan had it. Returns the tasks that this leaves: all of them, when it no longer
-   * fits there as a whole, or none. One that could start now does.
+   * Repeats the reservation that an earlier plan made for a gang, or starts the gang now if it fits now.
+   * Returns the tasks that are left: none, or all of them when the gang no longer fits there as a whole.
    */
   keep(job: PlanJob, previous: ReadonlyMap<number, PreviousPlacement>): number[] {
     const { table } = this;
@@ -85,25 +91,29 @@
     let start = Number.NaN;
     let span = 0;
     for (const task of job.tasks) {
-      const p = previous.get(task);
-      if (!p || p.start <= table.now || !table.allowed(job, p.machine, job.zone)) return job.tasks;
-      start = p.start;
-      counts.set(p.machine, (counts.get(p.machine) ?? 0) + 1);
-      span = Math.max(span, table.spanOn(job, p.machine));
+      const placement = previous.get(task);
+      if (!placement || placement.start <= table.now || !table.allowed(job, placement.machine, job.zone))
+        return job.tasks;
+      start = placement.start;
+      counts.set(placement.machine, (counts.get(placement.machine) ?? 0) + 1);
+      span = Math.max(span, table.spanOn(job, placement.machine));
     }
     for (const [m, count] of counts) {
       table.probes++;
       if (table.profiles[m]!.capacityFor(start, span, job.need, count) < count) return job.tasks;
     }
-    const n = job.tasks.length;
+    const taskCount = job.tasks.length;
     const team = table.teams.get(job.team);
-    if (team && team.capacityFor(start, span, job.need, n) < n) return job.tasks;
+    if (team && team.capacityFor(start, span, job.need, taskCount) < taskCount) return job.tasks;
     for (const task of job.tasks)
       table.reserve({ job, task, machine: previous.get(task)!.machine, start, end: start + span });
     return [];
   }
 
-  /** Reserves for a gang from now on if it fits beside all that is reserved; returns whether it does. */
+  /**
+   * Reserves capacity for a gang from now on if it fits next to all existing reservations; returns whether it
+   * does.
+   */
   reserveNow(job: PlanJob): boolean {
     const { table } = this;
     const machines = this.machinesWithCapacityFor(job);
@@ -127,84 +137,90 @@
     return machines;
   }
 
-  /** From when on all machines that may take a gang in a zone are free. */
-  private allFreeFrom(job: PlanJob, zone: number | null): number {
+  /** Returns the time from which all machines that a gang may use in a zone are free of reservations. */
+  private allUnreservedFrom(job: PlanJob, zone: number | null): number {
     let at = this.table.earliestStart(job);
     for (const [m, p] of this.table.profiles.entries()) {
-      if (this.table.allowed(job, m, zone)) at = Math.max(at, p.freeFrom);
+      if (this.table.allowed(job, m, zone)) at = Math.max(at, p.unreservedFrom);
     }
     return at;
   }
 
-  /** From when on each machine could take some, and all that it can hold, of a gang's tasks; in order of time. */
-  private moments(job: PlanJob, n: number): GangMoment[] {
+  /**
+   * Returns, in order of time, the starts from which each machine can run some of a gang's tasks, and as many
+   * as it can hold.
+   */
+  private candidateStarts(job: PlanJob, taskCount: number): CandidateStart[] {
     const { table } = this;
-    const moments: GangMoment[] = [];
-    for (let m = 0; m < table.machines.length; m++) {
-      if (!table.allowed(job, m, job.zone)) continue;
-      const zone = job.oneZone ? table.machines[m]!.zone : job.zone;
-      const profile = table.profiles[m]!;
-      const span = table.spanOn(job, m);
+    const candidateStarts: CandidateStart[] = [];
+    for (let machineIndex = 0; machineIndex < table.machines.length; machineIndex++) {
+      if (!table.allowed(job, machineIndex, job.zone)) continue;
+      const zone = job.oneZone ? table.machines[machineIndex]!.zone : job.zone;
+      const profile = table.profiles[machineIndex]!;
+      const span = table.spanOn(job, machineIndex);
       table.probes++;
       const at = profile.earliest(table.earliestStart(job), span, job.need);
       if (at === null) continue;
-      const max = fitCount(table.machines[m]!.size, job.need, n);
+      const max = fitCount(table.machines[machineIndex]!.size, job.need, taskCount);
       const count = profile.capacityFor(at, span, job.need, max);
-      moments.push({ at, zone, count, span });
+      candidateStarts.push({ at, zone, count, span });
       if (count === max) continue;
       const { cpus, gpus, memoryGb } = job.need;
-      const full = { cpus: cpus * max, gpus: gpus * max, memoryGb: memoryGb * max };
-      const later = profile.earliest(at, span, full);
-      if (later !== null) moments.push({ at: later, zone, count: max - count, span });
+      const fullNeed = { cpus: cpus * max, gpus: gpus * max, memoryGb: memoryGb * max };
+      const fullAt = profile.earliest(at, span, fullNeed);
+      if (fullAt !== null) candidateStarts.push({ at: fullAt, zone, count: max - count, span });
     }
-    return moments.sort((a, b) => a.at - b.at || (a.zone ?? 0) - (b.zone ?? 0));
+    return candidateStarts.sort((a, b) => a.at - b.at || (a.zone ?? 0) - (b.zone ?? 0));
   }
 
-  /** Reserves for a gang from a moment on. Returns when it ends, or null when it does not fit. */
+  /** Reserves capacity for a gang at a given start. Returns its end, or null when it does not fit. */
   private reserveAt(
     job: PlanJob,
     start: number,
     zone: number | null,
-    among: readonly number[] = this.all,
+    machineIndices: readonly number[] = this.allMachines,
   ): number | null {
     const { table } = this;
-    const n = job.tasks.length;
-    const offers = this.offersAt(job, start, zone, among);
-    const picked = offers && this.pick(job, offers);
-    if (!picked) return null;
-    // All tasks run together: the slowest machine and the longest fetch set the end.
-    const span = Math.max(...picked.map((m) => table.spanOn(job, m)));
+    const taskCount = job.tasks.length;
+    const candidates = this.candidatesAt(job, start, zone, machineIndices);
+    const assigned = candidates && this.assignTasks(job, candidates);
+    if (!assigned) return null;
+    // All tasks run together, so the machine with the longest run and fetch time determines the end.
+    const span = Math.max(...assigned.map((m) => table.spanOn(job, m)));
     const team = table.teams.get(job.team);
-    if (team && team.capacityFor(start, span, job.need, n) < n) return null;
+    if (team && team.capacityFor(start, span, job.need, taskCount) < taskCount) return null;
     const end = start + span;
     job.tasks.forEach((task, i) => {
-      table.reserve({ job, task, machine: picked[i]!, start, end });
+      table.reserve({ job, task, machine: assigned[i]!, start, end });
     });
     return end;
   }
 
-  /** The machines that could take tasks of a gang at a moment, the best first; null when they do not take all of them. */
-  private offersAt(
+  /**
+   * Returns the machines that can run tasks of a gang at a given start, best first; null when they cannot run
+   * all of them.
+   */
+  private candidatesAt(
     job: PlanJob,
     at: number,
     zone: number | null,
-    among: readonly number[],
-  ): MachineOffer[] | null {
+    machineIndices: readonly number[],
+  ): CandidateMachine[] | null {
     const { table } = this;
-    const n = job.tasks.length;
-    const offers: MachineOffer[] = [];
+    const taskCount = job.tasks.length;
+    const candidates: CandidateMachine[] = [];
     let sum = 0;
-    for (const m of among) {
+    for (const m of machineIndices) {
       if (!table.allowed(job, m, zone)) continue;
       table.probes++;
-      const count = table.profiles[m]!.capacityFor(at, table.spanOn(job, m), job.need, n);
+      const count = table.profiles[m]!.capacityFor(at, table.spanOn(job, m), job.need, taskCount);
       if (count === 0) continue;
       sum += count;
-      offers.push({ machine: m, count, fetchS: table.fetchS(job, m) });
+      candidates.push({ machine: m, count, fetchS: table.fetchS(job, m) });
     }
-    if (sum < n) return null;
-    // A gang waits for its slowest fetch, so a machine that has the image comes before a more loaded one.
-    return offers.sort(
+    if (sum < taskCount) return null;
+    // A gang waits for its slowest fetch, so a machine that has the image is preferred to a more loaded one.
+    return candidates.sort(
       (a, b) =>
         a.fetchS - b.fetchS ||
         table.unneededGpus(job, a.machine) - table.unneededGpus(job, b.machine) ||
@@ -213,21 +229,24 @@
     );
   }
 
-  /** The machine of each task, spread over zones if the gang has to be; null when that leaves tasks without one. */
-  private pick(job: PlanJob, offers: readonly MachineOffer[]): number[] | null {
-    const n = job.tasks.length;
-    const half = Math.ceil(n / 2);
+  /**
+   * Assigns a machine to each task, spread over zones if the job requires it; returns null when a task gets
+   * no machine.
+   */
+  private assignTasks(job: PlanJob, candidates: readonly CandidateMachine[]): number[] | null {
+    const taskCount = job.tasks.length;
+    const maxPerZone = Math.ceil(taskCount / 2);
     const perZone = new Map<number, number>();
-    const picked: number[] = [];
-    for (const { machine, count } of offers) {
+    const assigned: number[] = [];
+    for (const { machine, count } of candidates) {
       const { zone } = this.table.machines[machine]!;
-      for (let i = 0; i < count && picked.length < n; i++) {
+      for (let i = 0; i < count && assigned.length < taskCount; i++) {
         const inZone = perZone.get(zone) ?? 0;
-        if (job.spread && inZone >= half) break;
+        if (job.spread && inZone >= maxPerZone) break;
         perZone.set(zone, inZone + 1);
-        picked.push(machine);
+        assigned.push(machine);
       }
     }
-    return picked.length < n ? null : picked;
+    return assigned.length < taskCount ? null : assigned;
   }
 }
--- a/src/plan/model.ts
+++ b/src/plan/model.ts
@@ -1,74 +1,87 @@
 import type { Amounts } from './capacityprofile.js';
 
-/** What a job asks of a machine beyond its size, type and zone; most jobs ask nothing. */
+/** Requirements of a job on a machine beyond its size, type and zone; most jobs have none. */
 export interface Match {
-  /** Whether a kind of machine may take the job at all. */
+  /** Returns whether a kind of machine may run the job. */
   kind(type: number, zone: number, spot: boolean): boolean;
-  /** Whether this very machine may, of a kind that may; null when only the kind counts. */
+  /**
+   * Returns whether a specific machine of an allowed kind may run the job; null when only the kind matters.
+   */
   machine: ((m: PlanMachine) => boolean) | null;
-  /** How much a machine is preferred, where nothing else decides; null for no preference. */
+  /**
+   * Returns the preference for a machine, which only breaks ties between otherwise equal machines; null for
+   * no preference.
+   */
   rank: ((m: PlanMachine) => number) | null;
 }
 
-/** A machine as the plan sees it. All names are dense indices; times are seconds on the steady clock. */
+/**
+ * Machine as represented in a plan. Names are mapped to dense indices; times are seconds on the monotonic
+ * clock.
+ */
 export interface PlanMachine {
-  /** Its name; null while it has none. */
+  /** Name of the machine; null while it has none. */
   id: string | null;
   type: number;
   zone: number;
   spot: boolean;
   size: Amounts;
-  /** From when it can take tasks; later than now while it boots. */
+  /** Time from which the machine can run tasks; in the future while it boots. */
   readyAt: number;
-  /** When the cloud takes it away. */
+  /** Time at which the cloud reclaims the machine. */
   until: number;
-  /** No new task starts here for now, but what it holds is counted. */
+  /** Whether no new task may start here for now; running tasks still count as use. */
   quarantined: boolean;
   fetchGbPerS: number;
   images: ReadonlySet<number>;
   running: RunningReservation[];
 }
 
-/** What a task on a machine takes, of whose team, and until when. */
+/** Resources that a running task uses, the team it belongs to, and its expected end. */
 export interface RunningReservation {
   team: number;
   end: number;
   need: Amounts;
 }
 
-/** A job as the plan sees it. All names are dense indices; times are seconds on the steady clock. */
+/**
+ * Job as represented in a plan. Names are mapped to dense indices; times are seconds on the monotonic clock.
+ */
 export interface PlanJob {
-  /** Its place in the order of acceptance. */
+  /** Position of the job in the order of acceptance. */
   id: number;
   team: number;
   kind: 'array' | 'gang' | 'service';
   need: Amounts;
-  /** Allowed machine types, null for any. */
+  /** Allowed machine types; null for any. */
   types: ReadonlySet<number> | null;
   zone: number | null;
   match: Match | null;
-  /** All of its tasks run in one zone. */
+  /** Whether all tasks have to run in one zone. */
   oneZone: boolean;
-  /** No more than half of its tasks run in one zone. */
+  /** Whether at most half of the tasks may run in any one zone. */
   spread: boolean;
-  /** Its tasks may run on machines that the cloud may reclaim. */
+  /** Whether the tasks may run on spot machines, which the cloud may reclaim. */
   spot: boolean;
   image: number;
   imageGb: number;
-  /** How long a task is expected to run. */
+  /** Expected run time of a task, in seconds. */
   runS: number;
   deadline: number;
-  /** It begins no earlier, since other jobs have to be done before, or tasks of it may still run. */
+  /**
+   * Earliest start: set when dependencies have to end first, or when tasks of the job may still be running
+   * elsewhere.
+   */
   earliestStart?: number;
-  /** All tasks of the job, for `spread`. */
+  /** Total number of tasks of the job, used for `spread`. */
   total: number;
-  /** Unstarted tasks to be placed, by their indices. */
+  /** Indices of the unstarted tasks to be placed. */
   tasks: number[];
-  /** Tasks on machines now, by zone. */
+  /** Number of tasks on machines now, by zone. */
   present: ReadonlyMap<number, number>;
 }
 
-/** A task of a job on a machine, by its index, from `start` until `end`. */
+/** Planned run of one task, given by its index in the job, on a machine from `start` until `end`. */
 export interface Reservation {
   job: PlanJob;
   task: number;
@@ -77,13 +90,13 @@
   end: number;
 }
 
-/** Where an earlier plan had a task. */
+/** Machine and start that an earlier plan assigned to a task. */
 export interface PreviousPlacement {
   machine: number;
   start: number;
 }
 
-/** What a team may use at once; 0 for no limit. */
+/** Limits on the resources that a team may use at once; 0 for no limit. */
 export interface TeamCap {
   cpus: number;
   gpus: number;
--- a/src/plan/plan.ts
+++ b/src/plan/plan.ts
@@ -1,4 +1,4 @@
-// This package: the plan: pure functions of machines and jobs, no I/O.
+// This package computes the plan: pure functions of machines and jobs, without I/O.
 
 import { ArrayPlacement } from './arrayplacement.js';
 import { Backfilling } from './backfilling.js';
@@ -9,7 +9,7 @@
 
 export { MAX_RESERVED_TASKS } from './arrayplacement.js';
 
-/** Late reservations of one job, and the moment by which its tasks should start, in seconds. */
+/** Late reservations of one job, and the time by which its tasks should start, in seconds. */
 export interface LateGroup {
   readonly job: PlanJob;
   readonly reservations: readonly Reservation[];
@@ -17,8 +17,9 @@
 }
 
 /**
- * The plan of one shard: what is reserved on each machine and when. It is built anew from the tasks that the machines
- * hold and the accepted jobs in their order, which trims it by the reports. Times are seconds on the steady clock.
+ * Plan of one shard: the reservations on each machine over time. It is rebuilt from the tasks that the
+ * machines run and the accepted jobs in their order, so that each plan corrects the previous one by the
+ * latest reports. Times are seconds on the monotonic clock.
  */
 export class Plan {
   private readonly table: ReservationTable;
@@ -38,19 +39,20 @@
     return this.table.reservations;
   }
 
-  /** Walks along a machine's or a team's steps so far: what the plan costs. */
+  /** Number of capacity profile queries so far; measures the cost of the plan. */
   get probes(): number {
     return this.table.probes;
   }
 
-  /** Counts what machines may hold that have not reported against every team's limit, until `end`. */
+  /** Counts the resources that unreported machines may hold against every team's limit, until `end`. */
   reserveUnreconciled(need: Amounts, end: number): void {
     for (const team of this.table.teams.values()) team.add(this.table.now, end, need);
   }
 
   /**
-   * Reserves for all unstarted tasks of a job, each on the most loaded machine that meets the deadline, as early as possible
-   * there; where none meets it, where it ends first. Returns when the last one ends, or null when one finds no place.
+   * Reserves capacity for all unstarted tasks of a job. Each task goes to the most loaded machine that meets
+   * the deadline, at the earliest start there; if no machine meets it, to the machine where it ends first.
+   * Returns the end of the last task, or null when a task fits on no machine.
    */
   reserve(job: PlanJob): number | null {
     if (job.kind === 'gang') return this.gangs.reserve(job);
@@ -59,72 +61,82 @@
     if (occupied.length > 0) return this.arrays.reserve(job, occupied[0]!);
     let best: { zone: number; finish: number } | null = null;
     for (const zone of this.table.zonesOf(job)) {
-      const mark = this.reservations.length;
+      const initialCount = this.reservations.length;
       const finish = this.arrays.reserve(job, zone);
-      this.undo(mark);
+      this.undo(initialCount);
       if (finish !== null && (!best || finish < best.finish)) best = { zone, finish };
     }
     return best ? this.arrays.reserve(job, best.zone) : null;
   }
 
   /**
-   * Reserves for a job again where an earlier plan had it, so that it keeps its place at little cost. Returns the tasks
-   * that this leaves: for a gang all of them, when it no longer fits there as a whole. A gang that could start now does.
+   * Repeats the reservations that an earlier plan made for a job, which costs little and keeps the job in
+   * place. Returns the tasks that are left; for a gang that no longer fits there as a whole these are all
+   * tasks. A gang that could start now does so instead.
    */
   keepReservations(job: PlanJob, previous: ReadonlyMap<number, PreviousPlacement>): number[] {
     return job.kind === 'gang' ? this.gangs.keep(job, previous) : this.arrays.keep(job, previous);
   }
 
   /**
-   * Reserves for those unstarted tasks of a job that fit beside all that is reserved from now on, each on the most loaded
-   * machine there is for it, and leaves the others for a later plan. For what comes last in a long queue: to reserve for all of
-   * it ahead would cost more than it is worth. Returns how many tasks found a place.
+   * Reserves capacity from now on for those unstarted tasks of a job that fit next to all existing
+   * reservations, each on the most loaded suitable machine, and leaves the others to a later plan. Meant for
+   * the end of a long queue, where reserving ahead for every task costs more than it is worth. Returns the
+   * number of tasks placed.
    */
   reserveNow(job: PlanJob): number {
     if (job.kind === 'gang') return this.gangs.reserveNow(job) ? job.tasks.length : 0;
     return this.backfilling.reserveNow(job);
   }
 
-  /** The earliest finish of a job that the plan allows; reserves nothing. */
+  /** Returns the earliest finish of a job that the plan allows, without reserving anything. */
   earliestFinish(job: PlanJob): number | null {
-    const mark = this.reservations.length;
+    const initialCount = this.reservations.length;
     const finish = this.reserve({ ...job, deadline: Number.NEGATIVE_INFINITY });
-    this.undo(mark);
+    this.undo(initialCount);
     return finish;
   }
 
   /**
-   * Of reservations that start late, how many tasks could start by `by` on no machine there is, for each group. A task goes to
-   * the most loaded machine that meets its deadline, so it may be reserved for late while others boot or are empty: only the
-   * rest is a reason to rent. All reservations stay as they are.
+   * Returns, for each group of late reservations, how many of the tasks could not start by `by` on any
+   * existing machine. A task goes to the most loaded machine that meets its deadline, so it may be reserved
+   * for late while other machines boot or are empty: only the tasks counted here justify renting. All
+   * reservations stay as they are.
    */
-  countLateTasks(groups: readonly LateGroup[]): number[] {
-    const mark = this.reservations.length;
-    const lifted: Reservation[] = [];
+  countUnavoidablyLateTasks(groups: readonly LateGroup[]): number[] {
+    const initialCount = this.reservations.length;
+    const withdrawn: Reservation[] = [];
     const counts = groups.map(({ job, reservations, by }) => {
-      // A gang is reserved as early as it fits anywhere.
+      // A gang is already reserved at the earliest start that any machines allow.
       if (job.kind === 'gang') return reservations.length;
-      for (const r of reservations) {
-        this.table.withdraw(r);
-        lifted.push(r);
+      for (const reservation of reservations) {
+        this.table.withdraw(reservation);
+        withdrawn.push(reservation);
       }
-      const before = this.reservations.length;
-      this.reserve({ ...job, tasks: reservations.map((r) => r.task), deadline: Number.NEGATIVE_INFINITY });
+      const countBefore = this.reservations.length;
+      this.reserve({
+        ...job,
+        tasks: reservations.map((reservation) => reservation.task),
+        deadline: Number.NEGATIVE_INFINITY,
+      });
       let inTime = 0;
-      for (let i = before; i < this.reservations.length; i++) if (this.reservations[i]!.start <= by) inTime++;
+      for (let i = countBefore; i < this.reservations.length; i++)
+        if (this.reservations[i]!.start <= by) inTime++;
       return reservations.length - inTime;
     });
-    this.undo(mark);
-    for (const r of lifted) this.table.apply(r);
+    this.undo(initialCount);
+    for (const reservation of withdrawn) this.table.apply(reservation);
     return counts;
   }
 
-  /** Takes back all reservations made since there were `mark` of them. */
-  undo(mark: number): void {
-    this.table.undo(mark);
+  /** Withdraws all reservations beyond the first `initialCount`. */
+  undo(initialCount: number): void {
+    this.table.undo(initialCount);
   }
 
-  /** Has tasks that are reserved for later start now on other machines, where no other task moves. */
+  /**
+   * Moves tasks that are reserved for later to start now on other machines, where no other task has to move.
+   */
   startEarly(): void {
     this.backfilling.startEarly();
   }
--- a/src/plan/reservationtable.ts
+++ b/src/plan/reservationtable.ts
@@ -1,22 +1,25 @@
 import { CapacityProfile, fitCount } from './capacityprofile.js';
 import type { PlanJob, PlanMachine, Reservation, TeamCap } from './model.js';
 
-/** A machine with so many reservations takes no more for the time being. */
+/** Maximum number of reservations on a machine; beyond it the plan adds none there. */
 export const MAX_RESERVATIONS = 48;
-/** Services run until they are cancelled. */
+/** Duration of a service in the plan; it runs until it is cancelled. */
 const FOREVER_S = 1e9;
-/** A task takes at least so long. */
+/** Minimum run time of a task in the plan. */
 const MIN_RUN_S = 0.5;
 
-/** What is reserved on each machine and by each team, and what a job may take of it. Times in seconds, steady. */
+/**
+ * Reservations of each machine and team, and the rules for placing a job. Times are seconds on the monotonic
+ * clock.
+ */
 export class ReservationTable {
-  /** In the order in which they were made. */
+  /** Reservations in the order in which they were made. */
   readonly reservations: Reservation[] = [];
-  /** Walks along a machine's or a team's steps so far: what a plan costs. */
+  /** Number of capacity profile queries so far; measures the cost of a plan. */
   probes = 0;
-  /** Reserved use of each machine, by its index. */
+  /** Reserved use of each machine, by machine index. */
   readonly profiles: readonly CapacityProfile[];
-  /** Reserved use of each team that has a limit. */
+  /** Reserved use of each team that has a limit, by team index. */
   readonly teams: ReadonlyMap<number, CapacityProfile>;
 
   constructor(
@@ -31,51 +34,50 @@
     this.teams = teams;
     this.profiles = machines.map((m) => {
       const profile = new CapacityProfile(m.size, now, Math.max(now, m.readyAt), m.until);
-      for (const h of m.running) {
-        profile.add(now, h.end, h.need);
-        teams.get(h.team)?.add(now, h.end, h.need);
+      for (const reservation of m.running) {
+        profile.add(now, reservation.end, reservation.need);
+        teams.get(reservation.team)?.add(now, reservation.end, reservation.need);
       }
       return profile;
     });
   }
 
-  /** Makes a reservation. */
-  reserve(r: Reservation): void {
-    this.reservations.push(r);
-    this.apply(r);
+  reserve(reservation: Reservation): void {
+    this.reservations.push(reservation);
+    this.apply(reservation);
   }
 
-  /** Takes back all reservations made since there were `mark` of them. */
-  undo(mark: number): void {
-    while (this.reservations.length > mark) this.withdraw(this.reservations.pop()!);
+  /** Withdraws all reservations beyond the first `initialCount`. */
+  undo(initialCount: number): void {
+    while (this.reservations.length > initialCount) this.withdraw(this.reservations.pop()!);
   }
 
-  /** Counts a reservation that is in the list as use. */
-  apply(r: Reservation): void {
-    this.profiles[r.machine]!.add(r.start, r.end, r.job.need);
-    this.teams.get(r.job.team)?.add(r.start, r.end, r.job.need);
+  /** Counts a reservation that is already in the list as use. */
+  apply(reservation: Reservation): void {
+    this.profiles[reservation.machine]!.add(reservation.start, reservation.end, reservation.job.need);
+    this.teams.get(reservation.job.team)?.add(reservation.start, reservation.end, reservation.job.need);
   }
 
-  /** Counts a reservation as use no more; it stays in the list. */
-  withdraw(r: Reservation): void {
-    this.profiles[r.machine]!.remove(r.start, r.end, r.job.need);
-    this.teams.get(r.job.team)?.remove(r.start, r.end, r.job.need);
+  /** Stops counting a reservation as use; it stays in the list. */
+  withdraw(reservation: Reservation): void {
+    this.profiles[reservation.machine]!.remove(reservation.start, reservation.end, reservation.job.need);
+    this.teams.get(reservation.job.team)?.remove(reservation.start, reservation.end, reservation.job.need);
   }
 
-  /** When a job may begin at the earliest. */
+  /** Returns the earliest time at which a job may start. */
   earliestStart(job: PlanJob): number {
     return Math.max(this.now, job.earliestStart ?? this.now);
   }
 
-  /** The zones in which a job may run. */
+  /** Returns the zones in which a job may run. */
   zonesOf(job: PlanJob): number[] {
     if (job.zone !== null) return [job.zone];
     return [...new Set(this.machines.map((m) => m.zone))];
   }
 
-  /** Whether a machine may take tasks of a job at all, in a zone if one is given. */
-  allowed(job: PlanJob, m: number, zone: number | null): boolean {
-    const machine = this.machines[m]!;
+  /** Returns whether a machine may run tasks of a job; in `zone` only, unless it is null. */
+  allowed(job: PlanJob, machineIndex: number, zone: number | null): boolean {
+    const machine = this.machines[machineIndex]!;
     if (machine.quarantined) return false;
     if (job.types && !job.types.has(machine.type)) return false;
     if (machine.spot && !job.spot) return false;
@@ -87,26 +89,32 @@
     return fitCount(machine.size, job.need, 1) > 0;
   }
 
-  /** How long a machine would fetch the image of a job. */
-  fetchS(job: PlanJob, m: number): number {
-    const machine = this.machines[m]!;
+  /** Returns how long a machine takes to fetch the image of a job; 0 if it has it cached. */
+  fetchS(job: PlanJob, machineIndex: number): number {
+    const machine = this.machines[machineIndex]!;
     return machine.images.has(job.image) ? 0 : job.imageGb / machine.fetchGbPerS;
   }
 
-  /** How long a task of a job would take on a machine, with the fetch. */
-  spanOn(job: PlanJob, m: number): number {
+  /** Returns the duration of a task of a job on a machine, including the fetch of the image. */
+  spanOn(job: PlanJob, machineIndex: number): number {
     if (job.kind === 'service') return FOREVER_S;
-    return this.fetchS(job, m) + Math.max(MIN_RUN_S, job.runS);
+    return this.fetchS(job, machineIndex) + Math.max(MIN_RUN_S, job.runS);
   }
 
-  /** A preference decides only between machines that are equally loaded, which are mostly empty ones. */
-  preference(job: PlanJob, m: number): number {
-    return job.match?.rank ? job.match.rank(this.machines[m]!) : 0;
+  /**
+   * Returns the job's preference for a machine. It decides only between equally loaded machines, which are
+   * mostly empty ones.
+   */
+  preference(job: PlanJob, machineIndex: number): number {
+    return job.match?.rank ? job.match.rank(this.machines[machineIndex]!) : 0;
   }
 
-  /** A machine with GPUs is kept for those who need them while others do: 1 if a job has no use for them, else 0. */
-  unneededGpus(job: PlanJob, m: number): number {
-    return job.need.gpus === 0 && this.machines[m]!.size.gpus > 0 ? 1 : 0;
+  /**
+   * Returns 1 if a machine has GPUs that the job does not need, else 0, to keep GPU machines for jobs that
+   * need them.
+   */
+  unneededGpus(job: PlanJob, machineIndex: number): number {
+    return job.need.gpus === 0 && this.machines[machineIndex]!.size.gpus > 0 ? 1 : 0;
   }
 }
 
--- a/src/plan/victimchoice.ts
+++ b/src/plan/victimchoice.ts
@@ -1,80 +1,87 @@
 import { type Amounts, fitCount } from './capacityprofile.js';
 
-/** A task that may be preempted. */
+/** Task that may be preempted. */
 export interface Victim<T> {
   ref: T;
   need: Amounts;
   sameTeam: boolean;
-  /** Run time that stopping it loses, in seconds. */
+  /** Run time that is lost by stopping the task, in seconds. */
   loss: number;
 }
 
-/** A machine with the tasks on it that may be preempted. */
+/** Machine with the tasks on it that may be preempted. */
 export interface PreemptMachine<T> {
-  /** Not needed by anything at present. */
+  /** Resources that no task on the machine uses at present. */
   free: Amounts;
   victims: Victim<T>[];
 }
 
-/** So many tasks, and what each needs. */
+/** Number and size of the tasks for which capacity is requested. */
 export interface PreemptionRequest {
   need: Amounts;
   count: number;
-  /** What the team may still use before its limit. */
+  /** Resources that the team may still use within its limit. */
   teamLeft: Amounts;
 }
 
-function add(to: Amounts, by: Amounts): Amounts {
-  return { cpus: to.cpus + by.cpus, gpus: to.gpus + by.gpus, memoryGb: to.memoryGb + by.memoryGb };
+function add(to: Amounts, amount: Amounts): Amounts {
+  return {
+    cpus: to.cpus + amount.cpus,
+    gpus: to.gpus + amount.gpus,
+    memoryGb: to.memoryGb + amount.memoryGb,
+  };
 }
 
 /**
- * Which tasks to stop so that `count` tasks fit, on the machines and within their team's limit: those that lose
- * the least, and none when it would not suffice. Null when it cannot be done.
+ * Chooses the tasks to stop so that `count` tasks fit on the machines and within their team's limit, with the
+ * least loss of run time. Returns null, and stops nothing, when stopping tasks would not suffice.
  */
 export function chooseVictims<T>(
   request: PreemptionRequest,
   machines: readonly PreemptMachine<T>[],
 ): T[] | null {
   const chosen = new Set<Victim<T>>();
-  let left = request.count;
-  const offers = machines
-    .map((m) => offer(m, request.need))
-    .filter((o) => o !== null)
+  let remaining = request.count;
+  const evictions = machines
+    .map((m) => cheapestEviction(m, request.need))
+    .filter((eviction) => eviction !== null)
     .sort((a, b) => a.loss - b.loss);
-  for (const o of offers) {
-    if (left <= 0) break;
-    for (const v of o.victims) chosen.add(v);
-    left -= Math.min(left, fitCount(o.free, request.need, left));
+  for (const eviction of evictions) {
+    if (remaining <= 0) break;
+    for (const victim of eviction.victims) chosen.add(victim);
+    remaining -= Math.min(remaining, fitCount(eviction.free, request.need, remaining));
   }
-  if (left > 0) return null;
+  if (remaining > 0) return null;
   let teamLeft = request.teamLeft;
-  for (const v of chosen) if (v.sameTeam) teamLeft = add(teamLeft, v.need);
-  const own = machines
+  for (const victim of chosen) if (victim.sameTeam) teamLeft = add(teamLeft, victim.need);
+  const sameTeamVictims = machines
     .flatMap((m) => m.victims)
-    .filter((v) => v.sameTeam && !chosen.has(v))
+    .filter((victim) => victim.sameTeam && !chosen.has(victim))
     .sort((a, b) => a.loss - b.loss);
   const fits = () => fitCount(teamLeft, { ...request.need, memoryGb: 0 }, request.count) >= request.count;
-  for (const v of own) {
+  for (const victim of sameTeamVictims) {
     if (fits()) break;
-    chosen.add(v);
-    teamLeft = add(teamLeft, v.need);
+    chosen.add(victim);
+    teamLeft = add(teamLeft, victim.need);
   }
-  return fits() ? [...chosen].map((v) => v.ref) : null;
+  return fits() ? [...chosen].map((victim) => victim.ref) : null;
 }
 
-/** The cheapest stops after which one task fits on a machine, and what is free there then. */
-function offer<T>(
-  m: PreemptMachine<T>,
+/**
+ * Returns the tasks with the least loss whose stop lets one task fit on a machine, and the capacity that is
+ * free then.
+ */
+function cheapestEviction<T>(
+  machine: PreemptMachine<T>,
   need: Amounts,
 ): { victims: Victim<T>[]; free: Amounts; loss: number } | null {
   const victims: Victim<T>[] = [];
-  let { free } = m;
-  for (const v of [...m.victims].sort((a, b) => a.loss - b.loss)) {
+  let { free } = machine;
+  for (const victim of [...machine.victims].sort((a, b) => a.loss - b.loss)) {
     if (fitCount(free, need, 1) > 0) break;
-    victims.push(v);
-    free = add(free, v.need);
+    victims.push(victim);
+    free = add(free, victim.need);
   }
   if (fitCount(free, need, 1) === 0) return null;
-  return { victims, free, loss: victims.reduce((sum, v) => sum + 1 + v.loss, 0) };
+  return { victims, free, loss: victims.reduce((sum, victim) => sum + 1 + victim.loss, 0) };
 }
--- a/src/scheduler/planinput.ts
+++ b/src/scheduler/planinput.ts
@@ -9,46 +9,57 @@
 import type { MachineRegistry } from '../workers/machineregistry.js';
 import type { RuntimeEstimates } from './runtimeestimates.js';
 
-/** So many tasks of one job are planned at a time. */
+/** Maximum number of tasks of one job that are planned at a time. */
 const MAX_TASKS_PLANNED = 300;
-/** A machine is expected after so many times its type's boot time; one that is late after this share of it from now. */
+/**
+ * A machine is expected after this multiple of its type's boot time; a late one after this share of the boot
+ * time from now.
+ */
 const BOOT_MARGIN = 1.1;
 const LATE_BOOT_SHARE = 0.3;
-/** One that has not reported after so many boot times is taken for failed. */
+/** A machine that has not reported after this multiple of its boot time is considered failed. */
 const FAILED_BOOT_FACTOR = 2.5;
-/** How long a machine that has not reported to this owner is expected to take for it. */
+/** Expected time until a machine that has not reported to this owner does so. */
 const RECONCILE_EXPECTED_MS = 1500;
-/** Nothing is planned on a machine that has been silent for so many intervals between its heartbeats. */
+/** A machine that has been silent for more than this number of heartbeat intervals gets no new tasks. */
 const MAX_MISSED_HEARTBEATS = 2.5;
-/** Nor on one that gave no answer, for so long. */
+/** Time for which a machine gets no new tasks after it left a request unanswered. */
 export const UNREACHABLE_MS = 6000;
 
-/** A plan with the machines that its indices stand for; null for one that is still being rented. */
+/**
+ * Plan with the machines behind its machine indices; null stands for a machine that is still being rented.
+ */
 export interface PlanOnMachines {
   readonly plan: Plan;
   readonly refs: readonly (Machine | null)[];
 }
 
-/** The machines of a plan, and at the same indices those of the shard; null for one that is still being rented. */
+/**
+ * Machines of a plan, and the shard's machines at the same indices; null stands for one that is still being
+ * rented.
+ */
 export interface PlanMachines {
   readonly machines: PlanMachine[];
   readonly refs: readonly (Machine | null)[];
 }
 
-/** What `PlanInput` asks of its shard. */
+/** Callbacks into the shard that `PlanInput` needs. */
 export interface PlanInputHooks {
-  /** Whose a task is and what it takes; null when nobody remembers. */
-  usageOf(h: TaskAttempt): { team: number; need: Amounts } | null;
-  /** Whether a machine is on its way to another shard or back to the cloud. */
+  /** Returns the team of a task and its resources; null when its job is unknown. */
+  usageOf(attempt: TaskAttempt): { team: number; need: Amounts } | null;
+  /** Returns whether a machine is being transferred to another shard or returned to the cloud. */
   isReservedForTransfer(id: string): boolean;
   rentals(): Iterable<PendingRental>;
-  /** What machines that have not reported to this owner may hold. */
+  /** Returns the resources that machines which have not reported to this owner may hold. */
   unreconciledCapacity(): Amounts;
-  /** Until when a job cannot start, since a machine that may hold tasks of it does not answer; null when it can. */
+  /**
+   * Returns until when a job cannot start because an unresponsive machine may run tasks of it; null when it
+   * can start.
+   */
   blockedUntil(job: Job, now: number): number | null;
 }
 
-/** A shard's machines and jobs as the plan sees them. */
+/** Converts a shard's machines and jobs into the form that the plan uses. */
 export class PlanInput {
   constructor(
     private readonly context: ControllerContext,
@@ -57,7 +68,7 @@
     private readonly hooks: PlanInputHooks,
   ) {}
 
-  /** The machines in service, and those that are being rented; `now` in steady milliseconds. */
+  /** Returns the machines in service and those being rented; `now` in milliseconds on the monotonic clock. */
   machines(now: number): PlanMachines {
     const machines: PlanMachine[] = [];
     const refs: (Machine | null)[] = [];
@@ -67,105 +78,124 @@
       machines.push(planned);
       refs.push(m);
     }
-    for (const r of this.hooks.rentals()) {
-      for (let i = 0; i < r.count; i++) {
-        machines.push(this.virtualMachine(r.option, (r.at + r.option.bootS * 1100) / 1000));
+    for (const rental of this.hooks.rentals()) {
+      for (let i = 0; i < rental.count; i++) {
+        machines.push(this.virtualMachine(rental.option, (rental.at + rental.option.bootS * 1100) / 1000));
         refs.push(null);
       }
     }
     return { machines, refs };
   }
 
-  /** A machine as the plan sees it; null when it takes no part in plans. */
-  private planMachine(m: Machine, now: number): PlanMachine | null {
-    const type = this.context.catalog.get(m.type);
-    if (m.decommissioning || m.leaseExpired || !type || this.hooks.isReservedForTransfer(m.id)) return null;
-    const { running, anyUnknown } = this.runningReservations(m, now);
-    const booting = m.lastHeartbeatAt === null && !m.mayHoldUnreportedTasks;
+  /** Converts a machine for the plan; returns null when the machine is not to be planned on. */
+  private planMachine(machine: Machine, now: number): PlanMachine | null {
+    const type = this.context.catalog.get(machine.type);
+    if (
+      machine.decommissioning ||
+      machine.leaseExpired ||
+      !type ||
+      this.hooks.isReservedForTransfer(machine.id)
+    )
+      return null;
+    const { running, anyUnknown } = this.runningReservations(machine, now);
+    const booting = machine.lastHeartbeatAt === null && !machine.mayHoldUnreportedTasks;
     const bootMs = type.bootS * 1000;
-    const ageMs = now - m.rentedAt;
+    const ageMs = now - machine.rentedAt;
     let readyAt = now;
     if (booting)
       readyAt =
-        ageMs < bootMs * BOOT_MARGIN ? m.rentedAt + bootMs * BOOT_MARGIN : now + bootMs * LATE_BOOT_SHARE;
-    else if (!m.reconciled) readyAt = now + RECONCILE_EXPECTED_MS;
+        ageMs < bootMs * BOOT_MARGIN
+          ? machine.rentedAt + bootMs * BOOT_MARGIN
+          : now + bootMs * LATE_BOOT_SHARE;
+    else if (!machine.reconciled) readyAt = now + RECONCILE_EXPECTED_MS;
     return {
-      id: m.id,
-      type: m.type,
-      zone: m.zone,
-      spot: m.spot,
-      size: this.context.catalog.size(m.type),
+      id: machine.id,
+      type: machine.type,
+      zone: machine.zone,
+      spot: machine.spot,
+      size: this.context.catalog.size(machine.type),
       readyAt: readyAt / 1000,
-      until: m.reclaimAt === null ? Number.POSITIVE_INFINITY : m.reclaimAt / 1000,
+      until: machine.reclaimAt === null ? Number.POSITIVE_INFINITY : machine.reclaimAt / 1000,
       quarantined:
         anyUnknown ||
-        this.isUnresponsive(m, now) ||
-        m.reclaimAt !== null ||
-        m.quarantinedUntil > now ||
+        this.isUnresponsive(machine, now) ||
+        machine.reclaimAt !== null ||
+        machine.quarantinedUntil > now ||
         (booting && ageMs > bootMs * FAILED_BOOT_FACTOR),
       fetchGbPerS: type.fetchGbPerS,
-      images: new Set(m.images.keys()),
+      images: new Set(machine.images.keys()),
       running,
     };
   }
 
-  /** What the tasks on a machine take and until when; `anyUnknown` when nobody remembers what one of them takes. */
+  /**
+   * Returns the resources and expected ends of the tasks on a machine; `anyUnknown` when the resources of one
+   * are unknown.
+   */
   private runningReservations(
-    m: Machine,
+    machine: Machine,
     now: number,
   ): { running: RunningReservation[]; anyUnknown: boolean } {
     const running: RunningReservation[] = [];
     let anyUnknown = false;
-    for (const h of m.attempts.values()) {
-      if (h.state === 'exited') continue;
-      const use = this.hooks.usageOf(h);
+    for (const attempt of machine.attempts.values()) {
+      if (attempt.state === 'exited') continue;
+      const use = this.hooks.usageOf(attempt);
       if (use)
-        running.push({ team: use.team, end: this.estimates.expectedEnd(h, now) / 1000, need: use.need });
+        running.push({
+          team: use.team,
+          end: this.estimates.expectedEnd(attempt, now) / 1000,
+          need: use.need,
+        });
       else anyUnknown = true;
     }
     return { running, anyUnknown };
   }
 
-  /** Whether a machine has missed heartbeats, or gave no answer not long ago. */
-  private isUnresponsive(m: Machine, now: number): boolean {
+  /** Returns whether a machine has missed heartbeats or recently left a request unanswered. */
+  private isUnresponsive(machine: Machine, now: number): boolean {
     const maxSilenceMs = this.context.settings.workers.reportS * 1000 * MAX_MISSED_HEARTBEATS;
-    if (m.lastHeartbeatAt !== null && now - m.lastHeartbeatAt > maxSilenceMs) return true;
-    return m.unreachableAt !== null && now - m.unreachableAt < UNREACHABLE_MS;
+    if (machine.lastHeartbeatAt !== null && now - machine.lastHeartbeatAt > maxSilenceMs) return true;
+    return machine.unreachableAt !== null && now - machine.unreachableAt < UNREACHABLE_MS;
   }
 
-  /** A machine that could be rented or is being rented; `readyAt` in seconds. */
-  virtualMachine(o: RentOption, readyAt: number): PlanMachine {
+  /** Describes a machine that could be rented or is being rented; `readyAt` in seconds. */
+  virtualMachine(option: RentOption, readyAt: number): PlanMachine {
     return {
       id: null,
-      type: o.type,
-      zone: o.zone,
-      spot: o.spot,
-      size: o.size,
+      type: option.type,
+      zone: option.zone,
+      spot: option.spot,
+      size: option.size,
       readyAt,
       until: Number.POSITIVE_INFINITY,
       quarantined: false,
-      fetchGbPerS: this.context.catalog.get(o.type)?.fetchGbPerS ?? 1,
+      fetchGbPerS: this.context.catalog.get(option.type)?.fetchGbPerS ?? 1,
       images: new Set(),
       running: [],
     };
   }
 
-  /** The unstarted tasks of a job; of one that waits for others, from when it is expected to wait no more. */
+  /**
+   * Converts the unstarted tasks of a job for the plan; returns null when there are none to plan. `releaseAt`
+   * is the time at which a job with pending dependencies is expected to be able to start.
+   */
   planJob(job: Job, now: number, releaseAt: number | null = null): PlanJob | null {
     if (job.spec.kind === 'gang' && job.placements.size > 0) return null;
-    // A job that fails everywhere is tried with one task.
-    const onlyOne = job.quarantined && job.spec.kind !== 'gang';
-    if (onlyOne && job.placements.size > 0) return null;
+    // A job that is quarantined because it fails everywhere is retried with a single task.
+    const singleTrial = job.quarantined && job.spec.kind !== 'gang';
+    if (singleTrial && job.placements.size > 0) return null;
     const tasks = unplacedTasks(
       job,
-      onlyOne ? 1 : job.spec.kind === 'gang' ? job.spec.tasks : MAX_TASKS_PLANNED,
+      singleTrial ? 1 : job.spec.kind === 'gang' ? job.spec.tasks : MAX_TASKS_PLANNED,
     );
     if (tasks.length === 0) return null;
-    // Planned from now on it would keep a place from tasks that can start now.
-    const from = releaseAt ?? this.hooks.blockedUntil(job, now);
+    // A job that cannot start yet must not be planned from now on, where it would hold capacity that other
+    // tasks could use now.
+    const earliestStartMs = releaseAt ?? this.hooks.blockedUntil(job, now);
     const present = new Map<number, number>();
-    for (const h of job.placements.values()) {
-      present.set(h.machine.zone, (present.get(h.machine.zone) ?? 0) + 1);
+    for (const attempt of job.placements.values()) {
+      present.set(attempt.machine.zone, (present.get(attempt.machine.zone) ?? 0) + 1);
     }
     return {
       id: job.order,
@@ -182,14 +212,14 @@
       imageGb: job.spec.imageGb,
       runS: this.estimates.runS(job.spec),
       deadline: (now + (job.dueWall - this.context.clock.wall())) / 1000,
-      ...(from === null ? {} : { earliestStart: from / 1000 }),
+      ...(earliestStartMs === null ? {} : { earliestStart: earliestStartMs / 1000 }),
       total: job.spec.tasks,
       tasks,
       present,
     };
   }
 
-  /** An empty plan on these machines, with the limits of the teams. */
+  /** Returns an empty plan on these machines, with the limits of the teams. */
   plan(now: number, machines: PlanMachine[]): Plan {
     const plan = new Plan(
       now / 1000,
@@ -202,37 +232,40 @@
     return plan;
   }
 
-  /** Where the last plan had each task, by job, on machines that are still there. */
+  /** Returns the placements of the last plan by job and task, on machines that still exist. */
   previousPlacements(
     last: PlanOnMachines | null,
     refs: readonly (Machine | null)[],
   ): Map<number, Map<number, PreviousPlacement>> {
     const placements = new Map<number, Map<number, PreviousPlacement>>();
-    const index = new Map<Machine, number>();
-    refs.forEach((m, i) => {
-      if (m) index.set(m, i);
+    const indexByMachine = new Map<Machine, number>();
+    refs.forEach((machine, i) => {
+      if (machine) indexByMachine.set(machine, i);
     });
-    for (const r of last?.plan.reservations ?? []) {
-      const m = last!.refs[r.machine];
-      const machine = m ? index.get(m) : undefined;
+    for (const reservation of last?.plan.reservations ?? []) {
+      const previousMachine = last!.refs[reservation.machine];
+      const machine = previousMachine ? indexByMachine.get(previousMachine) : undefined;
       if (machine === undefined) continue;
-      let tasks = placements.get(r.job.id);
+      let tasks = placements.get(reservation.job.id);
       if (!tasks) {
         tasks = new Map();
-        placements.set(r.job.id, tasks);
+        placements.set(reservation.job.id, tasks);
       }
-      tasks.set(r.task, { machine, start: r.start });
+      tasks.set(reservation.task, { machine, start: reservation.start });
     }
     return placements;
   }
 }
 
-/** Reserves a job where it was, as far as it still fits there, and the rest of it anew. False when it finds no place. */
+/**
+ * Reserves capacity for a job where the last plan had it, as far as it still fits there, and elsewhere for
+ * the remaining tasks. Returns false when a task fits on no machine.
+ */
 export function reserveAsBefore(
   plan: Plan,
   job: PlanJob,
-  kept: ReadonlyMap<number, PreviousPlacement> | undefined,
+  previous: ReadonlyMap<number, PreviousPlacement> | undefined,
 ): boolean {
-  const tasks = kept ? plan.keepReservations(job, kept) : job.tasks;
+  const tasks = previous ? plan.keepReservations(job, previous) : job.tasks;
   return tasks.length === 0 || plan.reserve(tasks === job.tasks ? job : { ...job, tasks }) !== null;
 }
--- a/src/scheduler/planner.ts
+++ b/src/scheduler/planner.ts
@@ -9,14 +9,20 @@
 import { planJobOf, type SchedulingOrder } from './schedulingorder.js';
 import type { TaskDispatcher } from './taskdispatcher.js';
 
-/** So many jobs are reserved anew in every plan, all of them at these intervals, or longer when that takes long. */
+/**
+ * Number of jobs that are planned from scratch in every plan. All jobs are planned from scratch at this
+ * interval, or less often if a plan takes long.
+ */
 const MAX_JOBS_REPLANNED = 4;
 const REPLAN_ALL_INTERVAL_MS = 1500;
 const REPLAN_ALL_COST_FACTOR = 20;
-/** Jobs of high priority that would wait longer than this preempt lower-priority tasks, but not twice within the pause. */
+/**
+ * Jobs of high priority that would wait longer than this preempt lower-priority tasks, at most once per
+ * preemption pause.
+ */
 const PREEMPT_WAIT_S = 2;
 
-/** What `Planner` is made of. */
+/** Components that `Planner` depends on. */
 export interface PlannerParts {
   readonly context: ControllerContext;
   readonly estimates: RuntimeEstimates;
@@ -27,60 +33,69 @@
   readonly resourceDemand: ResourceDemandTracker;
 }
 
-/** A plan in the making: the jobs that it has, by their id in it, and those that found no place. */
-interface Round {
+/**
+ * Plan under construction: its jobs by their id in the plan, and those without a placement for all their
+ * tasks.
+ */
+interface PlanningRound {
   readonly plan: Plan;
   readonly jobsByPlanId: Map<number, Job>;
   readonly unplaced: Set<Job>;
 }
 
-/** Makes the plan of one shard, and has it carried out. */
+/** Computes the plan of one shard and applies it. */
 export class Planner {
   private replanAllAt = 0;
-  private last: PlanOnMachines | null = null;
+  private latest: PlanOnMachines | null = null;
   private readonly reservedMachines = new Set<string>();
-  /** When the plan that `expectedEndsPlan` is has each job end, by the job's id in plans; steady milliseconds. */
+  /**
+   * End of each job in the plan `expectedEndsPlan`, by the job's plan id; milliseconds on the monotonic
+   * clock.
+   */
   private readonly expectedEnds = new Map<number, number>();
   private expectedEndsPlan: PlanOnMachines | null = null;
 
   constructor(private readonly parts: PlannerParts) {}
 
-  /** The plan that tasks were last started by; null before the first one. */
+  /** Plan that tasks were last started from; null before the first one. */
   get lastPlan(): PlanOnMachines | null {
-    return this.last;
+    return this.latest;
   }
 
-  /** Whether the last plan has a task on a machine. */
+  /** Returns whether the last plan has a reservation on a machine. */
   hasReservation(machine: string): boolean {
     return this.reservedMachines.has(machine);
   }
 
-  /** When the last task of a job ends, as planned; steady milliseconds. */
+  /** Returns the planned end of a job's last task; milliseconds on the monotonic clock. */
   expectedEnd(job: Job, now: number): number {
-    if (this.expectedEndsPlan !== this.last) {
-      this.expectedEndsPlan = this.last;
+    if (this.expectedEndsPlan !== this.latest) {
+      this.expectedEndsPlan = this.latest;
       this.expectedEnds.clear();
-      for (const r of this.last?.plan.reservations ?? [])
+      for (const r of this.latest?.plan.reservations ?? [])
         this.expectedEnds.set(r.job.id, Math.max(this.expectedEnds.get(r.job.id) ?? 0, r.end * 1000));
     }
     const { estimates } = this.parts;
     let end = this.expectedEnds.get(job.order) ?? 0;
-    for (const h of job.placements.values()) end = Math.max(end, estimates.expectedEnd(h, now));
+    for (const attempt of job.placements.values()) end = Math.max(end, estimates.expectedEnd(attempt, now));
     return end > now ? end : now + estimates.runS(job.spec) * 1000;
   }
 
-  /** Plans all waiting jobs; starts, preempts and asks for machines accordingly. `now` in steady milliseconds. */
+  /**
+   * Plans all waiting jobs, then starts tasks, preempts and requests machines accordingly. `now` in
+   * milliseconds on the monotonic clock.
+   */
   schedule(now: number): void {
     const { planInput, dispatcher, preemption, resourceDemand } = this.parts;
     const { machines, refs } = planInput.machines(now);
-    const round: Round = {
+    const round: PlanningRound = {
       plan: planInput.plan(now, machines),
       jobsByPlanId: new Map(),
       unplaced: new Set(),
     };
     const { plan, jobsByPlanId, unplaced } = round;
     this.reserveAll(round, refs, now);
-    this.last = { plan, refs };
+    this.latest = { plan, refs };
     this.reservedMachines.clear();
     for (const r of plan.reservations) {
       const m = refs[r.machine];
@@ -92,36 +107,41 @@
   }
 
   /**
-   * Reserves for all waiting jobs in their order. Now and then all are reserved anew, so that jobs move up into capacity that
-   * has come free; between, only the next jobs.
+   * Reserves capacity for all waiting jobs in their order. At intervals all jobs are planned from scratch, so
+   * that they move into capacity that has become free; in between only the first jobs are, and the others
+   * keep their placements.
    */
-  private reserveAll(round: Round, refs: PlanOnMachines['refs'], now: number): void {
+  private reserveAll(round: PlanningRound, refs: PlanOnMachines['refs'], now: number): void {
     const { context, planInput, order } = this.parts;
     const { plan, jobsByPlanId, unplaced } = round;
-    const anew = now >= this.replanAllAt;
-    const previous = anew ? null : planInput.previousPlacements(this.last, refs);
+    const replanAll = now >= this.replanAllAt;
+    const previous = replanAll ? null : planInput.previousPlacements(this.latest, refs);
     for (const entry of order.entries()) {
       const { job } = entry;
       if (job.notBefore > now) continue;
-      const p = planJobOf(entry, planInput, now);
-      if (!p) continue;
-      jobsByPlanId.set(p.id, job);
-      const kept = jobsByPlanId.size > MAX_JOBS_REPLANNED ? previous?.get(p.id) : undefined;
+      const planJob = planJobOf(entry, planInput, now);
+      if (!planJob) continue;
+      jobsByPlanId.set(planJob.id, job);
+      const previousPlacement =
+        jobsByPlanId.size > MAX_JOBS_REPLANNED ? previous?.get(planJob.id) : undefined;
       const reserved =
         plan.probes < MAX_PLAN_PROBES
-          ? reserveAsBefore(plan, p, kept)
-          : plan.reserveNow(p) === p.tasks.length;
+          ? reserveAsBefore(plan, planJob, previousPlacement)
+          : plan.reserveNow(planJob) === planJob.tasks.length;
       if (!reserved) unplaced.add(job);
     }
     plan.startEarly();
-    const after = context.clock.now();
-    if (anew)
-      this.replanAllAt = after + Math.max(REPLAN_ALL_INTERVAL_MS, (after - now) * REPLAN_ALL_COST_FACTOR);
+    const finishedAt = context.clock.now();
+    if (replanAll)
+      this.replanAllAt =
+        finishedAt + Math.max(REPLAN_ALL_INTERVAL_MS, (finishedAt - now) * REPLAN_ALL_COST_FACTOR);
   }
 }
 
-/** The jobs with tasks that found no place or would wait long, without those that preempt nothing. */
-function waitingJobs({ plan, jobsByPlanId, unplaced }: Round, now: number): Set<Job> {
+/**
+ * Returns the jobs with tasks that have no placement or would wait long, without those that must not preempt.
+ */
+function waitingJobs({ plan, jobsByPlanId, unplaced }: PlanningRound, now: number): Set<Job> {
   const waiting = new Set(unplaced);
   for (const r of plan.reservations) {
     const job = jobsByPlanId.get(r.job.id);
--- a/src/scheduler/planningbudget.ts
+++ b/src/scheduler/planningbudget.ts
@@ -1,14 +1,17 @@
 import type { ControllerContext } from '../context/context.js';
 
-/** Planning takes no more than this of the processor that a controller has, however much there is to plan. */
+/** Maximum share of the controller's processor that planning may use, however much there is to plan. */
 const MAX_PLANNING_CPU_SHARE = 0.15;
 const MAX_PLAN_PAUSE_MS = 2000;
-/** What a plan may cost in probes of machines; the jobs that come after in order only start where there is capacity now. */
+/**
+ * Maximum cost of a plan in capacity profile queries. Beyond it, the remaining jobs in order only start where
+ * there is capacity now.
+ */
 export const MAX_PLAN_PROBES = 150_000;
 
-/** How long after a plan that took `tookMs` no other is made, in milliseconds. */
+/** Returns the pause in milliseconds before the next plan, after a plan that took `tookMs`. */
 export function pauseAfterPlanMs(context: ControllerContext, tookMs: number): number {
-  // How many times as long as the plan took.
+  // Ratio of the pause to the duration of the plan.
   const factor = 1 / (MAX_PLANNING_CPU_SHARE * Math.min(1, context.settings.limits.cores)) - 1;
   return Math.min(MAX_PLAN_PAUSE_MS, tookMs * factor);
 }
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -7,31 +7,34 @@
 import type { Machine, TaskAttempt } from '../workers/machine.js';
 import type { MachineRegistry } from '../workers/machineregistry.js';
 
-/** A job preempts no second time within the pause, and is not looked at again at once when there was nothing to preempt. */
+/**
+ * A job preempts at most once per pause; one that found nothing to preempt is considered again after the
+ * retry interval.
+ */
 const PREEMPT_PAUSE_MS = 12_000;
 const PREEMPT_RETRY_MS = 1500;
-/** So many waiting jobs are looked at in one plan. */
+/** Maximum number of waiting jobs that are considered in one plan. */
 const MAX_PREEMPTING_JOBS = 6;
-/** So many tasks of an array preempt at a time. */
+/** Maximum number of tasks of an array for which tasks are preempted at a time. */
 const MAX_PREEMPTING_TASKS = 64;
-/** No limit, as an amount of anything. */
+/** Stands for an unlimited amount of a resource. */
 const UNLIMITED = 1e12;
 
-/** What `Preemption` asks of its shard. */
+/** Callbacks into the shard that `Preemption` needs. */
 export interface PreemptionHooks {
-  /** Whether a task of a job that is not known to be anywhere is surely nowhere. */
-  surelyNotRunning(job: Job): boolean;
-  /** What the tasks of each team take now, by the index of the team. */
+  /** Returns whether the tasks of a job without a known placement are known to run on no machine. */
+  isKnownNotRunning(job: Job): boolean;
+  /** Returns the resources in use by each team, by team index. */
   teamUsage(): Map<number, Amounts>;
-  /** What is free on a machine. */
+  /** Returns the free resources of a machine. */
   freeCapacity(m: Machine): Amounts;
-  /** Whether a machine is being emptied for another shard. */
+  /** Returns whether a machine is being drained for another shard. */
   isReserved(machine: string): boolean;
 }
 
-/** Stops lower-priority tasks for jobs of the shard that are more urgent. */
+/** Stops lower-priority tasks in favour of more urgent jobs of the shard. */
 export class Preemption {
-  /** When a job last preempted, by its id, in steady milliseconds. */
+  /** Time of each job's last preemption, by job id; milliseconds on the monotonic clock. */
   private readonly preemptedAt = new Map<string, number>();
 
   constructor(
@@ -43,8 +46,9 @@
   ) {}
 
   /**
-   * Jobs of higher priority that would have to wait stop lower-priority tasks: where their machines are full, and where
-   * their team's limit is used up by the team's own lower-priority tasks. `now` in steady milliseconds.
+   * Stops lower-priority tasks for jobs of higher priority that would have to wait: where their machines are
+   * full, and where their team's limit is used up by the team's own lower-priority tasks. `now` in
+   * milliseconds on the monotonic clock.
    */
   preemptFor(waiting: ReadonlySet<Job>, now: number): void {
     const urgent = this.preemptingJobs(waiting, now);
@@ -52,23 +56,24 @@
     for (const job of urgent) {
       const victims = this.victimsFor(job, usage, now);
       if (!victims || victims.length === 0) {
-        // Nothing to gain by stopping anything: looked at again a little later.
+        // Stopping tasks would not help now; the job is considered again after the retry interval.
         this.preemptedAt.set(job.spec.id, now - PREEMPT_PAUSE_MS + PREEMPT_RETRY_MS);
         continue;
       }
       this.preemptedAt.set(job.spec.id, now);
       this.log.info({ job: job.spec.id, stopped: victims.length }, 'tasks preempted');
-      for (const h of victims) this.registry.stopTask(h, (this.jobs.get(h.job)?.spec.saveS ?? 0) + 1);
+      for (const victim of victims)
+        this.registry.stopTask(victim, (this.jobs.get(victim.job)?.spec.saveS ?? 0) + 1);
     }
     for (const id of this.preemptedAt.keys()) if (!this.jobs.has(id)) this.preemptedAt.delete(id);
   }
 
-  /** Of the waiting jobs, those that may preempt now, the most urgent first. */
+  /** Returns the waiting jobs that may preempt now, the most urgent first. */
   private preemptingJobs(waiting: ReadonlySet<Job>, now: number): Job[] {
-    const low = this.hasLowPriorityTasks();
+    const hasLowPriority = this.hasLowPriorityTasks();
     return [...waiting]
-      .filter((job) => job.priority > PRIORITY.normal || (low && job.priority > PRIORITY.low))
-      .filter((job) => this.hooks.surelyNotRunning(job))
+      .filter((job) => job.priority > PRIORITY.normal || (hasLowPriority && job.priority > PRIORITY.low))
+      .filter((job) => this.hooks.isKnownNotRunning(job))
       .filter(
         (job) => now - (this.preemptedAt.get(job.spec.id) ?? Number.NEGATIVE_INFINITY) >= PREEMPT_PAUSE_MS,
       )
@@ -76,7 +81,10 @@
       .slice(0, MAX_PREEMPTING_JOBS);
   }
 
-  /** Whether there are tasks of the lowest priority, which jobs of normal priority may stop as well. */
+  /**
+   * Returns whether there are tasks of the lowest priority, which jobs of normal priority may preempt as
+   * well.
+   */
   private hasLowPriorityTasks(): boolean {
     for (const job of this.jobs.values()) {
       if (job.priority === PRIORITY.low && job.placements.size > 0) return true;
@@ -84,7 +92,10 @@
     return false;
   }
 
-  /** The fewest tasks to stop for a job, in one zone if it is held to one; null when it cannot be done. */
+  /**
+   * Returns the fewest tasks to stop for a job, within one zone if the job requires it; null when stopping
+   * tasks does not help.
+   */
   private victimsFor(job: Job, usage: ReadonlyMap<number, Amounts>, now: number): TaskAttempt[] | null {
     const gang = job.spec.kind === 'gang';
     const count = gang ? job.spec.tasks : Math.min(unplacedCount(job), MAX_PREEMPTING_TASKS);
@@ -98,7 +109,7 @@
     return best;
   }
 
-  /** What a job's team may still use before its limit. */
+  /** Returns the resources that a job's team may still use within its limit. */
   private teamLeft(job: Job, usage: ReadonlyMap<number, Amounts>): Amounts {
     const left: Amounts = { cpus: UNLIMITED, gpus: UNLIMITED, memoryGb: UNLIMITED };
     const team = this.context.settings.teams[job.team];
@@ -110,36 +121,39 @@
     return left;
   }
 
-  /** The machines that a job may use, with the tasks it may stop there: by zone if it is held to one, else all together. */
+  /**
+   * Returns the machines that a job may use, with the tasks it may preempt there: by zone if the job requires
+   * a single zone, else in one group.
+   */
   private machinesByZone(job: Job, now: number): Map<number, PreemptMachine<TaskAttempt>[]> {
     const byZone = new Map<number, PreemptMachine<TaskAttempt>[]>();
-    for (const m of this.registry.machines.values()) {
+    for (const machine of this.registry.machines.values()) {
       if (
-        !m.reconciled ||
-        m.leaseExpired ||
-        m.decommissioning ||
-        m.reclaimAt !== null ||
-        this.hooks.isReserved(m.id)
+        !machine.reconciled ||
+        machine.leaseExpired ||
+        machine.decommissioning ||
+        machine.reclaimAt !== null ||
+        this.hooks.isReserved(machine.id)
       )
         continue;
-      if (!kindAllowed(job, m.type, m.zone, m.spot)) continue;
-      const zone = job.spec.oneZone ? m.zone : 0;
+      if (!kindAllowed(job, machine.type, machine.zone, machine.spot)) continue;
+      const zone = job.spec.oneZone ? machine.zone : 0;
       const machines = byZone.get(zone) ?? [];
-      machines.push({ free: this.hooks.freeCapacity(m), victims: this.victimsOn(m, job, now) });
+      machines.push({ free: this.hooks.freeCapacity(machine), victims: this.victimsOn(machine, job, now) });
       byZone.set(zone, machines);
     }
     return byZone;
   }
 
-  private victimsOn(m: Machine, job: Job, now: number): PreemptMachine<TaskAttempt>['victims'] {
+  private victimsOn(machine: Machine, job: Job, now: number): PreemptMachine<TaskAttempt>['victims'] {
     const victims = [];
-    for (const h of m.attempts.values()) {
-      const other = this.jobs.get(h.job);
-      if (!other || h.state === 'exited' || h.stop || other.priority >= job.priority) continue;
+    for (const attempt of machine.attempts.values()) {
+      const other = this.jobs.get(attempt.job);
+      if (!other || attempt.state === 'exited' || attempt.stop || other.priority >= job.priority) continue;
       if (other.spec.kind === 'gang') continue;
-      const ranS = h.runningAt === null ? 0 : (now - h.runningAt) / 1000;
+      const ranS = attempt.runningAt === null ? 0 : (now - attempt.runningAt) / 1000;
       const loss = other.spec.checkpointS > 0 ? 2 + other.spec.saveS + ranS / 100 : ranS;
-      victims.push({ ref: h, need: other.need, sameTeam: other.team === job.team, loss });
+      victims.push({ ref: attempt, need: other.need, sameTeam: other.team === job.team, loss });
     }
     return victims;
   }
--- a/src/scheduler/priorityaging.ts
+++ b/src/scheduler/priorityaging.ts
@@ -4,22 +4,35 @@
 import type { RuntimeEstimates } from './runtimeestimates.js';
 import type { ServiceLevelObjectives } from './servicelevelobjectives.js';
 
-/** A job has aged when no more than this share of the time for its last objective is left to start in. */
+/** A job ages when at most this share of the time for its last objective is left before its latest start. */
 const AGED_SHARE = 0.5;
-/** Whatever is before it, a job begins within this: the rule for the largest of each class. */
+/**
+ * Time within which every job has to start, whatever is ahead of it; the requirement for the largest jobs of
+ * each class.
+ */
 const MAX_START_DELAY_S = 240;
-/** Jobs of at most normal priority that have aged may take this share of the shard's processors before urgent jobs, or be one. */
+/**
+ * Maximum share of the shard's processors that aged jobs of at most normal priority may take before urgent
+ * jobs. One job may always age, even if it exceeds the share.
+ */
 const MAX_AGED_SHARE = 0.1;
-/** Beside that, the first tasks of jobs that have not begun take no more than this share, or are of one job. */
+/**
+ * Maximum additional share for the first tasks of jobs that have not started. One such job may always age,
+ * even if it exceeds the share.
+ */
 const MAX_FIRST_TASKS_SHARE = 0.1;
-/** A task that has run for less than this may be one that is stopped again at once: its job has not begun. */
+/**
+ * A task that has run for less than this may be stopped again at once, so it does not count as the start of
+ * its job.
+ */
 const STARTED_AFTER_MS = 30_000;
 
 /**
- * Urgent jobs that come without end would keep other jobs from ever starting where both need the same machines. A few of
- * the others, in the order of acceptance, go with the urgent ones once the last of their objectives comes near, or half of the
- * time by which any job has to have begun is over and they have not: such a job waits no more for every urgent job that comes,
- * is not stopped for one, and stops nothing itself.
+ * Prevents starvation: a continuous stream of urgent jobs would keep other jobs from ever starting where both
+ * need the same machines. A few of the others, in the order of acceptance, are raised to the priority of
+ * urgent jobs when the latest start for their last objective comes near, or when they have not started after
+ * half of the time within which every job has to start. Such an aged job no longer waits for each new urgent
+ * job, is not preempted by one, and preempts nothing itself.
  */
 export class PriorityAging {
   private readonly agedJobs = new Set<Job>();
@@ -31,7 +44,7 @@
     private readonly estimates: RuntimeEstimates,
   ) {}
 
-  /** Works out anew which jobs have aged; `cpus` is what the shard's machines have in all. */
+  /** Recomputes which jobs have aged; `cpus` is the total of the shard's machines. */
   tick(cpus: number): void {
     for (const job of this.agedJobs) {
       job.aged = false;
@@ -52,18 +65,22 @@
     let firstTaskCpusLeft = cpus * MAX_FIRST_TASKS_SHARE;
     for (const { job, until } of due) {
       cpusLeft -= (job.spec.tasks - job.done.count) * job.need.cpus;
-      // One at least, also where the shard is small.
+      // At least one job ages, even in a small shard.
       if (cpusLeft >= 0 || this.agedJobs.size === 0) this.age(job, until, 'all');
       if (job.aged || this.hasStarted(job)) continue;
-      // Those behind it would wait for it to begin, one after the other: where many are large, for longer than any may wait.
+      // Jobs behind this one would wait for it to start, one after the other. With many large jobs that takes
+      // longer than any job may wait, so the first tasks of the others age too.
       const array = job.spec.kind === 'array';
-      const noneBefore = firstTaskCpusLeft === cpus * MAX_FIRST_TASKS_SHARE;
+      const isFirst = firstTaskCpusLeft === cpus * MAX_FIRST_TASKS_SHARE;
       firstTaskCpusLeft -= (array ? 1 : job.spec.tasks) * job.need.cpus;
-      if (firstTaskCpusLeft >= 0 || noneBefore) this.age(job, until, array ? 'first' : 'all');
+      if (firstTaskCpusLeft >= 0 || isFirst) this.age(job, until, array ? 'first' : 'all');
     }
   }
 
-  /** Raises all tasks of a job, or only its first one; `until` is when it is due, in milliseconds of the time of day. */
+  /**
+   * Raises the priority of all tasks of a job or of its first task only; `until` is its due time in
+   * wall-clock milliseconds.
+   */
   private age(job: Job, until: number, tasks: 'all' | 'first'): void {
     job.aged = true;
     job.onlyFirstTaskAged = tasks === 'first';
@@ -72,25 +89,31 @@
     this.agedJobs.add(job);
   }
 
-  /** Within how many seconds of its acceptance something that has aged a job has to be met; null when nothing has. */
+  /**
+   * Returns the time in seconds after its acceptance by which an aged job has to meet its objective or start;
+   * null for a job that has not aged.
+   */
   private agingDeadlineS(job: Job, ageS: number): number | null {
-    // However many objectives it has missed. The largest jobs wait the longest for capacity, and nothing else raises them.
+    // Applies however many objectives the job has missed: the largest jobs wait longest for capacity, and
+    // nothing else raises their priority.
     if (ageS > MAX_START_DELAY_S * AGED_SHARE && !this.hasStarted(job)) return MAX_START_DELAY_S;
     const objective =
       job.priority === PRIORITY.normal
         ? this.slos.lastReachable(job.spec, this.estimates.runS(job.spec))
         : null;
     if (objective === null || objective.latestS - ageS > objective.withinS * AGED_SHARE) return null;
-    // For a job that has missed it nothing is gained any more; one that has begun may run faster than expected.
+    // A job that has already missed the objective gains nothing by aging, but one that has started may run
+    // faster than expected.
     const placed = job.placements.size > 0 || job.done.count > 0;
     return ageS <= (placed ? objective.withinS : objective.latestS) ? objective.withinS : null;
   }
 
-  /** Whether a task of a job is done, or has run for some time. */
+  /** Returns whether a task of a job has completed or has run for some time. */
   private hasStarted(job: Job): boolean {
     if (job.done.count > 0) return true;
     const since = this.context.clock.now() - STARTED_AFTER_MS;
-    for (const h of job.placements.values()) if (h.runningAt !== null && h.runningAt < since) return true;
+    for (const attempt of job.placements.values())
+      if (attempt.runningAt !== null && attempt.runningAt < since) return true;
     return false;
   }
 }
--- a/src/scheduler/replicationsource.ts
+++ b/src/scheduler/replicationsource.ts
@@ -7,13 +7,16 @@
 import type { MachineRegistry } from '../workers/machineregistry.js';
 import type { RuntimeEstimates } from './runtimeestimates.js';
 
-/** What `ShardReplicationSource` asks of its shard. */
+/** Callbacks into the shard that `ShardReplicationSource` needs. */
 export interface ShardReplicationSourceHooks {
-  /** Whether all machines on which tasks of a job may be are known, so that it is surely nowhere else. */
+  /**
+   * Returns whether all machines that may run tasks of a job are known, so that it certainly runs nowhere
+   * else.
+   */
   placementsKnown(job: Job): boolean;
 }
 
-/** What an owner replicates of a shard to its standby: all of it at first, then what changes. */
+/** Replicates a shard from its owner to the standby: a full snapshot first, then the changes. */
 export class ShardReplicationSource implements ReplicationSource {
   constructor(
     private readonly context: ControllerContext,
@@ -26,40 +29,47 @@
 
   *snapshot(): Iterator<ReplicationRecord> {
     for (const [jobClass, r] of this.estimates.classes()) yield { kind: 'runtimeEstimate', jobClass, ...r };
-    for (const m of this.registry.machines.values()) if (m.incarnation > 0) yield this.recordOf(m);
+    for (const m of this.registry.machines.values()) if (m.incarnation > 0) yield this.machineRecord(m);
     for (const job of this.jobs.values()) {
-      const sure = this.hooks.placementsKnown(job);
-      const places = sure ? [...this.placesOf(job)] : [];
-      // Of a job that is nowhere and never was, nothing need be said.
-      if (!sure || places.length > 0) {
-        const machines = sure ? [...new Set(places.map((h) => h.machine.id))] : null;
+      const placementsKnown = this.hooks.placementsKnown(job);
+      const attempts = placementsKnown ? [...this.attemptsOf(job)] : [];
+      // A job that runs nowhere and never did needs no record.
+      if (!placementsKnown || attempts.length > 0) {
+        const machines = placementsKnown ? [...new Set(attempts.map((attempt) => attempt.machine.id))] : null;
         yield { kind: 'runsOnlyOn', job: job.spec.id, machines };
       }
-      for (const h of places) if (h.runningAt !== null) yield this.runs(h, h.runningAt);
-      if (job.quarantined) yield this.suspectOf(job);
+      for (const attempt of attempts)
+        if (attempt.runningAt !== null) yield this.attemptRunningRecord(attempt, attempt.runningAt);
+      if (job.quarantined) yield this.quarantineRecord(job);
     }
   }
 
-  private *placesOf(job: Job): Iterable<TaskAttempt> {
+  private *attemptsOf(job: Job): Iterable<TaskAttempt> {
     yield* job.placements.values();
     yield* job.duplicateAttempts;
     yield* job.unacknowledgedExits;
   }
 
-  private recordOf(m: Machine): ReplicationRecord {
+  private machineRecord(m: Machine): ReplicationRecord {
     const { images: names } = this.context.names;
     const images = [...m.images].map(([image, gb]) => ({ image: names.name(image), gb }));
     return { kind: 'machine', id: m.id, incarnation: m.incarnation, images };
   }
 
-  private runs(h: TaskAttempt, runningAt: number): ReplicationRecord {
+  private attemptRunningRecord(attempt: TaskAttempt, runningAt: number): ReplicationRecord {
     const runningSince = Math.round(this.context.clock.wall() - (this.context.clock.now() - runningAt));
-    return { kind: 'attemptRunning', task: `${h.job}/${h.index}`, attempt: h.attempt, runningSince };
+    return {
+      kind: 'attemptRunning',
+      task: `${attempt.job}/${attempt.index}`,
+      attempt: attempt.attempt,
+      runningSince,
+    };
   }
 
-  private suspectOf(job: Job): ReplicationRecord {
+  private quarantineRecord(job: Job): ReplicationRecord {
     const until = this.context.clock.wall() + Math.max(0, job.notBefore - this.context.clock.now());
-    // A cancellation under way closes a job for good; the next owner finds that by itself.
+    // `notBefore` is infinite while a cancellation is pending. The cancellation ends the job permanently, and
+    // the next owner finds that by itself, so 0 is sent.
     return {
       kind: 'quarantined',
       job: job.spec.id,
@@ -68,18 +78,20 @@
     };
   }
 
-  /** An attempt is surely no longer on its machine, and nothing of it is still to be stored. */
-  onAttemptLeft(job: Job, h: TaskAttempt): void {
-    for (const other of this.placesOf(job)) if (other !== h && other.machine === h.machine) return;
-    this.replicator.replicate({ kind: 'leftMachine', job: job.spec.id, machine: h.machine.id });
+  /** Handles an attempt that is known to have left its machine, and of which nothing remains to be stored. */
+  onAttemptLeft(job: Job, attempt: TaskAttempt): void {
+    for (const other of this.attemptsOf(job))
+      if (other !== attempt && other.machine === attempt.machine) return;
+    this.replicator.replicate({ kind: 'leftMachine', job: job.spec.id, machine: attempt.machine.id });
   }
 
-  onRunning(h: TaskAttempt): void {
-    if (h.runningAt !== null) this.replicator.replicate(this.runs(h, h.runningAt));
+  onRunning(attempt: TaskAttempt): void {
+    if (attempt.runningAt !== null)
+      this.replicator.replicate(this.attemptRunningRecord(attempt, attempt.runningAt));
   }
 
   onMachineChanged(m: Machine): void {
-    this.replicator.replicate(this.recordOf(m));
+    this.replicator.replicate(this.machineRecord(m));
   }
 
   onRuntimeLearnt(jobClass: string): void {
@@ -89,7 +101,7 @@
 
   onQuarantineChanged(job: Job): void {
     this.replicator.replicate(
-      job.quarantined ? this.suspectOf(job) : { kind: 'quarantineLifted', job: job.spec.id },
+      job.quarantined ? this.quarantineRecord(job) : { kind: 'quarantineLifted', job: job.spec.id },
     );
   }
 
--- a/src/scheduler/resourcedemand.ts
+++ b/src/scheduler/resourcedemand.ts
@@ -8,33 +8,36 @@
 import type { Shortage } from '../plan/rentalchoice.js';
 import type { RuntimeEstimates } from './runtimeestimates.js';
 
-/** A task that is planned to start later than this waits, in seconds. */
-const WAITS_AFTER_S = 0.5;
-/** How long a task that found no place is said to wait, in seconds. */
+/** A task whose planned start is later than this counts as waiting, in seconds. */
+const MIN_WAIT_S = 0.5;
+/** Reported waiting time of a task without a placement, in seconds. */
 const UNPLACED_WAIT_S = 600;
-/** Renting a machine takes so many times the boot time of its type, and so many seconds. */
+/** Renting a machine takes this multiple of its type's boot time, plus this delay in seconds. */
 const BOOT_MARGIN = 1.1;
 const RENT_DELAY_S = 2;
-/** So many needs are reported to the leader. */
-const MAX_NEEDS = 20;
-/** More tasks than any machines hold. */
+/** Maximum number of demands that are reported to the leader. */
+const MAX_REPORTED_DEMANDS = 20;
+/** Number of tasks that no set of machines can hold. */
 const UNLIMITED_TASKS = 100_000;
-/** No limit, as an amount of anything. */
+/** Stands for an unlimited amount of a resource. */
 const UNLIMITED = 1e12;
-/** A shortage goes to the leader first; renting begins when nobody had a machine to give. */
+/**
+ * Delay before renting for a shortage: it is reported to the leader first, and renting begins when no shard
+ * had a spare machine.
+ */
 const RENT_AFTER_MS = 900;
 
-/** What the tracker of demand asks of its shard. */
+/** Callbacks into the shard that `ResourceDemandTracker` needs. */
 export interface ResourceDemandHooks {
-  /** What the tasks of each team take now, by the index of the team. */
+  /** Returns the resources in use by each team, by team index. */
   teamUsage(): Map<number, Amounts>;
-  /** Whether a task of a job that is not known to be anywhere is surely nowhere. */
-  surelyNotRunning(job: Job): boolean;
-  /** Whether a job is within what its team is guaranteed. */
+  /** Returns whether the tasks of a job without a known placement are known to run on no machine. */
+  isKnownNotRunning(job: Job): boolean;
+  /** Returns whether a job is within its team's guarantee. */
   isGuaranteed(job: Job): boolean;
 }
 
-/** What `ResourceDemandTracker` is made of. */
+/** Components that `ResourceDemandTracker` depends on. */
 export interface ResourceDemandParts {
   readonly context: ControllerContext;
   readonly jobs: ReadonlyMap<string, Job>;
@@ -45,49 +48,55 @@
 
 /** Tasks of a job that the plan leaves waiting. */
 interface WaitingTasks {
-  /** How many wait at all. */
+  /** Number of waiting tasks. */
   count: number;
-  /** How many of them wait longer than renting a machine would take. */
+  /** Number of waiting tasks that wait longer than renting a machine would take. */
   late: number;
-  /** The reservations among those. */
+  /** Reservations of the late tasks. */
   readonly lateReservations: Reservation[];
-  /** How long the last of them waits, in seconds. */
+  /** Longest waiting time of these tasks, in seconds. */
   waitS: number;
-  /** The shortest boot time among the types of machine that may take the job, in seconds. */
+  /** Shortest boot time among the machine types that may run the job, in seconds. */
   readonly bootS: number;
 }
 
-/** What a shard lacks: reported to the leader, and rented when no other shard has it. */
+/**
+ * Tracks the resources that a shard lacks: reports them to the leader, and rents machines when no other shard
+ * has them.
+ */
 export class ResourceDemandTracker {
-  /** Since when a job has had tasks waiting, by its id, in steady milliseconds. */
-  private readonly shortSince = new Map<string, number>();
-  private unmetNeeds: ResourceDemand[] = [];
+  /** Time since when each job has had waiting tasks, by job id; milliseconds on the monotonic clock. */
+  private readonly waitingSince = new Map<string, number>();
+  private unmetDemands: ResourceDemand[] = [];
 
   constructor(private readonly parts: ResourceDemandParts) {}
 
-  /** What the last plan has left waiting, the most urgent first, as far as it is reported to the leader. */
-  get needs(): ResourceDemand[] {
-    return this.unmetNeeds.slice(0, MAX_NEEDS);
+  /**
+   * Demands that the last plan left unmet, the most urgent first, up to the number reported to the leader.
+   */
+  get demands(): ResourceDemand[] {
+    return this.unmetDemands.slice(0, MAX_REPORTED_DEMANDS);
   }
 
-  /** A job is over: it lacks nothing any more. */
+  /** Drops a job that has ended and so no longer lacks anything. */
   forget(job: string): void {
-    this.shortSince.delete(job);
+    this.waitingSince.delete(job);
   }
 
   /**
-   * Takes up what a plan leaves waiting: for the leader, and to rent for what would wait longer than a boot. `unplaced` are the
-   * jobs that found no place, `jobsByPlanId` all jobs in the plan; `now` in steady milliseconds.
+   * Evaluates the tasks that a plan leaves waiting: updates the demands reported to the leader, and rents
+   * machines for tasks that would wait longer than a boot. `unplaced` holds the jobs without a placement for
+   * all their tasks, `jobsByPlanId` all jobs of the plan; `now` in milliseconds on the monotonic clock.
    */
   assess(plan: Plan, unplaced: ReadonlySet<Job>, jobsByPlanId: ReadonlyMap<number, Job>, now: number): void {
     const waiting = this.waitingTasks(plan, unplaced, jobsByPlanId, now / 1000);
-    if (this.parts.autoscaler.mayRent(now)) discountBookedLate(plan, waiting, now / 1000);
-    for (const id of [...this.shortSince.keys()]) {
+    if (this.parts.autoscaler.mayRent(now)) excludeTasksStartableInTime(plan, waiting, now / 1000);
+    for (const id of [...this.waitingSince.keys()]) {
       const job = this.parts.jobs.get(id);
-      if (!job || !waiting.has(job)) this.shortSince.delete(id);
+      if (!job || !waiting.has(job)) this.waitingSince.delete(id);
     }
     for (const job of waiting.keys()) if (job.quarantined) waiting.delete(job);
-    this.parts.autoscaler.rentFor(this.updateNeeds(waiting, now), now);
+    this.parts.autoscaler.rentFor(this.updateDemands(waiting, now), now);
   }
 
   private waitingTasks(
@@ -106,77 +115,83 @@
       return tasks;
     };
     const reservations = new Map<number, number>();
-    for (const r of plan.reservations) {
-      reservations.set(r.job.id, (reservations.get(r.job.id) ?? 0) + 1);
-      const job = jobsByPlanId.get(r.job.id);
-      if (!job || r.start <= nowS + WAITS_AFTER_S) continue;
+    for (const reservation of plan.reservations) {
+      reservations.set(reservation.job.id, (reservations.get(reservation.job.id) ?? 0) + 1);
+      const job = jobsByPlanId.get(reservation.job.id);
+      if (!job || reservation.start <= nowS + MIN_WAIT_S) continue;
       const tasks = tasksOf(job);
       tasks.count++;
-      tasks.waitS = Math.max(tasks.waitS, r.start - nowS);
-      if (r.start <= rentedBy(tasks, nowS)) continue;
+      tasks.waitS = Math.max(tasks.waitS, reservation.start - nowS);
+      if (reservation.start <= rentalReadyAtS(tasks, nowS)) continue;
       tasks.late++;
-      tasks.lateReservations.push(r);
+      tasks.lateReservations.push(reservation);
     }
     for (const job of unplaced) {
-      const n = Math.max(1, unplacedCount(job) - (reservations.get(job.order) ?? 0));
+      const unreserved = Math.max(1, unplacedCount(job) - (reservations.get(job.order) ?? 0));
       const tasks = tasksOf(job);
-      tasks.count += n;
-      tasks.late += n;
+      tasks.count += unreserved;
+      tasks.late += unreserved;
       tasks.waitS = UNPLACED_WAIT_S;
     }
     return waiting;
   }
 
-  /** Works out the needs for the leader anew; returns what is short for so long that machines are to be rented for it. */
-  private updateNeeds(waiting: ReadonlyMap<Job, WaitingTasks>, now: number): Shortage[] {
+  /**
+   * Recomputes the demands for the leader; returns the shortages that have lasted long enough to rent
+   * machines for.
+   */
+  private updateDemands(waiting: ReadonlyMap<Job, WaitingTasks>, now: number): Shortage[] {
     const usage = this.parts.hooks.teamUsage();
-    const needs: ResourceDemand[] = [];
+    const demands: ResourceDemand[] = [];
     const shortages: Shortage[] = [];
     const inOrder = [...waiting].sort(
       (a, b) => remainingTasksPriority(b[0]) - remainingTasksPriority(a[0]) || a[0].order - b[0].order,
     );
     for (const [job, tasks] of inOrder) {
-      const cap = this.underCap(job, usage);
-      const count = Math.min(tasks.count, cap);
+      const teamAllowance = this.tasksWithinTeamLimit(job, usage);
+      const count = Math.min(tasks.count, teamAllowance);
       if (count <= 0) continue;
-      for (const { zone, count: n } of this.byZone(job, count))
-        needs.push(this.need(job, n, tasks.waitS, zone));
-      // What this job may take of its team's limit is no longer there for the team's other jobs.
+      for (const { zone, count: n } of this.splitByZone(job, count))
+        demands.push(this.demandOf(job, n, tasks.waitS, zone));
+      // The part of the team's limit that this job may use is no longer available to the team's other jobs.
       const use = usage.get(job.team);
-      if (use) addTimes(use, job.need, count);
-      const since = this.shortSince.get(job.spec.id) ?? now;
-      this.shortSince.set(job.spec.id, since);
-      // Tasks that wait for their team's limit start no sooner on more machines: what starts in time takes of it first.
-      const late = Math.min(tasks.late, cap - (tasks.count - tasks.late));
-      // What an earlier owner may have started, and may well still run, needs no machine before that is known.
-      if (!this.parts.hooks.surelyNotRunning(job)) continue;
+      if (use) addMultiple(use, job.need, count);
+      const since = this.waitingSince.get(job.spec.id) ?? now;
+      this.waitingSince.set(job.spec.id, since);
+      // More machines do not help tasks that wait for their team's limit. Tasks that start in time use the
+      // limit first, so only the rest of the allowance counts as late.
+      const late = Math.min(tasks.late, teamAllowance - (tasks.count - tasks.late));
+      // Tasks that an earlier owner may have started, and that may still run, need no machine until that is
+      // known.
+      if (!this.parts.hooks.isKnownNotRunning(job)) continue;
       if (late <= 0 || now - since < RENT_AFTER_MS) continue;
       const { types, match, need } = job;
-      for (const { zone, count: n } of this.byZone(job, late))
+      for (const { zone, count: n } of this.splitByZone(job, late))
         shortages.push({ types, zone, spot: job.spec.spot, match, need, count: n });
     }
-    this.unmetNeeds = needs;
+    this.unmetDemands = demands;
     return shortages;
   }
 
   /**
-   * In which zones so many tasks of a job need machines; null: in any. One that is held to a zone by its other tasks, or kept from
-   * it by them, would otherwise be given machines without end where it starts on none of them.
+   * Splits a number of tasks of a job by the zones in which they need machines; a null zone stands for any. A
+   * job that its other tasks restrict to a zone, or exclude from one, would otherwise be given ever more
+   * machines in a zone where it cannot start.
    */
-  private byZone(job: Job, count: number): { zone: number | null; count: number }[] {
+  private splitByZone(job: Job, count: number): { zone: number | null; count: number }[] {
     const capacities = zoneCapacity(job, this.zonesOf(job));
     if (!capacities) return [{ zone: job.zone, count }];
-    let left = count;
+    let remaining = count;
     return capacities
       .map(({ zone, tasks }) => {
-        const n = Math.min(left, tasks);
-        left -= n;
+        const n = Math.min(remaining, tasks);
+        remaining -= n;
         return { zone, count: n };
       })
       .filter(({ count: n }) => n > 0);
   }
 
-  /** The zones in which there are machines for a job, the shard's own first. */
+  /** Returns the zones that offer machines for a job, the shard's own zone first. */
   private zonesOf(job: Job): number[] {
     const { names, settings, catalog } = this.parts.context;
     const zones = new Set<string>();
@@ -189,7 +204,7 @@
       .filter((z) => job.zone === null || z === job.zone);
   }
 
-  private need(job: Job, count: number, waitS: number, zone: number | null): ResourceDemand {
+  private demandOf(job: Job, count: number, waitS: number, zone: number | null): ResourceDemand {
     return {
       types: job.spec.types,
       zone: zone === null ? null : this.parts.context.names.zones.name(zone),
@@ -206,7 +221,7 @@
     };
   }
 
-  /** The kinds of machine that may take a job which asks more than its type and zone. */
+  /** Returns the kinds of machine that may run a job with requirements beyond type and zone. */
   private kindsOf(job: Job): string[] {
     const { zones } = this.parts.context.names;
     const kinds: string[] = [];
@@ -215,7 +230,7 @@
     return kinds;
   }
 
-  /** The shortest boot time among the types of machine that may take a job, in seconds. */
+  /** Returns the shortest boot time among the machine types that may run a job, in seconds. */
   private shortestBoot(job: Job): number {
     let best = 1e9;
     for (const [type, t] of this.parts.context.catalog.all()) {
@@ -225,8 +240,8 @@
     return best;
   }
 
-  /** How many more tasks of a job its team may run at once. */
-  private underCap(job: Job, usage: Map<number, Amounts>): number {
+  /** Returns how many more tasks of a job its team may run at once. */
+  private tasksWithinTeamLimit(job: Job, usage: Map<number, Amounts>): number {
     const team = this.parts.context.settings.teams[job.team];
     const use = usage.get(job.team);
     if (!team || !use) return UNLIMITED_TASKS;
@@ -242,19 +257,26 @@
   }
 }
 
-/** When tasks could start on a machine that is rented now, in seconds. */
-function rentedBy({ bootS }: WaitingTasks, nowS: number): number {
+/** Returns when tasks could start on a machine that is rented now, in seconds. */
+function rentalReadyAtS({ bootS }: WaitingTasks, nowS: number): number {
   return nowS + bootS * BOOT_MARGIN + RENT_DELAY_S;
 }
 
-/** A task that is planned to start late is not late when it could start in time on some machine there is. */
-function discountBookedLate(plan: Plan, waiting: ReadonlyMap<Job, WaitingTasks>, nowS: number): void {
+/**
+ * Stops counting tasks as late that are planned to start late but could start in time on some existing
+ * machine.
+ */
+function excludeTasksStartableInTime(
+  plan: Plan,
+  waiting: ReadonlyMap<Job, WaitingTasks>,
+  nowS: number,
+): void {
   const late = [...waiting.values()].filter((tasks) => tasks.lateReservations.length > 0);
-  const counts = plan.countLateTasks(
+  const counts = plan.countUnavoidablyLateTasks(
     late.map((tasks) => ({
       job: tasks.lateReservations[0]!.job,
       reservations: tasks.lateReservations,
-      by: rentedBy(tasks, nowS),
+      by: rentalReadyAtS(tasks, nowS),
     })),
   );
   late.forEach((tasks, i) => {
@@ -262,7 +284,7 @@
   });
 }
 
-function addTimes(to: Amounts, need: Amounts, times: number): void {
+function addMultiple(to: Amounts, need: Amounts, times: number): void {
   to.cpus += need.cpus * times;
   to.gpus += need.gpus * times;
   to.memoryGb += need.memoryGb * times;
--- a/src/scheduler/responses.ts
+++ b/src/scheduler/responses.ts
@@ -3,44 +3,46 @@
 import type { JobStatus } from '../wire/users.js';
 import type { DependencyStatus, DependentClaim } from './dependencymessages.js';
 
-// What an owner answers about its jobs, and what it asks of the other shards.
+// Responses of a shard's owner about its jobs, and its requests to other shards.
 
-/** The error text of an owner that has not loaded its shard yet, or may have lost it. */
+/** Error text of an owner that has not loaded its shard yet, or may have lost it. */
 export const NOT_READY = 'the shard is being taken over';
 
-/** Nobody who could decide for the shard can be asked now. */
+/** Thrown when no node that could decide for the shard can be reached now. */
 export class OwnerUnavailableError extends UnavailableError {}
 
-/** The status of a job: how many of its tasks are done and how many are on machines. */
+/** Status of a job, with the number of its completed tasks and of its tasks on machines. */
 export interface StatusAnswer {
   status: JobStatus;
   done: number;
   running: number;
 }
 
-/** The answer to a submission. */
+/** Response to a submission. */
 export type SubmitAnswer =
-  /** Cancelled at once when it depends on a job that was cancelled. */
+  /** Accepted; cancelled at once when the job depends on a cancelled job. */
   | { kind: 'accepted'; cancelled?: boolean }
-  /** It was accepted before. */
+  /** The job had already been accepted. */
   | { kind: 'known'; status: JobStatus }
-  /** Its deadline cannot be met at present. */
+  /** Refused: the deadline cannot be met at present. */
   | { kind: 'refused'; retryS: number }
-  /** It depends on a job that was never accepted. */
+  /** Refused: the job depends on a job that was never accepted. */
   | { kind: 'never'; needs: string }
-  /** Cannot be stored at present. */
+  /** The job cannot be stored at present. */
   | { kind: 'busy'; retryS: number };
 
-/** What a shard asks of the other shards. */
+/** Requests of a shard to the other shards. */
 export interface PeerShards {
-  /** Whether every node supports what the first version did not. */
+  /** Returns whether every node supports the features that the first protocol version lacked. */
   allSupportLatest(): boolean;
-  /** Where a job is, or how it ended; null when it was never accepted. */
+  /** Returns the location of a job, or how it ended; null when it was never accepted. */
   locate(id: string): Promise<JobEntry | null>;
-  /** The status of a job by the key-value store alone, with all that it depends on. */
+  /** Reads the status of a job, and of all jobs it depends on, from the key-value store alone. */
   jobStatusFromStore(id: string): Promise<'active' | 'done' | 'cancelled' | 'unsure'>;
-  /** Asks the owner of `shard` about its jobs, with the claims of jobs of the shard `from` that depend on them. */
+  /**
+   * Asks the owner of `shard` about jobs, with the claims of the jobs of shard `from` that depend on them.
+   */
   requestDependencyStatus(shard: number, from: number, claims: DependentClaim[]): Promise<DependencyStatus[]>;
-  /** Tells the owner of `shard` how a job ended that its jobs depend on. */
+  /** Notifies the owner of `shard` how a job ended that jobs of that shard depend on. */
   notifyDependencyEnded(shard: number, id: string, status: 'done' | 'cancelled'): void;
 }
--- a/src/scheduler/runtimeestimates.ts
+++ b/src/scheduler/runtimeestimates.ts
@@ -3,20 +3,30 @@
 import type { JobSpec } from '../wire/users.js';
 import type { TaskAttempt } from '../workers/machine.js';
 
-/** A single task counts for no more than this ratio of run time to estimate, or its inverse. */
+/** Bound on the ratio of run time to estimate that a single task contributes, and on its inverse. */
 const MAX_RATIO = 4;
-/** Later tasks count for as much as one of so many. */
+/**
+ * Maximum number of tasks in the running mean: beyond it, each new task has the weight of one in this many.
+ */
 const MAX_LEARNT_TASKS = 30;
-/** How long a task that is to stop, or is of no known job, is still expected to run, and at least one that outruns its estimate. */
+/**
+ * Expected remaining run time of a task that is being stopped or whose job is unknown, and minimum for a task
+ * that has outrun its estimate.
+ */
 const MIN_REMAINING_MS = 3000;
-/** A service runs until it is cancelled. */
+/** Expected remaining run time of a service, which runs until it is cancelled. */
 const SERVICE_REMAINING_MS = 1e12;
-/** One that outruns its estimate is given this share more of what it has run. */
+/** A task that has outrun its estimate is expected to run for another such share of its run time so far. */
 const OVERRUN_SHARE = 0.25;
 
-/** How long tasks run: the users' estimates, corrected by what the tasks of each class have taken. */
+/**
+ * Estimates of task run times: the users' estimates, corrected by the measured run times of each job class.
+ */
 export class RuntimeEstimates {
-  /** By class: the mean logarithm of the ratio of run time to estimate, and of how many tasks it is, up to a bound. */
+  /**
+   * Mean logarithm of the ratio of run time to estimate, and the number of tasks in it up to a bound, by job
+   * class.
+   */
   private readonly ratios = new Map<string, { log: number; count: number }>();
 
   constructor(
@@ -24,7 +34,7 @@
     private readonly jobs: ReadonlyMap<string, Job>,
   ) {}
 
-  /** Learns from a task that has run for so many seconds. */
+  /** Updates the estimate of the job's class with the run time of a completed task, in seconds. */
   learn(job: Job, ranS: number): void {
     if (job.spec.estimateS <= 0 || ranS <= 1) return;
     const learnt = this.ratios.get(job.spec.class) ?? { log: 0, count: 0 };
@@ -34,37 +44,41 @@
     this.ratios.set(job.spec.class, learnt);
   }
 
-  /** What has been learnt, by class, for the standby. */
+  /** Learnt corrections by job class, for replication to the standby. */
   classes(): Iterable<[string, Readonly<{ log: number; count: number }>]> {
     return this.ratios;
   }
 
-  /** What has been learnt of a class; null when nothing has. */
+  /** Returns the learnt correction of a class; null when there is none. */
   classOf(name: string): Readonly<{ log: number; count: number }> | null {
     return this.ratios.get(name) ?? null;
   }
 
-  /** Restores what the former owner has learnt. */
+  /** Restores the corrections that the former owner had learnt. */
   restore(classes: Iterable<[string, { log: number; count: number }]>): void {
     for (const [name, { log, count }] of classes) this.ratios.set(name, { log, count });
   }
 
-  /** How long a task of a job is expected to run, in seconds. */
+  /** Returns the expected run time of a task of a job, in seconds. */
   runS(spec: JobSpec): number {
     return spec.estimateS * Math.exp(this.ratios.get(spec.class)?.log ?? 0);
   }
 
-  /** When a task on a machine is expected to end, in steady milliseconds; one that outruns its estimate is given more each time. */
-  expectedEnd(h: TaskAttempt, now: number): number {
-    const job = this.jobs.get(h.job);
-    if (!job || h.stop) return now + MIN_REMAINING_MS + (h.stop?.graceS ? (job?.spec.saveS ?? 0) * 1000 : 0);
+  /**
+   * Returns the expected end of a task on a machine, in milliseconds on the monotonic clock. The expected end
+   * of a task that has outrun its estimate is extended on each call.
+   */
+  expectedEnd(attempt: TaskAttempt, now: number): number {
+    const job = this.jobs.get(attempt.job);
+    if (!job || attempt.stop)
+      return now + MIN_REMAINING_MS + (attempt.stop?.graceS ? (job?.spec.saveS ?? 0) * 1000 : 0);
     if (job.spec.kind === 'service') return now + SERVICE_REMAINING_MS;
     const runMs = this.runS(job.spec) * 1000;
-    const type = this.context.catalog.get(h.machine.type);
-    const fetchMs = h.machine.images.has(job.image)
+    const type = this.context.catalog.get(attempt.machine.type);
+    const fetchMs = attempt.machine.images.has(job.image)
       ? 0
       : (job.spec.imageGb / (type?.fetchGbPerS ?? 1)) * 1000;
-    const start = h.runningAt ?? Math.max(now, h.orderedAt + fetchMs);
+    const start = attempt.runningAt ?? Math.max(now, attempt.orderedAt + fetchMs);
     const elapsed = Math.max(0, now - start);
     return elapsed < runMs ? start + runMs : now + Math.max(MIN_REMAINING_MS, elapsed * OVERRUN_SHARE);
   }
--- a/src/scheduler/schedulingorder.ts
+++ b/src/scheduler/schedulingorder.ts
@@ -10,27 +10,36 @@
 import type { RuntimeEstimates } from './runtimeestimates.js';
 import { ServiceLevelObjectives } from './servicelevelobjectives.js';
 
-/** A job of the lowest priority is deferred behind later ones by so many times as long as its tasks take on the whole shard. */
+/**
+ * A job of the lowest priority is deferred by this multiple of the time that its tasks would take on the
+ * whole shard.
+ */
 const LOW_PRIORITY_DEFERRAL_FACTOR = 20;
-/** Any other job by so many times as long as the shard takes for it, up to so many seconds. */
+/**
+ * Any other job is deferred by this multiple of the time that it would take on the shard, up to this number
+ * of seconds.
+ */
 const DEFERRAL_FACTOR = 4;
 const MAX_DEFERRAL_S = 60;
 const MAX_TASKS_PER_MACHINE = 1000;
 
-/** A job's place in the order of waiting jobs: with all of its tasks, with its first task alone, or with the others. */
+/**
+ * Entry of a job in the order of waiting jobs: with all of its tasks, with only its first task, or with the
+ * others.
+ */
 export interface QueueEntry {
   readonly job: Job;
   readonly part: 'all' | 'first' | 'rest';
   readonly priority: number;
 }
 
-/** The order in which the waiting jobs of a shard are planned (docs/design.md, "Order of waiting work"). */
+/** Order in which the waiting jobs of a shard are planned (docs/design.md, "Order of waiting work"). */
 export class SchedulingOrder {
   private readonly slos: ServiceLevelObjectives;
   private readonly priorityAging: PriorityAging;
-  /** Jobs that fit into their team's guarantee together with the team's earlier ones. */
+  /** Jobs that fit into their team's guarantee together with the team's earlier jobs. */
   private guaranteed: ReadonlySet<Job> = new Set();
-  /** Whether any kind of machine may take a job, as of a version of the catalog. */
+  /** Whether any kind of machine may run a job, as of a version of the catalog. */
   private readonly placeableCache = new WeakMap<Job, { version: number; isPlaceable: boolean }>();
 
   constructor(
@@ -43,24 +52,32 @@
     this.priorityAging = new PriorityAging(context, jobTable.jobs, this.slos, estimates);
   }
 
-  /** Works out which jobs have aged; before priorities are passed on to the jobs that they depend on. */
+  /**
+   * Recomputes which jobs have aged; called before priorities are propagated to the jobs that they depend on.
+   */
   age(): void {
     this.priorityAging.tick(this.cpus(this.machinesInUse()));
   }
 
-  /** Whether a job fits into its team's guarantee together with the team's earlier ones, as of the last `entries`. */
+  /**
+   * Returns whether a job fitted into its team's guarantee together with the team's earlier jobs at the last
+   * `entries` call.
+   */
   isGuaranteed(job: Job): boolean {
     return this.guaranteed.has(job);
   }
 
   /**
-   * By priority; then what teams are guaranteed before what they borrow, so that one cannot starve another; then gangs by
-   * the objectives they can still meet; then as accepted, what is little before what is much and was accepted not long
-   * before. Jobs of the lowest priority run in what others leave, and a swarm of tiny jobs would wait for hours of one, so
-   * there large jobs are deferred for longer.
+   * Returns the waiting jobs in the order in which they are planned: first by priority; then guaranteed
+   * shares of teams before borrowed capacity, so that one team cannot starve another; then gangs by the
+   * objectives that they can still meet; then by acceptance, deferred by size, so that a small job goes
+   * before a large one accepted shortly before. Jobs of the lowest priority run in the capacity that others
+   * leave; many tiny jobs would wait for hours behind a single large one, so large jobs are deferred for
+   * longer there.
    */
   entries(): QueueEntry[] {
-    // Jobs that wait for others, or for a kind of machine that there is none of, take no part in limits and guarantees.
+    // Jobs that wait for dependencies, or for a kind of machine that does not exist, do not count against
+    // limits and guarantees.
     const jobs = [...this.jobTable.jobs.values()]
       .filter((j) => j.pendingDependencies.size === 0 && this.isPlaceable(j))
       .sort((a, b) => a.order - b.order);
@@ -68,9 +85,10 @@
     this.guaranteed = withinGuarantee(jobs, teams).whole;
     const sloRanks = this.slos.ranks(jobs, this.context.clock.wall(), (spec) => this.estimates.runS(spec));
     const bySlo = (a: Job, b: Job) => sloRanks.get(a)! - sloRanks.get(b)!;
-    // What a team is guaranteed goes to those of its jobs that can still use it.
+    // A team's guarantee goes to those of its jobs that can still make use of it.
     const { partly } = withinGuarantee([...jobs].sort(bySlo), teams);
-    // What has aged is little, and would wait for ever behind what others are guaranteed.
+    // Aged jobs take little capacity and would otherwise wait forever behind the guaranteed shares of other
+    // teams.
     const rank = ({ job, part }: QueueEntry) => (partly.has(job) || (job.aged && part !== 'rest') ? 0 : 1);
     const entries = jobs.flatMap((job) => queueEntriesOf(job));
     const deferredUntil = this.deferrals(entries);
@@ -84,14 +102,14 @@
     );
   }
 
-  /** When each entry was accepted, put off by its size; milliseconds of the time of day. */
+  /** Returns the acceptance time of each entry plus a deferral by its size; wall-clock milliseconds. */
   private deferrals(entries: readonly QueueEntry[]): Map<QueueEntry, number> {
     const inUse = this.machinesInUse();
     const cpus = Math.max(1, this.cpus(inUse));
     const deferredUntil = ({ job, part, priority }: QueueEntry): number => {
       const tasks = part === 'first' ? 1 : job.spec.tasks - job.done.count;
       const runS = this.estimates.runS(job.spec);
-      // What was accepted for a deadline stays before what is accepted later.
+      // A job that was accepted with a deadline stays ahead of jobs accepted later.
       const maxDeferralS = job.spec.deadlineS === null ? MAX_DEFERRAL_S : 0;
       const deferralS =
         priority > PRIORITY.low
@@ -102,7 +120,10 @@
     return new Map(entries.map((e) => [e, deferredUntil(e)]));
   }
 
-  /** Whether any kind of machine there is may take a job; only match expressions can ask for what there is not. */
+  /**
+   * Returns whether any existing kind of machine may run a job; only match expressions can require a kind
+   * that does not exist.
+   */
   private isPlaceable(job: Job): boolean {
     if (!job.match) return true;
     const { version } = this.context.catalog;
@@ -116,16 +137,16 @@
     return isPlaceable;
   }
 
-  /** How many tasks of a size the shard's machines hold at once; at least 1. */
+  /** Returns how many tasks of a size the shard's machines can run at once; at least 1. */
   private slotsFor(need: Amounts, inUse: ReadonlyMap<number, number>): number {
-    let slots = 0;
+    let slotCount = 0;
     for (const [type, count] of inUse) {
-      slots += count * fitCount(this.context.catalog.size(type), need, MAX_TASKS_PER_MACHINE);
+      slotCount += count * fitCount(this.context.catalog.size(type), need, MAX_TASKS_PER_MACHINE);
     }
-    return Math.max(1, slots);
+    return Math.max(1, slotCount);
   }
 
-  /** How many machines of each type are in use. */
+  /** Returns the number of machines in use, by type. */
   private machinesInUse(): Map<number, number> {
     const now = this.context.clock.now();
     const counts = new Map<number, number>();
@@ -143,7 +164,7 @@
   }
 }
 
-/** The tasks that an entry has to be reserved for; null when there are none. */
+/** Returns the plan job with the tasks of an entry; null when there are none to place. */
 export function planJobOf({ job, part }: QueueEntry, planInput: PlanInput, now: number): PlanJob | null {
   const p = planInput.planJob(job, now);
   if (!p || part === 'all') return p;
@@ -152,8 +173,8 @@
 }
 
 /**
- * Of a job of which the first task alone has aged, that task goes before urgent jobs until it is placed, the others in their
- * own turn.
+ * Splits a job of which only the first task has aged: that task goes before urgent jobs until it is placed,
+ * and the others keep their normal position.
  */
 function queueEntriesOf(job: Job): QueueEntry[] {
   if (!job.aged || !job.onlyFirstTaskAged) return [{ job, part: 'all', priority: job.priority }];
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -1,4 +1,4 @@
-// This package: one shard as its owner has it: acceptance, starts, preemption, demand, estimates, failures.
+// This package runs one shard at its owner: admission, starts, preemption, demand, estimates and failures.
 
 import type { ResourceDemand, ShardStatus } from '../autoscaler/shardstatus.js';
 import { pause } from '../clock/clock.js';
@@ -22,28 +22,31 @@
 import { ShardComponents } from './shardcomponents.js';
 import { type ShardOptions, TICK_INTERVAL_MS } from './shardoptions.js';
 
-/** Many changes that come close together make one plan. */
+/** Delay before a plan, so that changes in quick succession lead to a single plan. */
 const PLAN_DELAY_MS = 30;
 const LOAD_RETRY_MS = 300;
 
-/** One shard while this node owns it: its lifecycle, and what others ask of its owner. */
+/**
+ * A shard while this node owns it: its lifecycle, and the operations that other components request of its
+ * owner.
+ */
 export class Shard {
-  /** The shard's index among the shards of the cluster. */
+  /** Index among the shards of the cluster. */
   readonly index: number;
-  /** The revision of the owner's key. */
+  /** Revision of the owner's key. */
   readonly term: number;
-  /** The shard's machines as they report. */
+  /** Machines of the shard as they report. */
   readonly registry: MachineRegistry;
   private readonly context: ControllerContext;
   private readonly components: ShardComponents;
   private readonly log: Log;
-  /** When the shard was claimed, in steady milliseconds. */
+  /** Time at which the shard was claimed; milliseconds on the monotonic clock. */
   private readonly claimedAt: number;
   private loaded = false;
   private stopped = false;
   private planRequested = false;
   private ticking = false;
-  /** Before this moment there is no other plan. */
+  /** Earliest time of the next plan; milliseconds on the monotonic clock. */
   private planNotBefore = 0;
   private streamRestarted = false;
   private tickTask: PeriodicTask | null = null;
@@ -66,7 +69,10 @@
     this.registry = this.components.registry;
   }
 
-  /** Whether this node surely owns the shard: its lease and the promise of its standby last, by the clock just now. */
+  /**
+   * Whether this node certainly owns the shard: its lease and the promise of its standby are still valid by
+   * the clock at the moment of the call.
+   */
   get mayAct(): boolean {
     return mayAct({
       stopped: this.stopped,
@@ -80,7 +86,7 @@
     return this.loaded && this.mayAct;
   }
 
-  /** Ends this node's ownership, for good: nothing more is planned, sent or stored. */
+  /** Ends this node's ownership permanently: nothing is planned, sent or stored any longer. */
   stop(): void {
     this.stopped = true;
     this.tickTask?.stop();
@@ -97,7 +103,7 @@
 
   // --- loading
 
-  /** Loads what the key-value store has of the shard; tried again until it works or the shard is lost. */
+  /** Loads the shard from the key-value store; retries until that succeeds or the shard is lost. */
   async start(): Promise<void> {
     while (!this.stopped) {
       try {
@@ -106,18 +112,24 @@
         this.onLoaded(jobs, machines.entries);
         return;
       } catch (error) {
-        this.log.debug({ err: error }, 'shard load failed');
+        this.log.debug({ err: error }, 'shard could not be loaded; retrying');
         await pause(this.context.clock, LOAD_RETRY_MS);
       }
     }
   }
 
-  /** Jobs with all changes up to the claim: from what the standby has followed, else read anew. */
+  /**
+   * Loads the jobs with all changes up to the claim: from the records that the standby has followed, else
+   * from the store.
+   */
   private async loadJobs(): Promise<LoadedJob[]> {
-    const followed = (await this.options.takeover?.jobs(this.term)) ?? null;
-    if (!followed) return this.components.records.load();
-    this.log.info({ jobs: followed.jobs.length, changes: followed.changes }, 'replicated records completed');
-    return followed.jobs;
+    const replicated = (await this.options.takeover?.jobs(this.term)) ?? null;
+    if (!replicated) return this.components.records.load();
+    this.log.info(
+      { jobs: replicated.jobs.length, changes: replicated.changes },
+      'job records completed from the replicated ones',
+    );
+    return replicated.jobs;
   }
 
   private onLoaded(loaded: readonly LoadedJob[], machines: readonly Entry[]): void {
@@ -142,9 +154,10 @@
 
   private adoptJobs(loaded: readonly LoadedJob[]): Job[] {
     const { taskProgress, jobTable, dependencies } = this.components;
-    const adopted = loaded.map((l) => taskProgress.adopt(l));
+    const adopted = loaded.map((job) => taskProgress.adopt(job));
     for (const job of adopted) {
-      // A job that it depends on is not done under this term yet, so that no former owner can have started it.
+      // A dependency of this job is not done yet under this term, so no former owner can have started the
+      // job.
       if (job.spec.after.some((id) => jobTable.jobs.has(id))) job.acceptedUnderThisTerm = true;
     }
     dependencies.add(adopted);
@@ -152,15 +165,15 @@
   }
 
   private adoptMachines(entries: readonly Entry[]): void {
-    for (const e of entries) this.onMachineRecord(e.key.slice(KEYS.machines.length), e);
-    for (const m of this.registry.machines.values()) {
-      m.mayHoldUnreportedTasks = true;
-      m.leaseRenewedAt = this.claimedAt;
-      m.lastAcknowledgedAt = this.claimedAt;
+    for (const entry of entries) this.onMachineRecord(entry.key.slice(KEYS.machines.length), entry);
+    for (const machine of this.registry.machines.values()) {
+      machine.mayHoldUnreportedTasks = true;
+      machine.leaseRenewedAt = this.claimedAt;
+      machine.lastAcknowledgedAt = this.claimedAt;
     }
   }
 
-  /** Half of the sockets for workers: heartbeats and commands need some meanwhile. */
+  /** Half of the worker sockets; the others stay available for heartbeats and commands. */
   private get maxConcurrentReconciliations(): number {
     return Math.max(4, Math.floor(allocateSockets(this.context.settings.limits.maxSockets).workers / 2));
   }
@@ -199,7 +212,10 @@
     });
   }
 
-  /** Once all machines have reported it is sure of every job where it is, which the standby should know too. */
+  /**
+   * Restarts the replication stream once all machines have reported: the owner then knows the placements of
+   * every job, and the standby should know them too.
+   */
   private restartStreamOnceReconciled(): void {
     const { replicator } = this.options;
     if (!replicator || this.streamRestarted || !this.components.unreconciled.allReconciled) return;
@@ -207,7 +223,7 @@
     replicator.restartStream();
   }
 
-  /** Plans again soon; many changes at once make one plan. */
+  /** Schedules a plan soon; many changes at once lead to a single plan. */
   requestPlan(): void {
     if (this.planRequested || this.stopped) return;
     this.planRequested = true;
@@ -218,28 +234,29 @@
   }
 
   /**
-   * A controller has a fraction of a core, and its lease must be renewed and users answered beside the planning: after
-   * each plan there is a pause in proportion to what it took.
+   * Plans, and then delays the next plan in proportion to the time that this one took: a controller has only
+   * a fraction of a core, and must renew its lease and answer users besides planning.
    */
   private replan(now: number): void {
     const { unreconciled, planner } = this.components;
     unreconciled.logOnceReconciled(now);
     planner.schedule(now);
     this.registry.sendStops();
-    const after = this.context.clock.now();
-    this.planNotBefore = after + pauseAfterPlanMs(this.context, after - now);
+    const finishedAt = this.context.clock.now();
+    this.planNotBefore = finishedAt + pauseAfterPlanMs(this.context, finishedAt - now);
   }
 
   private runIfActive(work: () => void): void {
     if (this.ticking || !this.loaded || this.stopped) return;
     this.ticking = true;
     try {
-      // An owner that may not act declares no machine lost either: they are another's by now, or its again with its lease.
+      // An owner that may not act must not declare machines lost either: they belong to another owner by now,
+      // or stay its own once its lease is renewed.
       if (!this.mayAct) return;
       this.registry.tick();
       work();
     } catch (error) {
-      this.log.error({ err: error }, 'shard tick failed');
+      this.log.error({ err: error }, 'shard tick or plan failed');
     } finally {
       this.ticking = false;
     }
@@ -247,77 +264,101 @@
 
   // --- machines
 
-  /** The record of a machine as the key-value store has it; null when it has been deleted. */
+  /** Applies the record of a machine as read from the key-value store; null when it has been deleted. */
   onMachineRecord(id: string, entry: Entry | null): void {
     this.components.machineRecords.apply(id, entry);
   }
 
-  /** The cloud's list of machines has been read. */
+  /** Handles a new reading of the cloud's list of machines. */
   onMachineList(): void {
     this.components.autoscaler.onMachinesListed();
   }
 
-  /** A machine of the shard reports. Returns the body to answer with, or null when it must not be answered with 200. */
-  onHeartbeat(m: Machine, r: Heartbeat): object | null {
-    return this.loaded ? this.registry.onHeartbeat(m, r) : null;
+  /**
+   * Handles the heartbeat of a machine. Returns the response body, or null when the heartbeat must not be
+   * answered with 200.
+   */
+  onHeartbeat(machine: Machine, heartbeat: Heartbeat): object | null {
+    return this.loaded ? this.registry.onHeartbeat(machine, heartbeat) : null;
   }
 
-  /** Transfers an idle machine to another shard. False when it is not idle or the record could not be written. */
+  /**
+   * Transfers an idle machine to another shard. Returns false when it is not idle or its record could not be
+   * written.
+   */
   transferMachine(id: string, to: number): Promise<boolean> {
     return this.components.machineRecords.transferIdle(id, to);
   }
 
-  /** Reserves a machine whose tasks end soon for a shard where urgent work waits longer. False when there is none. */
+  /**
+   * Reserves a machine whose tasks end soon for a shard where urgent work waits longer. Returns false when
+   * there is none.
+   */
   reserveForTransfer(to: number, need: ResourceDemand, zone: string): boolean {
     const now = this.context.clock.now();
     const { transfers, estimates } = this.components;
-    return transfers.reserveForTransfer(to, need, zone, (h) => estimates.expectedEnd(h, now));
+    return transfers.reserveForTransfer(to, need, zone, (attempt) => estimates.expectedEnd(attempt, now));
   }
 
-  /** Stops all tasks on a machine for another shard's more urgent work. False when its tasks may not be stopped for that. */
+  /**
+   * Stops all tasks on a machine for more urgent work of another shard. Returns false when they may not be
+   * stopped for it.
+   */
   evictForTransfer(id: string, to: number, priority: number): boolean {
     return this.components.transfers.evictForTransfer(id, to, priority);
   }
 
-  /** What the shard lacks and what it has to spare, for the leader; `node` is the owner's name. */
+  /** Returns the demands and spare machines of the shard, for the leader; `node` is the owner's name. */
   shardStatus(node: string): ShardStatus {
     return this.components.statusReport.status(node);
   }
 
   // --- jobs
 
-  /** A job of this shard that is not over yet. */
+  /** Returns a job of this shard that has not ended. */
   job(id: string): Job | undefined {
     return this.components.jobTable.jobs.get(id);
   }
 
-  /** Accepts a job or refuses it. Throws `UnavailableError` when that is not known now. */
+  /** Accepts a job or refuses it. Throws `UnavailableError` when this cannot be decided now. */
   submit(spec: JobSpec): Promise<SubmitAnswer> {
     return this.components.jobRequests.submit(spec);
   }
 
-  /** The status of a job; null when the shard has none of that id. Throws `UnavailableError` when it is not known now. */
+  /**
+   * Returns the status of a job; null when the shard has no job of that id. Throws `UnavailableError` when it
+   * is not known now.
+   */
   status(id: string): Promise<StatusAnswer | null> {
     return this.components.jobRequests.status(id);
   }
 
-  /** Cancels a job; returns how it has ended, or null when the shard has none of that id. Throws as `status`. */
+  /**
+   * Cancels a job; returns how it ended, or null when the shard has no job of that id. Throws as `status`
+   * does.
+   */
   cancel(id: string): Promise<'done' | 'cancelled' | null> {
     return this.components.jobRequests.cancel(id);
   }
 
-  /** The first unfinished jobs after an id that begin with `prefix`, in the order of ids; at most `limit`. */
+  /**
+   * Returns up to `limit` unfinished jobs whose ids begin with `prefix` and follow `after`, in the order of
+   * ids.
+   */
   list(prefix: string, after: string, limit: number): ListedJob[] {
     return this.components.jobRequests.list(prefix, after, limit);
   }
 
-  /** Another shard depends on jobs of this one. Throws `UnavailableError` while the shard is not ready. */
+  /**
+   * Handles claims of another shard that depends on jobs of this one. Throws `UnavailableError` while the
+   * shard is not ready.
+   */
   dependencyStatus(shard: number, claims: readonly DependentClaim[]): DependencyStatus[] {
     this.components.jobRequests.requireReady();
     return this.components.dependencies.onDependentClaims(shard, claims);
   }
 
-  /** A job of another shard is durably over. */
+  /** Handles the durable end of a job of another shard. */
   onDependencyEnded(id: string, status: 'done' | 'cancelled'): void {
     if (this.ready) this.components.dependencies.onJobEnded(id, status, null);
   }
--- a/src/scheduler/shardcomponents.ts
+++ b/src/scheduler/shardcomponents.ts
@@ -27,9 +27,10 @@
 import { WarmStart } from './warmstart.js';
 
 /**
- * The parts of a shard, joined. Several of them depend on each other in both directions (the registry reports tasks to the
- * task progress, which has the registry stop tasks), so they call each other through hooks, which are looked up when they are
- * called: nothing may call one before all parts are made.
+ * Creates and connects the components of a shard. Several of them depend on each other in both directions
+ * (the registry reports tasks to the task progress, which has the registry stop tasks). They call each other
+ * through hooks, which look up the component when they are called: no hook may be called before all
+ * components are created.
  */
 export class ShardComponents {
   readonly jobTable: JobTable;
@@ -54,7 +55,7 @@
   readonly jobRequests: JobRequests;
   readonly spotDraining: SpotDraining;
   readonly warmStart: WarmStart;
-  /** What the standby is sent; null without one. */
+  /** Source of the records replicated to the standby; null without a standby. */
   readonly replicationSource: ShardReplicationSource | null;
   readonly statusLog: ShardStatusLog;
 
@@ -62,7 +63,7 @@
     private readonly options: ShardOptions,
     private readonly lifecycle: ShardLifecycle,
     private readonly log: Log,
-    /** When the shard was claimed, in steady milliseconds. */
+    /** Time at which the shard was claimed; milliseconds on the monotonic clock. */
     claimedAt: number,
   ) {
     const { context, index, term, takeover } = options;
@@ -96,12 +97,12 @@
     this.statusLog = new ShardStatusLog(jobs, this.registry.machines, log);
   }
 
-  /** Whether a machine holds nothing, and nothing is planned on it or reserved for another shard. */
+  /** Returns whether a machine runs no tasks and is neither planned on nor reserved for another shard. */
   isIdle(m: Machine): boolean {
     return isEmpty(m) && !this.planner.hasReservation(m.id) && !this.transfers.isReserved(m.id);
   }
 
-  /** Whether a machine is on its way to another shard or back to the cloud. */
+  /** Returns whether a machine is being transferred to another shard or returned to the cloud. */
   private isReservedForTransfer(machine: string): boolean {
     return this.autoscaler.moving.has(machine) || this.transfers.isReserved(machine);
   }
@@ -185,7 +186,7 @@
     return new TaskDispatcher(context, term, this.registry, this.jobTable.jobs, this.log, {
       usageOf: (h) => this.jobTable.usageOf(h),
       unreconciledCapacity: () => this.unreconciled.capacity(),
-      surelyNotRunning: (job) => this.unreconciled.surelyNotRunning(job),
+      surelyNotRunning: (job) => this.unreconciled.isKnownNotRunning(job),
       isReservedForTransfer: (id) => this.isReservedForTransfer(id),
       lostOwnership: () => this.lifecycle.lostOwnership(),
     });
@@ -202,7 +203,7 @@
 
   private createPreemption(): Preemption {
     return new Preemption(this.options.context, this.registry, this.jobTable.jobs, this.log, {
-      surelyNotRunning: (job) => this.unreconciled.surelyNotRunning(job),
+      isKnownNotRunning: (job) => this.unreconciled.isKnownNotRunning(job),
       teamUsage: () => this.dispatcher.teamUsage(),
       freeCapacity: (m) => this.dispatcher.freeCapacity(m, new Map()),
       isReserved: (machine) => this.transfers.isReserved(machine),
@@ -269,7 +270,7 @@
       autoscaler,
       hooks: {
         teamUsage: () => this.dispatcher.teamUsage(),
-        surelyNotRunning: (job) => this.unreconciled.surelyNotRunning(job),
+        isKnownNotRunning: (job) => this.unreconciled.isKnownNotRunning(job),
         isGuaranteed: (job) => this.order.isGuaranteed(job),
       },
     });
@@ -342,7 +343,7 @@
       this.jobTable.jobs,
       this.estimates,
       replicator,
-      { placementsKnown: (job) => this.unreconciled.surelyNotRunning(job) },
+      { placementsKnown: (job) => this.unreconciled.isKnownNotRunning(job) },
     );
   }
 }
--- a/src/scheduler/shardoptions.ts
+++ b/src/scheduler/shardoptions.ts
@@ -3,39 +3,42 @@
 import type { StandbyReplicator } from '../standby/standbyreplicator.js';
 import type { PeerShards } from './responses.js';
 
-/** How often a shard looks at what time alone decides, in milliseconds. */
+/** Interval at which a shard checks everything that depends on time alone, in milliseconds. */
 export const TICK_INTERVAL_MS = 1000;
 
-/** What a node owns a shard with. */
+/** Options with which a node creates a shard that it owns. */
 export interface ShardOptions {
   readonly context: ControllerContext;
-  /** The shard's index among the shards of the cluster. */
+  /** Index among the shards of the cluster. */
   readonly index: number;
-  /** The revision of the owner's key: fences off all that former owners do. */
+  /** Revision of the owner's key; the fencing token against all writes and commands of former owners. */
   readonly term: number;
-  /** Whether the lease under which the shard was claimed surely lasts, by the clock just now. */
+  /**
+   * Returns whether the lease under which the shard was claimed is certainly still valid, by the clock at the
+   * moment of the call.
+   */
   readonly leaseCovers: () => boolean;
-  /** Called when a write has shown that the shard is another node's. */
+  /** Called when a write has shown that another node owns the shard. */
   readonly onOwnershipLost: () => void;
   readonly peers: PeerShards;
-  /** The owner's side of its standby; null without one. */
+  /** Replicator to the standby; null without a standby. */
   readonly replicator: StandbyReplicator | null;
-  /** What came from the former owner through the standby that this node was; null without it. */
+  /** State replicated by the former owner while this node was its standby; null if it was not. */
   readonly takeover: TakeoverState | null;
 }
 
-/** What the parts of a shard ask of its lifecycle. */
+/** Lifecycle of a shard as its components use it. */
 export interface ShardLifecycle {
-  /** Whether the shard is no longer this node's. */
+  /** Returns whether this node no longer owns the shard. */
   isStopped(): boolean;
-  /** Whether jobs and machines have been read from the key-value store. */
+  /** Returns whether jobs and machines have been read from the key-value store. */
   isLoaded(): boolean;
-  /** Whether the shard is loaded and its owner may act. */
+  /** Returns whether the shard is loaded and its owner may act. */
   isReady(): boolean;
-  /** Whether this node surely owns the shard, by the clock just now. */
+  /** Returns whether this node certainly owns the shard, by the clock at the moment of the call. */
   mayAct(): boolean;
-  /** Plans again soon. */
+  /** Schedules a plan soon. */
   requestPlan(): void;
-  /** Stops the shard, which is another node's by now; returns the error to be thrown. */
+  /** Stops the shard, which another node owns by now; returns the error to throw. */
   lostOwnership(): Error;
 }
--- a/src/scheduler/shardstatuslog.ts
+++ b/src/scheduler/shardstatuslog.ts
@@ -4,14 +4,14 @@
 
 const STATUS_LOG_INTERVAL_MS = 15_000;
 
-/** What one team has in the shard: unfinished jobs, tasks on machines, and tasks that wait for one. */
+/** Load of one team in the shard: unfinished jobs, tasks on machines, and tasks that wait for a machine. */
 interface TeamLoad {
   jobs: number;
   placed: number;
   open: number;
 }
 
-/** How many machines the shard has, and of those how many boot, hold nothing, or may hold what is not known. */
+/** Number of machines of the shard, and of those that are booting, empty, or may run unknown tasks. */
 interface MachineLoad {
   all: number;
   booting: number;
@@ -19,7 +19,7 @@
   unsure: number;
 }
 
-/** The regular log line on the load of a shard, for its operators. */
+/** Periodic log line on the load of a shard, for its operators. */
 export class ShardStatusLog {
   private loggedAt = Number.NEGATIVE_INFINITY;
 
@@ -29,11 +29,14 @@
     private readonly log: Log,
   ) {}
 
-  /** Logs the load of the shard if the last line is long enough ago; `now` in steady milliseconds. Returns whether it did. */
+  /**
+   * Logs the load of the shard if the last log line is old enough, and returns whether it did; `now` in
+   * milliseconds on the monotonic clock.
+   */
   logIfDue(now: number): boolean {
     if (now - this.loggedAt < STATUS_LOG_INTERVAL_MS) return false;
     this.loggedAt = now;
-    this.log.info({ teams: this.loadByTeam(), machines: this.machineLoad() }, 'shard load');
+    this.log.info({ teams: this.loadByTeam(), machines: this.machineLoad() }, 'shard load status');
     return true;
   }
 
--- a/src/scheduler/shardstatusreport.ts
+++ b/src/scheduler/shardstatusreport.ts
@@ -10,16 +10,18 @@
 import type { ResourceDemandTracker } from './resourcedemand.js';
 import type { RuntimeEstimates } from './runtimeestimates.js';
 
-/** So many idle machines of a kind are reported at once: no more can be moved before they are reported again. */
+/**
+ * Maximum number of idle machines of a kind in one report; no more can be transferred before the next report.
+ */
 const MAX_IDLE_MACHINES_PER_KIND = 24;
 const MAX_PREEMPTIBLE_MACHINES = 30;
 const MAX_TASKS_PER_MACHINE = 1000;
 const MAX_URGENT_S = 1e6;
 
-/** What `ShardStatusReport` is made of. */
+/** Components that `ShardStatusReport` depends on. */
 export interface ShardStatusReportParts {
   readonly context: ControllerContext;
-  /** The shard's index among the shards of the cluster. */
+  /** Index among the shards of the cluster. */
   readonly index: number;
   readonly registry: MachineRegistry;
   readonly jobs: ReadonlyMap<string, Job>;
@@ -27,15 +29,15 @@
   readonly autoscaler: Autoscaler;
   readonly transfers: MachineTransfers;
   readonly demand: ResourceDemandTracker;
-  /** Whether a machine holds nothing and nothing is planned on it. */
+  /** Returns whether a machine runs no tasks and none are planned on it. */
   readonly isIdle: (m: Machine) => boolean;
 }
 
-/** The status of a shard for the leader, which moves machines between shards by it. */
+/** Reports the status of a shard to the leader, which transfers machines between shards accordingly. */
 export class ShardStatusReport {
   constructor(private readonly parts: ShardStatusReportParts) {}
 
-  /** What the shard lacks and what it has to spare, for the leader; `node` is the owner's name. */
+  /** Returns the demands and spare machines of the shard, for the leader; `node` is the owner's name. */
   status(node: string): ShardStatus {
     return {
       shard: this.parts.index,
@@ -45,7 +47,7 @@
       machines: this.parts.registry.machines.size,
       idleMachines: this.idleMachines(),
       preemptible: this.preemptibleMachines(),
-      demands: this.parts.demand.needs,
+      demands: this.parts.demand.demands,
     };
   }
 
@@ -54,32 +56,40 @@
     const now = this.parts.context.clock.now();
     const idle: IdleMachine[] = [];
     const byKind = new Map<string, number>();
-    for (const m of this.parts.registry.machines.values()) {
-      if (!this.parts.isIdle(m) || this.parts.autoscaler.moving.has(m.id) || m.quarantinedUntil > now)
+    for (const machine of this.parts.registry.machines.values()) {
+      if (
+        !this.parts.isIdle(machine) ||
+        this.parts.autoscaler.moving.has(machine.id) ||
+        machine.quarantinedUntil > now
+      )
         continue;
-      const kind = kindKey(m.type, m.zone, m.spot);
+      const kind = kindKey(machine.type, machine.zone, machine.spot);
       const count = (byKind.get(kind) ?? 0) + 1;
       byKind.set(kind, count);
       if (count > MAX_IDLE_MACHINES_PER_KIND) continue;
-      idle.push({ ...this.describe(m), images: [...m.images.keys()].map((i) => images.name(i)) });
+      idle.push({ ...this.describe(machine), images: [...machine.images.keys()].map((i) => images.name(i)) });
     }
     return idle;
   }
 
-  /** Machines on which all tasks could be stopped for the most urgent jobs of other shards, with the highest priority there. */
+  /**
+   * Returns the machines on which all tasks could be stopped for the most urgent jobs of other shards, each
+   * with the highest priority among its tasks.
+   */
   private preemptibleMachines(): PreemptibleMachine[] {
     const { registry, autoscaler, transfers, jobs } = this.parts;
     const preemptible: PreemptibleMachine[] = [];
-    for (const m of registry.machines.values()) {
+    for (const machine of registry.machines.values()) {
       if (
-        transfers.isReserved(m.id) ||
-        autoscaler.moving.has(m.id) ||
-        !transfers.isPreemptibleFor(m, PRIORITY.production + 1)
+        transfers.isReserved(machine.id) ||
+        autoscaler.moving.has(machine.id) ||
+        !transfers.isPreemptibleFor(machine, PRIORITY.production + 1)
       )
         continue;
-      let top = 0;
-      for (const h of m.attempts.values()) top = Math.max(top, jobs.get(h.job)?.priority ?? 0);
-      preemptible.push({ ...this.describe(m), images: [], highestPriority: top });
+      let highestPriority = 0;
+      for (const attempt of machine.attempts.values())
+        highestPriority = Math.max(highestPriority, jobs.get(attempt.job)?.priority ?? 0);
+      preemptible.push({ ...this.describe(machine), images: [], highestPriority: highestPriority });
     }
     return preemptible.slice(0, MAX_PREEMPTIBLE_MACHINES);
   }
@@ -89,7 +99,7 @@
     return { id: m.id, type: types.name(m.type), zone: zones.name(m.zone), spot: m.spot };
   }
 
-  /** How long the machines of this shard would take for the urgent jobs that wait, in seconds. */
+  /** Returns how long the machines of this shard would take to run the waiting urgent jobs, in seconds. */
   private urgentS(): number {
     const now = this.parts.context.clock.now();
     const slots = new Map<string, number>();
@@ -99,29 +109,29 @@
         continue;
       if (job.pendingDependencies.size > 0) continue;
       if (job.spec.kind === 'gang' && job.placements.size > 0) continue;
-      const open = unplacedCount(job);
-      if (open === 0) continue;
+      const unplaced = unplacedCount(job);
+      if (unplaced === 0) continue;
       const { cpus, gpus, memoryGb } = job.need;
       const key = `${cpus} ${gpus} ${memoryGb} ${job.spec.types ?? ''} ${job.spec.zone} ${job.spec.spot} ${job.spec.match?.requirements ?? ''}`;
-      const fit = slots.get(key) ?? this.slotsFor(job, now);
-      slots.set(key, fit);
-      seconds += (open * this.parts.estimates.runS(job.spec)) / Math.max(1, fit);
+      const taskSlots = slots.get(key) ?? this.slotsFor(job, now);
+      slots.set(key, taskSlots);
+      seconds += (unplaced * this.parts.estimates.runS(job.spec)) / Math.max(1, taskSlots);
     }
     return Math.min(MAX_URGENT_S, seconds);
   }
 
-  /** How many tasks of a job the shard's machines take at once. */
+  /** Returns how many tasks of a job the shard's machines can run at once. */
   private slotsFor(job: Job, now: number): number {
     let slots = 0;
-    for (const m of this.parts.registry.machines.values()) {
+    for (const machine of this.parts.registry.machines.values()) {
       if (
-        m.decommissioning ||
-        m.leaseExpired ||
-        m.quarantinedUntil > now ||
-        !kindAllowed(job, m.type, m.zone, m.spot)
+        machine.decommissioning ||
+        machine.leaseExpired ||
+        machine.quarantinedUntil > now ||
+        !kindAllowed(job, machine.type, machine.zone, machine.spot)
       )
         continue;
-      slots += fitCount(this.parts.context.catalog.size(m.type), job.need, MAX_TASKS_PER_MACHINE);
+      slots += fitCount(this.parts.context.catalog.size(machine.type), job.need, MAX_TASKS_PER_MACHINE);
     }
     return slots;
   }
--- a/src/scheduler/taskdispatcher.ts
+++ b/src/scheduler/taskdispatcher.ts
@@ -10,60 +10,62 @@
 import type { TaskStart } from '../workers/taskstarts.js';
 import { UNREACHABLE_MS } from './planinput.js';
 
-/** Attempt numbers that an owner has under one term. */
+/** Number of attempt numbers available to an owner under one term. */
 const ATTEMPTS_PER_TERM = 2 ** 20;
-/** What is planned to start within this of now starts now. */
+/** Tasks whose planned start is within this time from now are started now. */
 const START_TOLERANCE_S = 0.01;
-/** By so much a sum of fractions of processors may exceed a limit. */
-const ROUNDING = 1e-6;
+/** Tolerance for rounding errors when sums of fractional processors are compared with a limit. */
+const ROUNDING_TOLERANCE = 1e-6;
 /**
- * Starts of low-priority tasks a second, for a whole core. Tiny tasks end as fast as they start, and each costs commands
- * and heartbeats: more of them at once would keep a small controller from everything else.
+ * Maximum starts of low-priority tasks per second on a whole core. Tiny tasks end as fast as they start, and
+ * each costs commands and heartbeats: a higher rate would starve all other work of a small controller.
  */
-const LOW_STARTS_PER_CORE = 800;
-const LOW_STARTS_BURST_S = 2;
+const LOW_PRIORITY_STARTS_PER_CORE = 800;
+const LOW_PRIORITY_BURST_S = 2;
 
-/** What the dispatcher asks of its shard. */
+/** Callbacks into the shard that the dispatcher needs. */
 export interface TaskDispatcherHooks {
-  /** The team of a task and what the task takes; null when its job is not remembered. */
-  usageOf(h: TaskAttempt): { team: number; need: Amounts } | null;
-  /** What machines that have not reported to this owner may hold. */
+  /** Returns the team of a task and its resources; null when its job is unknown. */
+  usageOf(attempt: TaskAttempt): { team: number; need: Amounts } | null;
+  /** Returns the resources that machines which have not reported to this owner may hold. */
   unreconciledCapacity(): Amounts;
-  /** Whether a task of a job that is not known to be anywhere is surely nowhere. */
+  /** Returns whether the tasks of a job without a known placement are known to run on no machine. */
   surelyNotRunning(job: Job): boolean;
-  /** Whether a machine is on its way to another shard or back to the cloud. */
+  /** Returns whether a machine is being transferred to another shard or returned to the cloud. */
   isReservedForTransfer(id: string): boolean;
-  /** Stops the shard; returns the error to be thrown. */
+  /** Stops the shard; returns the error to throw. */
   lostOwnership(): Error;
 }
 
-/** A task, by its index in its job, and the machine that it is to start on. */
+/** Task, given by its index in its job, and the machine to start it on. */
 interface TaskOnMachine {
   readonly machine: Machine;
   readonly index: number;
 }
 
-/** One round of starts, and what is left with the starts noted so far. */
+/** State of one round of starts, updated with each start that is recorded. */
 interface DispatchRound {
-  /** Steady milliseconds. */
+  /** Time of the round; milliseconds on the monotonic clock. */
   readonly now: number;
-  /** What is free on the machines looked at so far. */
+  /** Free resources of the machines considered so far. */
   readonly free: Map<Machine, Amounts>;
-  /** What each team's tasks take, by the index of the team. */
+  /** Resources in use by each team, by team index. */
   readonly usage: Map<number, Amounts>;
-  /** The starts noted so far. */
+  /** Starts recorded so far, by machine. */
   readonly starts: Map<Machine, TaskStart[]>;
 }
 
-/** Starts tasks, and sees to it that none starts where a rule forbids it, whatever the plan says. */
+/** Starts tasks, and enforces the rules on starts independently of the plan. */
 export class TaskDispatcher {
   private attempts = 0;
-  private lowStarts = 0;
-  private lowStartsAt = Number.NEGATIVE_INFINITY;
-  /** Zones of the tasks that this round of starts has placed, by job. */
+  private lowPriorityTokens = 0;
+  private lowPriorityTokensAt = Number.NEGATIVE_INFINITY;
+  /** Zones of the tasks placed in this round of starts, by job id. */
   private readonly startedZones = new Map<string, number[]>();
   private attemptsByZone: Map<string, Map<number, number>> | null = null;
-  /** Of which jobs it is known in this round of starts whether they may be on a machine that has not reported. */
+  /**
+   * Whether a job is known not to run on any machine that has not reported, cached for one round of starts.
+   */
   private readonly notRunningCache = new Map<Job, boolean>();
 
   constructor(
@@ -76,8 +78,9 @@
   ) {}
 
   /**
-   * Starts what the plan has for now, where the machines are truly free and the rules surely hold. `refs` are the machines that
-   * the plan's indices stand for, `jobsByPlanId` its jobs; `now` in steady milliseconds.
+   * Starts the tasks that the plan has for now, where the machines are actually free and the rules are
+   * certain to hold. `refs` are the machines behind the plan's machine indices, `jobsByPlanId` the jobs of
+   * the plan; `now` in milliseconds on the monotonic clock.
    */
   dispatch(
     plan: Plan,
@@ -90,12 +93,12 @@
     const round: DispatchRound = { now, free: new Map(), usage: this.teamUsage(), starts: new Map() };
     const gangs = new Map<Job, TaskOnMachine[]>();
     const singles: { job: Job; task: TaskOnMachine }[] = [];
-    for (const r of plan.reservations) {
-      const machine = refs[r.machine];
-      const job = jobsByPlanId.get(r.job.id);
-      if (!machine || !job || r.start > now / 1000 + START_TOLERANCE_S) continue;
-      if (!this.isSurelyNotRunning(job)) continue;
-      const task = { machine, index: r.task };
+    for (const reservation of plan.reservations) {
+      const machine = refs[reservation.machine];
+      const job = jobsByPlanId.get(reservation.job.id);
+      if (!machine || !job || reservation.start > now / 1000 + START_TOLERANCE_S) continue;
+      if (!this.isKnownNotRunning(job)) continue;
+      const task = { machine, index: reservation.task };
       if (job.spec.kind !== 'gang') {
         singles.push({ job, task });
         continue;
@@ -106,14 +109,14 @@
     }
     for (const [job, tasks] of gangs) if (tasks.length === job.spec.tasks) this.start(job, tasks, round);
     for (const { job, task } of singles) {
-      if (remainingTasksPriority(job) === PRIORITY.low && !this.takeLowPriorityStart(now)) continue;
+      if (remainingTasksPriority(job) === PRIORITY.low && !this.takeLowPriorityToken(now)) continue;
       this.start(job, [task], round);
     }
     this.startedZones.clear();
     this.sendStarts(round);
   }
 
-  /** Notes the start of tasks of a job, which go together, if they may start. */
+  /** Records the start of tasks of a job, which start together or not at all, if they may start. */
   private start(job: Job, tasks: readonly TaskOnMachine[], round: DispatchRound): void {
     if (!this.mayStart(job, tasks, round)) return;
     const attempt = this.nextAttempt();
@@ -126,7 +129,7 @@
     }
     const use = round.usage.get(job.team);
     if (use) for (const _ of tasks) add(use, job.need);
-    // Placed at once, so that the next check counts it.
+    // Records the zones at once, so that the next check counts these tasks.
     const zones = this.startedZones.get(job.spec.id) ?? [];
     for (const { machine } of tasks) zones.push(machine.zone);
     this.startedZones.set(job.spec.id, zones);
@@ -134,39 +137,41 @@
 
   private sendStarts(round: DispatchRound): void {
     for (const [machine, starts] of round.starts) {
-      for (const h of this.registry.startTasks(machine, starts)) {
-        this.jobs.get(h.job)?.placements.set(h.index, h);
+      for (const attempt of this.registry.startTasks(machine, starts)) {
+        this.jobs.get(attempt.job)?.placements.set(attempt.index, attempt);
         this.log.debug(
-          { task: `${h.job}/${h.index}`, attempt: h.attempt, machine: machine.id },
+          { task: `${attempt.job}/${attempt.index}`, attempt: attempt.attempt, machine: machine.id },
           'task started',
         );
       }
     }
   }
 
-  private isSurelyNotRunning(job: Job): boolean {
-    let sure = this.notRunningCache.get(job);
-    if (sure === undefined) {
-      sure = this.hooks.surelyNotRunning(job);
-      this.notRunningCache.set(job, sure);
+  private isKnownNotRunning(job: Job): boolean {
+    let isNotRunning = this.notRunningCache.get(job);
+    if (isNotRunning === undefined) {
+      isNotRunning = this.hooks.surelyNotRunning(job);
+      this.notRunningCache.set(job, isNotRunning);
     }
-    return sure;
+    return isNotRunning;
   }
 
-  /** Takes one of the starts that low-priority tasks have at present; false when there is none. */
-  private takeLowPriorityStart(now: number): boolean {
-    const perSecond = LOW_STARTS_PER_CORE * Math.min(1, this.context.settings.limits.cores);
-    const saved = this.lowStarts + ((now - this.lowStartsAt) / 1000) * perSecond;
-    this.lowStarts = Math.min(perSecond * LOW_STARTS_BURST_S, saved);
-    this.lowStartsAt = now;
-    if (this.lowStarts < 1) return false;
-    this.lowStarts--;
+  /**
+   * Takes a token from the rate limit on starts of low-priority tasks; returns false when none is available.
+   */
+  private takeLowPriorityToken(now: number): boolean {
+    const perSecond = LOW_PRIORITY_STARTS_PER_CORE * Math.min(1, this.context.settings.limits.cores);
+    const tokens = this.lowPriorityTokens + ((now - this.lowPriorityTokensAt) / 1000) * perSecond;
+    this.lowPriorityTokens = Math.min(perSecond * LOW_PRIORITY_BURST_S, tokens);
+    this.lowPriorityTokensAt = now;
+    if (this.lowPriorityTokens < 1) return false;
+    this.lowPriorityTokens--;
     return true;
   }
 
   private mayStart(job: Job, tasks: readonly TaskOnMachine[], round: DispatchRound): boolean {
     if (job.state !== 'active' || job.notBefore > round.now) return false;
-    // Whatever the plan says: not before all that it depends on is known to be done.
+    // Enforced independently of the plan: a job starts only once all its dependencies are known to be done.
     if (!dependenciesMet(job)) return false;
     return (
       this.teamPermits(job, tasks.length, round.usage) &&
@@ -175,24 +180,25 @@
     );
   }
 
-  /** Whether a job's team may run so many more tasks of it within its limits. */
+  /** Returns whether a job's team may run `count` more tasks of it within its limits. */
   private teamPermits(job: Job, count: number, usage: ReadonlyMap<number, Amounts>): boolean {
     const team = this.context.settings.teams[job.team];
     const use = usage.get(job.team);
     if (!team || !use) return true;
-    if (team.cpusMax > 0 && use.cpus + count * job.need.cpus > team.cpusMax + ROUNDING) return false;
-    return !(team.gpusMax > 0 && use.gpus + count * job.need.gpus > team.gpusMax + ROUNDING);
+    if (team.cpusMax > 0 && use.cpus + count * job.need.cpus > team.cpusMax + ROUNDING_TOLERANCE)
+      return false;
+    return !(team.gpusMax > 0 && use.gpus + count * job.need.gpus > team.gpusMax + ROUNDING_TOLERANCE);
   }
 
   private machinesPermit(job: Job, tasks: readonly TaskOnMachine[], { now, free }: DispatchRound): boolean {
     const counts = new Map<Machine, number>();
     for (const { machine } of tasks) counts.set(machine, (counts.get(machine) ?? 0) + 1);
-    for (const [m, count] of counts) {
-      if (!machineUsable(m)) return false;
-      if (this.hooks.isReservedForTransfer(m.id)) return false;
-      if (m.unreachableAt !== null && now - m.unreachableAt < UNREACHABLE_MS) return false;
-      if (fitCount(this.freeCapacity(m, free), job.need, count) < count) return false;
-      if (!kindAllowed(job, m.type, m.zone, m.spot)) return false;
+    for (const [machine, count] of counts) {
+      if (!machineUsable(machine)) return false;
+      if (this.hooks.isReservedForTransfer(machine.id)) return false;
+      if (machine.unreachableAt !== null && now - machine.unreachableAt < UNREACHABLE_MS) return false;
+      if (fitCount(this.freeCapacity(machine, free), job.need, count) < count) return false;
+      if (!kindAllowed(job, machine.type, machine.zone, machine.spot)) return false;
     }
     return true;
   }
@@ -208,16 +214,16 @@
     return !job.spec.spread || [...zones.values()].every((n) => n <= half);
   }
 
-  /** Where tasks of each job are or may be, by zone; worked out once for each round of starts. */
+  /** Returns the zones in which tasks of each job are or may be; computed once per round of starts. */
   private zonesOfAttempts(): Map<string, Map<number, number>> {
     if (!this.attemptsByZone) {
       this.attemptsByZone = new Map();
-      for (const m of this.registry.machines.values()) {
-        for (const h of m.attempts.values()) {
-          if (h.state === 'exited') continue;
-          const zones = this.attemptsByZone.get(h.job) ?? new Map<number, number>();
-          zones.set(m.zone, (zones.get(m.zone) ?? 0) + 1);
-          this.attemptsByZone.set(h.job, zones);
+      for (const machine of this.registry.machines.values()) {
+        for (const attempt of machine.attempts.values()) {
+          if (attempt.state === 'exited') continue;
+          const zones = this.attemptsByZone.get(attempt.job) ?? new Map<number, number>();
+          zones.set(machine.zone, (zones.get(machine.zone) ?? 0) + 1);
+          this.attemptsByZone.set(attempt.job, zones);
         }
       }
     }
@@ -230,39 +236,45 @@
     return this.term * ATTEMPTS_PER_TERM + ++this.attempts;
   }
 
-  /** What is free on a machine beside all that it holds or may hold; `memo` keeps what was worked out. */
-  freeCapacity(m: Machine, memo: Map<Machine, Amounts>): Amounts {
-    let free = memo.get(m);
+  /**
+   * Returns the resources of a machine that are not in use by tasks that it runs or may run; results are kept
+   * in `cache`.
+   */
+  freeCapacity(machine: Machine, cache: Map<Machine, Amounts>): Amounts {
+    let free = cache.get(machine);
     if (!free) {
-      free = { ...this.context.catalog.size(m.type) };
-      for (const h of m.attempts.values()) {
-        if (h.state === 'exited') continue;
-        const use = this.hooks.usageOf(h);
+      free = { ...this.context.catalog.size(machine.type) };
+      for (const attempt of machine.attempts.values()) {
+        if (attempt.state === 'exited') continue;
+        const use = this.hooks.usageOf(attempt);
         if (use) subtract(free, use.need);
         else free.cpus = -1;
       }
-      memo.set(m, free);
+      cache.set(machine, free);
     }
     return free;
   }
 
-  /** What each team's tasks take now, with all that machines may hold that have not reported. */
+  /**
+   * Returns the resources in use by each team, with all that unreported machines may hold counted against
+   * every team.
+   */
   teamUsage(): Map<number, Amounts> {
     const usage = new Map<number, Amounts>();
     const unreconciled = this.hooks.unreconciledCapacity();
     this.context.settings.teams.forEach((_, team) => {
       usage.set(team, { ...unreconciled });
     });
-    for (const m of this.registry.machines.values()) {
-      for (const h of m.attempts.values()) {
-        if (h.state === 'exited') continue;
-        const use = this.hooks.usageOf(h);
+    for (const machine of this.registry.machines.values()) {
+      for (const attempt of machine.attempts.values()) {
+        if (attempt.state === 'exited') continue;
+        const use = this.hooks.usageOf(attempt);
         if (use) {
           const sum = usage.get(use.team);
           if (sum) add(sum, use.need);
         } else {
-          // Its job is not remembered: it counts for every team.
-          for (const sum of usage.values()) add(sum, this.context.catalog.size(m.type));
+          // The job of this attempt is unknown, so its machine counts against every team.
+          for (const sum of usage.values()) add(sum, this.context.catalog.size(machine.type));
         }
       }
     }
