--- a/src/scheduler/taskprogress.ts
+++ b/src/scheduler/taskprogress.ts
@@ -10,33 +10,36 @@
 import type { JobTable } from './jobtable.js';
 import type { RuntimeEstimates } from './runtimeestimates.js';
 
-/** After the exit cause `no_room` a machine takes no other task for so long. */
+/** Time for which a machine gets no new tasks after the exit cause `no_room`. */
 const NO_ROOM_QUARANTINE_MS = 4000;
-/** After the exit causes `busy` and `unknown` no task of the job starts for so long. */
+/** Time for which no task of a job starts after the exit causes `busy` and `unknown`. */
 const BUSY_RETRY_MS = 3000;
 
-/** What `TaskProgress` asks of its shard, and what it reports to it. */
+/** Callbacks into the shard that `TaskProgress` needs, and the events that it reports. */
 export interface TaskProgressHooks {
-  /** Whether the shard is no longer this node's. */
+  /** Returns whether this node no longer owns the shard. */
   stopped(): boolean;
   requestPlan(): void;
-  /** Stops the shard; returns the error to be thrown. */
+  /** Stops the shard; returns the error to throw. */
   lostOwnership(): Error;
-  /** An attempt is surely no longer on its machine, and nothing of it is still to be stored. */
-  onAttemptLeft(job: Job, h: TaskAttempt): void;
-  /** A task has begun to run. */
-  onRunning(h: TaskAttempt): void;
-  /** A machine has fetched an image. */
+  /** Called when an attempt is known to have left its machine, and nothing of it remains to be stored. */
+  onAttemptLeft(job: Job, attempt: TaskAttempt): void;
+  /** Called when a task has started to run. */
+  onRunning(attempt: TaskAttempt): void;
+  /** Called when a machine has fetched an image. */
   onImageCached(m: Machine): void;
-  /** The estimates have learnt from a task of a job. */
+  /** Called when the estimates have been updated with a task of a job. */
   onRuntimeLearnt(job: Job): void;
-  /** When an attempt that was found running began to, as far as the former owner knew; steady milliseconds. */
-  runningSince(h: TaskAttempt): number | null;
-  /** A job is durably over. */
+  /**
+   * Returns when an attempt that was found running started to run, as known to the former owner; milliseconds
+   * on the monotonic clock.
+   */
+  runningSince(attempt: TaskAttempt): number | null;
+  /** Called when the end of a job is durable. */
   onJobEnded(job: Job, status: 'done' | 'cancelled'): void;
 }
 
-/** What `TaskProgress` is made of. */
+/** Components that `TaskProgress` depends on. */
 export interface TaskProgressParts {
   readonly context: ControllerContext;
   readonly registry: MachineRegistry;
@@ -48,7 +51,9 @@
   readonly hooks: TaskProgressHooks;
 }
 
-/** What becomes of tasks on machines, as reported, and how that is made durable before machines may forget it. */
+/**
+ * Tracks tasks on machines as reported, and makes their completion durable before the machines may forget it.
+ */
 export class TaskProgress {
   private readonly completions: CompletionStore;
 
@@ -63,159 +68,177 @@
         stopped: () => hooks.stopped(),
         lostOwnership: () => hooks.lostOwnership(),
         onStoredEnd: (job, status) => this.endJob(job, status),
-        onAttemptLeft: (job, h) => hooks.onAttemptLeft(job, h),
+        onAttemptLeft: (job, attempt) => hooks.onAttemptLeft(job, attempt),
       },
     });
   }
 
-  /** A machine reports an attempt that was not known to be there. */
-  onAttemptFound(h: TaskAttempt): void {
-    const job = this.parts.jobTable.jobs.get(h.job);
+  /** Handles the report of an attempt that was not known to be on the machine. */
+  onAttemptFound(attempt: TaskAttempt): void {
+    const job = this.parts.jobTable.jobs.get(attempt.job);
     if (!job) {
-      // Over, cancelled, or never accepted: it is of no use.
-      if (h.state === 'exited') h.exitRecorded = true;
-      else this.parts.registry.stopTask(h, 0);
+      // The job has ended, was cancelled or was never accepted, so the attempt is not needed.
+      if (attempt.state === 'exited') attempt.exitRecorded = true;
+      else this.parts.registry.stopTask(attempt, 0);
       return;
     }
-    const other = job.placements.get(h.index);
-    if (h.state !== 'exited') {
-      if (job.cancelRequested || job.done.has(h.index) || (other && other !== h))
-        this.parts.registry.stopTask(h, 0);
-      if (!other) job.placements.set(h.index, h);
-      else if (other !== h) job.duplicateAttempts.add(h);
-      this.noteAttempt(job, h);
-      this.noteImageOf(job, h);
-      if (h.state === 'running') {
-        h.runningAt = this.parts.hooks.runningSince(h) ?? h.runningAt;
-        this.onRunning(job, h);
+    const other = job.placements.get(attempt.index);
+    if (attempt.state !== 'exited') {
+      if (job.cancelRequested || job.done.has(attempt.index) || (other && other !== attempt))
+        this.parts.registry.stopTask(attempt, 0);
+      if (!other) job.placements.set(attempt.index, attempt);
+      else if (other !== attempt) job.duplicateAttempts.add(attempt);
+      this.recordAttemptNumber(job, attempt);
+      this.recordCachedImage(job, attempt);
+      if (attempt.state === 'running') {
+        attempt.runningAt = this.parts.hooks.runningSince(attempt) ?? attempt.runningAt;
+        this.onRunning(job, attempt);
       }
     } else {
-      this.onAttemptChanged(h);
+      this.onAttemptChanged(attempt);
     }
     this.parts.hooks.requestPlan();
   }
 
-  private noteAttempt(job: Job, h: TaskAttempt): void {
-    if (h.attempt > job.attempt) job.attempt = h.attempt;
+  private recordAttemptNumber(job: Job, attempt: TaskAttempt): void {
+    if (attempt.attempt > job.attempt) job.attempt = attempt.attempt;
   }
 
-  private noteImageOf(job: Job, h: TaskAttempt): void {
-    if (h.state === 'fetching') return;
-    const cache = this.parts.context.catalog.get(h.machine.type)?.cacheGb ?? 0;
-    const known = h.machine.images.has(job.image);
-    noteImage(h.machine, job.image, job.spec.imageGb, cache);
-    if (!known) this.parts.hooks.onImageCached(h.machine);
+  private recordCachedImage(job: Job, attempt: TaskAttempt): void {
+    if (attempt.state === 'fetching') return;
+    const cacheGb = this.parts.context.catalog.get(attempt.machine.type)?.cacheGb ?? 0;
+    const wasCached = attempt.machine.images.has(job.image);
+    noteImage(attempt.machine, job.image, job.spec.imageGb, cacheGb);
+    if (!wasCached) this.parts.hooks.onImageCached(attempt.machine);
   }
 
-  /** The state or the exit cause of a known attempt has changed. */
-  onAttemptChanged(h: TaskAttempt): void {
-    const job = this.parts.jobTable.jobs.get(h.job);
+  /** Handles a change in the state or the exit cause of a known attempt. */
+  onAttemptChanged(attempt: TaskAttempt): void {
+    const job = this.parts.jobTable.jobs.get(attempt.job);
     if (!job) {
-      if (h.state === 'exited') h.exitRecorded = true;
+      if (attempt.state === 'exited') attempt.exitRecorded = true;
       return;
     }
-    this.noteImageOf(job, h);
-    if (h.state === 'exited') this.onExited(job, h);
-    else if (h.state === 'running') this.onRunning(job, h);
+    this.recordCachedImage(job, attempt);
+    if (attempt.state === 'exited') this.onExited(job, attempt);
+    else if (attempt.state === 'running') this.onRunning(job, attempt);
     this.parts.hooks.requestPlan();
   }
 
-  private onRunning(job: Job, h: TaskAttempt): void {
-    this.parts.hooks.onRunning(h);
+  private onRunning(job: Job, attempt: TaskAttempt): void {
+    this.parts.hooks.onRunning(attempt);
     if (job.hasStarted) return;
     job.hasStarted = true;
     const waitS = Math.round((this.parts.context.clock.wall() - job.acceptedWall) / 100) / 10;
     this.parts.log.info({ job: job.spec.id, class: job.spec.class, waitS }, 'job started');
   }
 
-  private onExited(job: Job, h: TaskAttempt): void {
-    this.removePlacement(job, h);
+  private onExited(job: Job, attempt: TaskAttempt): void {
+    this.removePlacement(job, attempt);
     this.parts.log.debug(
-      { task: `${h.job}/${h.index}`, attempt: h.attempt, machine: h.machine.id, cause: h.cause },
+      {
+        task: `${attempt.job}/${attempt.index}`,
+        attempt: attempt.attempt,
+        machine: attempt.machine.id,
+        cause: attempt.cause,
+      },
       'task exited',
     );
-    if (h.cause === 'done') this.onCompleted(job, h);
-    else this.onNotCompleted(job, h);
+    if (attempt.cause === 'done') this.onCompleted(job, attempt);
+    else this.onExitedUncompleted(job, attempt);
   }
 
-  private onCompleted(job: Job, h: TaskAttempt): void {
+  private onCompleted(job: Job, attempt: TaskAttempt): void {
     const { failures, estimates, records, hooks } = this.parts;
-    failures.onTaskSucceeded(job, h.machine);
-    if (h.runningAt !== null && h.exitedAt !== null) {
-      estimates.learn(job, (h.exitedAt - h.runningAt) / 1000);
+    failures.onTaskSucceeded(job, attempt.machine);
+    if (attempt.runningAt !== null && attempt.exitedAt !== null) {
+      estimates.learn(job, (attempt.exitedAt - attempt.runningAt) / 1000);
       hooks.onRuntimeLearnt(job);
     }
-    job.unacknowledgedExits.push(h);
+    job.unacknowledgedExits.push(attempt);
     // The tasks of a gang complete together: if one is done, all are.
-    const indexes = job.spec.kind === 'gang' ? [...Array(job.spec.tasks).keys()] : [h.index];
+    const indexes = job.spec.kind === 'gang' ? [...Array(job.spec.tasks).keys()] : [attempt.index];
     for (const i of indexes) {
       if (job.done.add(i)) job.dirtyChunks.add(records.chunkOf(job, i));
     }
     void this.completions.store(job);
   }
 
-  private onNotCompleted(job: Job, h: TaskAttempt): void {
-    const m = h.machine;
+  private onExitedUncompleted(job: Job, attempt: TaskAttempt): void {
+    const machine = attempt.machine;
     const now = this.parts.context.clock.now();
-    h.exitRecorded = true;
-    if (h.cause === 'error') this.parts.failures.onTaskFailed(job, m, now);
-    if (h.cause === 'no_room') m.quarantinedUntil = Math.max(m.quarantinedUntil, now + NO_ROOM_QUARANTINE_MS);
-    if (h.cause === 'busy' || h.cause === 'unknown')
+    attempt.exitRecorded = true;
+    if (attempt.cause === 'error') this.parts.failures.onTaskFailed(job, machine, now);
+    if (attempt.cause === 'no_room')
+      machine.quarantinedUntil = Math.max(machine.quarantinedUntil, now + NO_ROOM_QUARANTINE_MS);
+    if (attempt.cause === 'busy' || attempt.cause === 'unknown')
       job.notBefore = Math.max(job.notBefore, now + BUSY_RETRY_MS);
     this.stopRestOfGang(job);
   }
 
-  /** When a gang has lost a task, the rest of the attempt is of no use; the next waits until all are gone. */
+  /**
+   * Stops the remaining tasks of a gang that has lost one: the rest of the attempt is useless, and the next
+   * attempt waits until all tasks have left their machines.
+   */
   private stopRestOfGang(job: Job): void {
     if (job.spec.kind !== 'gang' || job.placements.size === 0) return;
-    for (const h of job.placements.values()) if (!h.stop) this.parts.registry.stopTask(h, 0);
+    for (const attempt of job.placements.values())
+      if (!attempt.stop) this.parts.registry.stopTask(attempt, 0);
   }
 
-  /** An attempt is surely no longer on its machine, without having been reported as exited. */
-  onAttemptGone(h: TaskAttempt, why: GoneReason): void {
+  /** Handles an attempt that is known to have left its machine without having been reported as exited. */
+  onAttemptGone(attempt: TaskAttempt, why: GoneReason): void {
     this.parts.log.debug(
-      { task: `${h.job}/${h.index}`, attempt: h.attempt, machine: h.machine.id, phase: h.startPhase, why },
-      'task gone',
+      {
+        task: `${attempt.job}/${attempt.index}`,
+        attempt: attempt.attempt,
+        machine: attempt.machine.id,
+        phase: attempt.startPhase,
+        why,
+      },
+      'task no longer on its machine',
     );
-    const job = this.parts.jobTable.jobs.get(h.job);
+    const job = this.parts.jobTable.jobs.get(attempt.job);
     if (!job) return;
-    this.removePlacement(job, h);
+    this.removePlacement(job, attempt);
     this.stopRestOfGang(job);
     this.parts.hooks.requestPlan();
   }
 
   /**
-   * An attempt is surely no longer on its machine. As long as another attempt of the same task is on one, and is only
-   * being stopped, the task has its place there: started meanwhile it would run twice.
+   * Removes the placement of an attempt that is known to have left its machine. While another attempt of the
+   * same task is still on a machine, even if it is only being stopped, that attempt takes over the placement:
+   * starting the task in the meantime would run it twice.
    */
-  private removePlacement(job: Job, h: TaskAttempt): void {
-    job.duplicateAttempts.delete(h);
-    // A completed one counts until its completion is stored: the next owner would start it again elsewhere.
-    if (h.cause !== 'done') this.parts.hooks.onAttemptLeft(job, h);
-    if (job.placements.get(h.index) !== h) return;
-    job.placements.delete(h.index);
+  private removePlacement(job: Job, attempt: TaskAttempt): void {
+    job.duplicateAttempts.delete(attempt);
+    // A completed attempt counts as present until its completion is stored; otherwise the next owner would
+    // start the task again elsewhere.
+    if (attempt.cause !== 'done') this.parts.hooks.onAttemptLeft(job, attempt);
+    if (job.placements.get(attempt.index) !== attempt) return;
+    job.placements.delete(attempt.index);
     for (const other of job.duplicateAttempts) {
-      if (other.index !== h.index || other.state === 'exited') continue;
+      if (other.index !== attempt.index || other.state === 'exited') continue;
       job.duplicateAttempts.delete(other);
       job.placements.set(other.index, other);
       return;
     }
   }
 
-  /** Takes up a job as it is stored; one that is in memory stays as it is. */
-  adopt(l: LoadedJob): Job {
-    const id = l.record.spec.id;
+  /** Creates a job from its stored records; a job that is already in memory is left unchanged. */
+  adopt(loaded: LoadedJob): Job {
+    const id = loaded.record.spec.id;
     const known = this.parts.jobTable.jobs.get(id);
     if (known) return known;
     const job = this.parts.jobTable.make(
-      l.record.spec,
-      l.record.accepted,
-      l.record.deadline,
+      loaded.record.spec,
+      loaded.record.accepted,
+      loaded.record.deadline,
       false,
-      l.version,
+      loaded.version,
     );
-    job.partsUnder = l.partsUnder;
-    this.parts.records.restore(job, l.chunks);
+    job.partsUnder = loaded.partsUnder;
+    this.parts.records.restore(job, loaded.chunks);
     this.parts.jobTable.jobs.set(id, job);
     if (job.done.count === job.spec.tasks || job.storedCount < job.done.count)
       void this.completions.store(job);
@@ -223,26 +246,30 @@
   }
 
   /**
-   * A job's user has asked to cancel it. That is enough to stop it: its tasks end whether or not the cancellation can be stored
-   * soon, and before anybody else can have read it. The job is reported as cancelled only once that is stored.
+   * Stops a job whose user has requested its cancellation. The request alone is enough: the tasks are stopped
+   * whether or not the cancellation can be stored soon, and before anyone else can have read it. The job is
+   * reported as cancelled only once the cancellation is stored.
    */
   requestCancellation(job: Job): void {
     job.cancelRequested = true;
     job.notBefore = Number.POSITIVE_INFINITY;
-    for (const h of [...job.placements.values(), ...job.duplicateAttempts])
-      this.parts.registry.stopTask(h, 0);
+    for (const attempt of [...job.placements.values(), ...job.duplicateAttempts])
+      this.parts.registry.stopTask(attempt, 0);
     this.parts.registry.sendStops();
   }
 
-  /** A job has been stored as over: its tasks on machines are stopped, or forgotten when they have exited. */
+  /**
+   * Ends a job whose end has been stored: its tasks on machines are stopped, or forgotten if they have
+   * exited.
+   */
   endJob(job: Job, status: 'done' | 'cancelled'): void {
     const id = job.spec.id;
     this.parts.jobTable.end(job, status);
-    for (const m of this.parts.registry.machines.values()) {
-      for (const h of m.attempts.values()) {
-        if (h.job !== id) continue;
-        if (h.state === 'exited') h.exitRecorded = true;
-        else this.parts.registry.stopTask(h, 0);
+    for (const machine of this.parts.registry.machines.values()) {
+      for (const attempt of machine.attempts.values()) {
+        if (attempt.job !== id) continue;
+        if (attempt.state === 'exited') attempt.exitRecorded = true;
+        else this.parts.registry.stopTask(attempt, 0);
       }
     }
     this.parts.registry.sendStops();
--- a/src/scheduler/unreconciledmachines.ts
+++ b/src/scheduler/unreconciledmachines.ts
@@ -6,18 +6,21 @@
 import { surelyNotRunning } from '../standby/takeoverchecks.js';
 import type { MachineRegistry } from '../workers/machineregistry.js';
 
-/** Machines that are reachable answer the first request of a new owner within this. */
+/** Reachable machines answer the first request of a new owner within this time. */
 const RECONCILE_GRACE_MS = 2500;
-/** Logged once so many of the machines that were taken over have reported. */
+/** A log line is written once this share of the machines taken over has reported. */
 const RECONCILED_SHARE = 0.9;
 
-/** What a new owner does not know yet: which tasks of former owners are on machines that have not reported to it. */
+/**
+ * Tracks what a new owner does not know yet: which tasks of former owners run on machines that have not
+ * reported to it.
+ */
 export class UnreconciledMachines {
   private loadedAt: number | null = null;
   private adoptedCount = 0;
-  private logged = false;
+  private hasLogged = false;
   private allReconciledOnce = false;
-  /** When it was last found that not all machines have reported; steady milliseconds. */
+  /** Time of the last check that found unreported machines; milliseconds on the monotonic clock. */
   private lastIncompleteAt = Number.NaN;
 
   constructor(
@@ -28,18 +31,18 @@
     private readonly claimedAt: number,
   ) {}
 
-  /** Jobs and machines have been read; from here on machines are reconciled. */
+  /** Called once jobs and machines have been read; from then on machines are reconciled. */
   onLoaded(): void {
     this.loadedAt = this.context.clock.now();
     this.adoptedCount = this.registry.machines.size;
   }
 
-  /** What machines that have not reported to this owner may hold. */
+  /** Returns the resources that machines which have not reported to this owner may hold. */
   capacity(): Amounts {
     const sum = { cpus: 0, gpus: 0, memoryGb: 0 };
-    for (const m of this.registry.machines.values()) {
-      if (!m.mayHoldUnreportedTasks) continue;
-      const size = this.context.catalog.size(m.type);
+    for (const machine of this.registry.machines.values()) {
+      if (!machine.mayHoldUnreportedTasks) continue;
+      const size = this.context.catalog.size(machine.type);
       sum.cpus += size.cpus;
       sum.gpus += size.gpus;
       sum.memoryGb += size.memoryGb;
@@ -47,10 +50,10 @@
     return sum;
   }
 
-  /** Whether a task of a job that is not known to be anywhere is surely nowhere. */
-  surelyNotRunning(job: Job): boolean {
-    const facts = { fresh: job.acceptedUnderThisTerm, id: job.spec.id };
-    return surelyNotRunning(facts, this.snapshot, this.allReconciled, (id) => this.isUnreconciled(id));
+  /** Returns whether the tasks of a job without a known placement are known to run on no machine. */
+  isKnownNotRunning(job: Job): boolean {
+    const jobInfo = { fresh: job.acceptedUnderThisTerm, id: job.spec.id };
+    return surelyNotRunning(jobInfo, this.snapshot, this.allReconciled, (id) => this.isUnreconciled(id));
   }
 
   private isUnreconciled(machine: string): boolean {
@@ -58,23 +61,24 @@
   }
 
   /**
-   * Until when (steady milliseconds) a job cannot start, since a machine that may hold tasks of it does not answer; null when it
-   * can. Machines that
-   * have not answered soon after the take-over may not do so before their leases are over.
+   * Returns until when (milliseconds on the monotonic clock) a job cannot start because an unresponsive
+   * machine may run tasks of it; null when it can start. Machines that have not answered soon after the
+   * takeover may not do so before their leases expire.
    */
   blockedUntil(job: Job, now: number): number | null {
-    if (this.surelyNotRunning(job) || this.loadedAt === null || now - this.loadedAt < RECONCILE_GRACE_MS)
+    if (this.isKnownNotRunning(job) || this.loadedAt === null || now - this.loadedAt < RECONCILE_GRACE_MS)
       return null;
     let until = now;
-    const where = this.snapshot?.machinesOf(job.spec.id) ?? null;
-    for (const id of where ?? this.registry.machines.keys()) {
-      const m = this.registry.machines.get(id);
-      if (m?.mayHoldUnreportedTasks) until = Math.max(until, this.registry.unreportedTasksUntil(m));
+    const machineIds = this.snapshot?.machinesOf(job.spec.id) ?? null;
+    for (const id of machineIds ?? this.registry.machines.keys()) {
+      const machine = this.registry.machines.get(id);
+      if (machine?.mayHoldUnreportedTasks)
+        until = Math.max(until, this.registry.unreportedTasksUntil(machine));
     }
     return until;
   }
 
-  /** Whether all that an earlier owner may have started is known; once it is, it stays so. */
+  /** Whether all tasks that an earlier owner may have started are known; once true, it stays true. */
   get allReconciled(): boolean {
     const now = this.context.clock.now();
     if (this.allReconciledOnce || this.lastIncompleteAt === now || this.loadedAt === null)
@@ -84,17 +88,17 @@
     return this.allReconciledOnce;
   }
 
-  /** Logs once that most of the machines have reported; `now` in steady milliseconds. */
+  /** Logs once that most of the machines have reported; `now` in milliseconds on the monotonic clock. */
   logOnceReconciled(now: number): void {
-    if (this.logged || this.loadedAt === null) return;
+    if (this.hasLogged || this.loadedAt === null) return;
     let unreconciled = 0;
     for (const m of this.registry.machines.values()) if (m.mayHoldUnreportedTasks) unreconciled++;
     if (unreconciled > this.adoptedCount * (1 - RECONCILED_SHARE)) return;
-    this.logged = true;
+    this.hasLogged = true;
     if (this.adoptedCount > 0)
       this.log.info(
         { machines: this.adoptedCount, unreconciled, ms: Math.round(now - this.claimedAt) },
-        'machines reconciled',
+        'most adopted machines have reported',
       );
   }
 }
--- a/src/scheduler/warmstart.ts
+++ b/src/scheduler/warmstart.ts
@@ -6,8 +6,9 @@
 import type { RuntimeEstimates } from './runtimeestimates.js';
 
 /**
- * What a shard's new owner takes over from the former one, as far as that replicated it to its standby. All of it are hints:
- * images and run times only guide the plan, and a machine answers an incarnation that is no longer its own with the one that is.
+ * Restores the state that the former owner of a shard replicated to this node as its standby. All of it is
+ * only a hint: images and run times merely guide the plan, and a machine answers a request for an outdated
+ * incarnation with its current one.
  */
 export class WarmStart {
   constructor(
@@ -15,15 +16,15 @@
     private readonly snapshot: ReplicaSnapshot | null,
   ) {}
 
-  /** Restores images of machines, estimates of run times and quarantines of jobs. */
+  /** Restores cached images of machines, estimates of run times and quarantines of jobs. */
   apply(jobs: readonly Job[], machines: Iterable<Machine>, estimates: RuntimeEstimates): void {
     if (!this.snapshot) return;
     const { clock, names, catalog } = this.context;
     estimates.restore(this.snapshot.classes());
-    for (const m of machines) {
-      const cache = catalog.get(m.type)?.cacheGb ?? 0;
-      for (const { image, gb } of this.snapshot.machine(m.id)?.images ?? [])
-        noteImage(m, names.images.index(image), gb, cache);
+    for (const machine of machines) {
+      const cacheGb = catalog.get(machine.type)?.cacheGb ?? 0;
+      for (const { image, gb } of this.snapshot.machine(machine.id)?.images ?? [])
+        noteImage(machine, names.images.index(image), gb, cacheGb);
     }
     for (const job of jobs) {
       const quarantine = this.snapshot.quarantine(job.spec.id);
@@ -34,25 +35,32 @@
     }
   }
 
-  /** The incarnation of a machine that the former owner knew; null when it knew none. */
-  incarnationOf(m: Machine): number | null {
-    return this.snapshot?.machine(m.id)?.incarnation ?? null;
+  /** Returns the incarnation of a machine as known to the former owner; null when it knew none. */
+  incarnationOf(machine: Machine): number | null {
+    return this.snapshot?.machine(machine.id)?.incarnation ?? null;
   }
 
-  /** When an attempt began to run, as far as the former owner knew; steady milliseconds. */
-  runningSince(h: TaskAttempt): number | null {
-    const since = this.snapshot?.runningSince(`${h.job}/${h.index}`, h.attempt) ?? null;
+  /**
+   * Returns when an attempt started to run, as known to the former owner; milliseconds on the monotonic
+   * clock.
+   */
+  runningSince(attempt: TaskAttempt): number | null {
+    const since = this.snapshot?.runningSince(`${attempt.job}/${attempt.index}`, attempt.attempt) ?? null;
     const { clock } = this.context;
-    // Times of day of two nodes differ by the skew; nothing has run since a time in the future.
+    // The wall clocks of two nodes differ by the skew, and nothing can have started in the future, so the
+    // result is limited to now.
     return since === null ? null : Math.min(clock.now(), clock.now() - (clock.wall() - since));
   }
 
-  /** Machines in the order in which they are reconciled: first those on which the fewest jobs may have tasks. */
+  /**
+   * Returns the machines in the order of reconciliation: first those on which the fewest jobs may have tasks.
+   */
   reconciliationOrder(machines: readonly Machine[], jobs: readonly Job[]): readonly Machine[] {
     if (!this.snapshot) return machines;
-    const busy = new Map<string, number>();
+    const jobCounts = new Map<string, number>();
     for (const job of jobs)
-      for (const id of this.snapshot.machinesOf(job.spec.id) ?? []) busy.set(id, (busy.get(id) ?? 0) + 1);
-    return [...machines].sort((a, b) => (busy.get(a.id) ?? 0) - (busy.get(b.id) ?? 0));
+      for (const id of this.snapshot.machinesOf(job.spec.id) ?? [])
+        jobCounts.set(id, (jobCounts.get(id) ?? 0) + 1);
+    return [...machines].sort((a, b) => (jobCounts.get(a.id) ?? 0) - (jobCounts.get(b.id) ?? 0));
   }
 }
