--- a/src/plan/arrayplacement.ts
+++ b/src/plan/arrayplacement.ts
@@ -34,7 +34,7 @@
    * Reserves capacity for all unstarted tasks of a job. Each task goes to the most loaded machine that meets
    * the deadline, at the earliest start there; if no machine meets it, to the machine where it ends first.
    * Uses only machines in `zone` unless it is null. Returns the end of the last task, or null when a task
-   * fits on no machine.
+   * cannot be placed.
    */
   reserve(job: PlanJob, zone: number | null): number | null {
     const { table } = this;
--- a/src/plan/gangplacement.ts
+++ b/src/plan/gangplacement.ts
@@ -147,8 +147,8 @@
   }
 
   /**
-   * Returns, in order of time, the starts from which each machine can run some of a gang's tasks, and as many
-   * as it can hold.
+   * Returns, for each machine, the time from which it can run some of a gang's tasks and, if that is later, the
+   * time from which it can run as many as it can hold; ordered by time.
    */
   private candidateStarts(job: PlanJob, taskCount: number): CandidateStart[] {
     const { table } = this;
--- a/src/plan/plan.ts
+++ b/src/plan/plan.ts
@@ -52,7 +52,7 @@
   /**
    * Reserves capacity for all unstarted tasks of a job. Each task goes to the most loaded machine that meets
    * the deadline, at the earliest start there; if no machine meets it, to the machine where it ends first.
-   * Returns the end of the last task, or null when a task fits on no machine.
+   * Returns the end of the last task, or null when a task cannot be placed.
    */
   reserve(job: PlanJob): number | null {
     if (job.kind === 'gang') return this.gangs.reserve(job);
--- a/src/scheduler/planinput.ts
+++ b/src/scheduler/planinput.ts
@@ -259,7 +259,7 @@
 
 /**
  * Reserves capacity for a job where the last plan had it, as far as it still fits there, and elsewhere for
- * the remaining tasks. Returns false when a task fits on no machine.
+ * the remaining tasks. Returns false when a task cannot be placed.
  */
 export function reserveAsBefore(
   plan: Plan,
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -22,7 +22,7 @@
 
 /** Callbacks into the shard that `Preemption` needs. */
 export interface PreemptionHooks {
-  /** Returns whether the tasks of a job without a known placement are known to run on no machine. */
+  /** Returns whether tasks of a job without a known placement are certain to run on no machine. */
   isKnownNotRunning(job: Job): boolean;
   /** Returns the resources in use by each team, by team index. */
   teamUsage(): Map<number, Amounts>;
--- a/src/scheduler/priorityaging.ts
+++ b/src/scheduler/priorityaging.ts
@@ -69,7 +69,7 @@
       if (cpusLeft >= 0 || this.agedJobs.size === 0) this.age(job, until, 'all');
       if (job.aged || this.hasStarted(job)) continue;
       // Jobs behind this one would wait for it to start, one after the other. With many large jobs that takes
-      // longer than any job may wait, so the first tasks of the others age too.
+      // longer than any job may wait, so the first task of each array, and whole gangs, age too.
       const array = job.spec.kind === 'array';
       const isFirst = firstTaskCpusLeft === cpus * MAX_FIRST_TASKS_SHARE;
       firstTaskCpusLeft -= (array ? 1 : job.spec.tasks) * job.need.cpus;
--- a/src/scheduler/resourcedemand.ts
+++ b/src/scheduler/resourcedemand.ts
@@ -31,7 +31,7 @@
 export interface ResourceDemandHooks {
   /** Returns the resources in use by each team, by team index. */
   teamUsage(): Map<number, Amounts>;
-  /** Returns whether the tasks of a job without a known placement are known to run on no machine. */
+  /** Returns whether tasks of a job without a known placement are certain to run on no machine. */
   isKnownNotRunning(job: Job): boolean;
   /** Returns whether a job is within its team's guarantee. */
   isGuaranteed(job: Job): boolean;
--- a/src/scheduler/runtimeestimates.ts
+++ b/src/scheduler/runtimeestimates.ts
@@ -20,7 +20,7 @@
 const OVERRUN_SHARE = 0.25;
 
 /**
- * Estimates of task run times: the users' estimates, corrected by the measured run times of each job class.
+ * Estimates of task run times: the users' estimates, corrected by the actual run times of each job class.
  */
 export class RuntimeEstimates {
   /**
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -127,7 +127,7 @@
     if (!replicated) return this.components.records.load();
     this.log.info(
       { jobs: replicated.jobs.length, changes: replicated.changes },
-      'job records completed from the replicated ones',
+      'job records restored from the standby replica',
     );
     return replicated.jobs;
   }
--- a/src/scheduler/taskdispatcher.ts
+++ b/src/scheduler/taskdispatcher.ts
@@ -29,7 +29,7 @@
   usageOf(attempt: TaskAttempt): { team: number; need: Amounts } | null;
   /** Returns the resources that machines which have not reported to this owner may hold. */
   unreconciledCapacity(): Amounts;
-  /** Returns whether the tasks of a job without a known placement are known to run on no machine. */
+  /** Returns whether tasks of a job without a known placement are certain to run on no machine. */
   surelyNotRunning(job: Job): boolean;
   /** Returns whether a machine is being transferred to another shard or returned to the cloud. */
   isReservedForTransfer(id: string): boolean;
@@ -273,7 +273,7 @@
           const sum = usage.get(use.team);
           if (sum) add(sum, use.need);
         } else {
-          // The job of this attempt is unknown, so its machine counts against every team.
+          // The job of this attempt is unknown, so its whole machine counts against every team.
           for (const sum of usage.values()) add(sum, this.context.catalog.size(machine.type));
         }
       }
--- a/src/scheduler/unreconciledmachines.ts
+++ b/src/scheduler/unreconciledmachines.ts
@@ -50,7 +50,7 @@
     return sum;
   }
 
-  /** Returns whether the tasks of a job without a known placement are known to run on no machine. */
+  /** Returns whether tasks of a job without a known placement are certain to run on no machine. */
   isKnownNotRunning(job: Job): boolean {
     const jobInfo = { fresh: job.acceptedUnderThisTerm, id: job.spec.id };
     return surelyNotRunning(jobInfo, this.snapshot, this.allReconciled, (id) => this.isUnreconciled(id));
@@ -98,7 +98,7 @@
     if (this.adoptedCount > 0)
       this.log.info(
         { machines: this.adoptedCount, unreconciled, ms: Math.round(now - this.claimedAt) },
-        'most adopted machines have reported',
+        'most machines reconciled after takeover',
       );
   }
 }
--- a/src/scheduler/urgencypropagation.ts
+++ b/src/scheduler/urgencypropagation.ts
@@ -42,7 +42,7 @@
 
   private resetBoosts(): void {
     for (const job of this.boostedJobs) {
-      // An aged job has only just been given its priority.
+      // An aged job has only just been given its priority, which it keeps.
       if (job.aged) continue;
       job.priority = job.spec.priority;
       job.dueWall = job.deadlineWall;
