--- a/src/scheduler/taskprogress.ts
+++ b/src/scheduler/taskprogress.ts
@@ -212,8 +212,8 @@
    */
   private removePlacement(job: Job, attempt: TaskAttempt): void {
     job.duplicateAttempts.delete(attempt);
-    // A completed attempt counts as present until its completion is stored; otherwise the next owner would
-    // start the task again elsewhere.
+    // A completed attempt counts as on its machine until its completion is stored; otherwise the next owner
+    // would start the task again elsewhere.
     if (attempt.cause !== 'done') this.parts.hooks.onAttemptLeft(job, attempt);
     if (job.placements.get(attempt.index) !== attempt) return;
     job.placements.delete(attempt.index);
--- a/tests/plan/plan.test.ts
+++ b/tests/plan/plan.test.ts
@@ -66,7 +66,7 @@
   assert.equal(full.reserve({ ...gang, id: 2, tasks: [0, 1], total: 2 }), 110);
 });
 
-test('limits a spread job to half of its tasks per zone, and respects spot, type and quarantine rules', () => {
+test('limits a spread job to half of its tasks per zone; respects spot, type and quarantine', () => {
   const job = planJob({ spread: true, total: 3, tasks: [0, 1, 2] });
   const machines = [machine({ size: { cpus: 64, gpus: 0, memoryGb: 256 } }), machine({ zone: 1 })];
   const plan = new Plan(0, machines, noLimits);
@@ -77,7 +77,7 @@
   assert.equal(new Plan(0, unsuitable, noLimits).reserve(strictJob), null);
 });
 
-test('preempts the cheapest sufficient tasks, also for a team limit, and none when that does not suffice', () => {
+test('preempts the cheapest sufficient tasks, also for a team limit, or none if insufficient', () => {
   const need = { cpus: 8, gpus: 0, memoryGb: 8 };
   const victim = (ref: string, loss: number, sameTeam = false) => ({
     ref,
--- a/tests/plan/size.test.ts
+++ b/tests/plan/size.test.ts
@@ -149,7 +149,7 @@
 
 // Guards against endless rentals where a job's tasks may not start: for a task that had to run in another zone than
 // the first one, machine after machine was rented in the zone of its shard.
-test('rents machines only in zones where a job with zone constraints can start, and runs all its tasks', async () => {
+test('rents machines for a job with zone constraints only where its tasks can start', async () => {
   for (const overrides of [
     { spread: true, pieces: 2 },
     { spread: true, pieces: 5, shape: 'ensemble' },
