--- a/src/autoscaler/autoscaler.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -1,4 +1,4 @@
-// This package: machines: renting and returning them, and which shard they go to.
+// This package: rents and returns machines, and decides which shards they go to.
 
 import type { RentOption, Shortage } from '../plan/rentalchoice.js';
 import type { MachineRecord } from '../schema/schema.js';
@@ -10,9 +10,9 @@
 
 export { kindKey, type PendingRental } from './scaleout.js';
 
-/** A shard's machines come and go here: their records, rentals, and what is returned. */
+/** Manages a shard's machines: their records, rentals and returns. */
 export class Autoscaler {
-  /** Machines that are being given to another shard or back to the cloud. */
+  /** Machines that are being moved to another shard or returned to the cloud. */
   readonly moving = new Set<string>();
   private readonly records: MachineRecords;
   private readonly scaleOut: ScaleOut;
@@ -24,42 +24,42 @@
     this.scaleIn = new ScaleIn(options, this.records, this.moving);
   }
 
-  /** Machines that have been asked for and are not recorded yet. */
+  /** Machines that have been requested from the cloud and are not recorded yet. */
   get rentals(): ReadonlySet<PendingRental> {
     return this.scaleOut.rentals;
   }
 
-  /** Whether anything could be rented now (steady milliseconds). */
+  /** Returns whether any machine may be rented at `now`, in monotonic milliseconds. */
   mayRent(now: number): boolean {
     return this.scaleOut.mayRent(now);
   }
 
-  /** Rents for tasks that would wait too long, the first shortage first. */
+  /** Rents machines for tasks that would wait too long, in the order of `shortages`. */
   rentFor(shortages: Shortage[], now: number): void {
     this.scaleOut.rentFor(shortages, now);
   }
 
-  /** What may be rented now, the shard's own zone first among equals. */
+  /** Returns the machines that may be rented now; among equal options the shard's own zone comes first. */
   rentOptions(now: number): RentOption[] {
     return this.scaleOut.rentOptions(now);
   }
 
   /** Writes a machine's record; returns its new version (`MachineRecords.write`). */
-  writeRecord(m: Machine, change: Partial<MachineRecord> = {}): Promise<number> {
-    return this.records.write(m, change);
+  writeRecord(machine: Machine, change: Partial<MachineRecord> = {}): Promise<number> {
+    return this.records.write(machine, change);
   }
 
-  /** Resolves once it is decided whether a write that gave a machine away was made (`MachineRecords.settle`). */
-  settleRecord(m: Machine): Promise<void> {
-    return this.records.settle(m);
+  /** Resolves once the outcome of a write that gave a machine away is known (`MachineRecords.settle`). */
+  settleRecord(machine: Machine): Promise<void> {
+    return this.records.settle(machine);
   }
 
-  /** Returns what nobody needs, never came up, has gone silent or fails all tasks. */
+  /** Returns machines to the cloud that are not needed, never came up, stopped reporting or fail all tasks. */
   returnIdle(now: number): void {
     this.scaleIn.returnIdle(now);
   }
 
-  /** The cloud's list of machines has been read. */
+  /** Called when the cloud's list of machines has been read. */
   onMachinesListed(): void {
     this.scaleIn.onMachinesListed();
   }
--- a/src/autoscaler/machinerecords.ts
+++ b/src/autoscaler/machinerecords.ts
@@ -7,14 +7,14 @@
 import type { Machine } from '../workers/machine.js';
 import type { AutoscalerOptions } from './options.js';
 
-/** Rented machines that could not be recorded are tried again after this. */
+/** Interval at which the recording of rented machines is retried. */
 const RECORD_RETRY_MS = 1000;
-/** A record whose write is not decided is written anew after this. */
+/** Interval at which a write with an unknown outcome is retried. */
 const SETTLE_RETRY_MS = 1000;
-/** Records of machines that go into one transaction, so that it stays well below the largest request. */
+/** Maximum number of machine records per transaction, which keeps it well below the largest request. */
 const MAX_TXN_MACHINES = 24;
 
-/** The records of one shard's machines (`c/m/ID`), written under the condition that the owner's key is at its term. */
+/** The records of one shard's machines (`c/m/ID`), written on the condition that the owner's key is at its term. */
 export class MachineRecords {
   private readonly ownerCondition: Condition;
 
@@ -22,14 +22,17 @@
     this.ownerCondition = { key: KEYS.owner(options.shard), version: options.term };
   }
 
-  /** Writes a machine's record; returns its new version. Throws `StateStoreError` when it failed or is not decided. */
-  async write(m: Machine, change: Partial<MachineRecord> = {}): Promise<number> {
+  /**
+   * Writes a machine's record; returns its new version. Throws `StateStoreError` if the write failed or its outcome
+   * is unknown.
+   */
+  async write(machine: Machine, change: Partial<MachineRecord> = {}): Promise<number> {
     const { context, hooks, shard } = this.options;
-    const key = KEYS.machine(m.id);
-    const value = this.recordOf(m, change);
+    const key = KEYS.machine(machine.id);
+    const value = this.recordOf(machine, change);
     try {
       const result = await context.store.compareAndSwap(
-        [this.ownerCondition, { key, version: m.version }],
+        [this.ownerCondition, { key, version: machine.version }],
         [{ put: key, value }],
       );
       if (result.ok) return result.revision;
@@ -37,25 +40,31 @@
     } catch (error) {
       if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
     }
-    // Another copy of this write, thought lost, may have been made: the record tells.
+    // A copy of this write that was believed lost may have been applied; the stored record shows whether it was.
     const stored = await context.store.get(key);
     const record = stored && readMachineRecord(stored.value);
-    if (stored && record && stored.version > m.version && JSON.stringify(record) === JSON.stringify(value))
+    if (
+      stored &&
+      record &&
+      stored.version > machine.version &&
+      JSON.stringify(record) === JSON.stringify(value)
+    )
       return stored.version;
-    if (stored && record?.shard === shard) m.version = stored.version;
-    throw new StateStoreError(`record of ${m.id} is not decided`, true);
+    if (stored && record?.shard === shard) machine.version = stored.version;
+    throw new StateStoreError(`record of ${machine.id} is not decided`, true);
   }
 
   /**
-   * A write that gave a machine away got no answer and may yet be made. Until the record has a newer version of this
-   * shard's, or shows that it was made, the machine must hold nothing: its next owner would know of no task on it.
+   * Settles a write that gave a machine away, got no answer and may still be applied. Until the record has a newer
+   * version that assigns the machine to this shard, or shows that the write was applied, the machine must hold
+   * nothing, because its next owner would know of no task on it.
    */
-  async settle(m: Machine): Promise<void> {
+  async settle(machine: Machine): Promise<void> {
     const { context, hooks, registry } = this.options;
-    while (!hooks.stopped() && registry.machines.get(m.id) === m) {
+    while (!hooks.stopped() && registry.machines.get(machine.id) === machine) {
       try {
-        const version = await this.write(m);
-        hooks.recorded(m.id, { key: KEYS.machine(m.id), value: this.recordOf(m), version });
+        const version = await this.write(machine);
+        hooks.recorded(machine.id, { key: KEYS.machine(machine.id), value: this.recordOf(machine), version });
         return;
       } catch (error) {
         if (error instanceof NotOwnerError) return;
@@ -65,65 +74,71 @@
   }
 
   /**
-   * Records machines that were rented at `at` (steady milliseconds) as this shard's, until each has a record. A write without
-   * an answer may have been made, or be made later; until that is known the rental is pending, so that nothing is rented in
-   * its place, and is no failure of the cloud. A machine that has a record already is this shard's by such a write, or
-   * another's: it was up, and the leader assigned it.
+   * Records machines that were rented at `requestedAt` (monotonic milliseconds) as this shard's, until each has a
+   * record. A write without an answer may have been applied, or may still be applied. Until its outcome is known the
+   * rental is pending, so that no replacement is rented, and it does not count as a failure of the cloud. A machine
+   * that already has a record belongs to this shard through such a write, or to another shard, because it came up and
+   * the leader assigned it.
    */
-  async recordRented(ids: readonly string[], rental: Rental, at: number): Promise<void> {
+  async recordRented(ids: readonly string[], rental: Rental, requestedAt: number): Promise<void> {
     const { context, hooks, shard } = this.options;
     const { type, zone, spot } = rental;
-    const rentedAt = Math.round(context.clock.wall() - (context.clock.now() - at));
+    const rentedAt = Math.round(context.clock.wall() - (context.clock.now() - requestedAt));
     const value: MachineRecord = { shard, addr: '', type, zone, spot, state: 'use', rentedAt };
-    for (const part of this.inTransactions(ids)) {
-      let unrecorded = part;
+    for (const batch of this.splitIntoTransactions(ids)) {
+      let unrecorded = batch;
       while (unrecorded.length > 0 && !hooks.stopped())
         unrecorded = await this.tryRecordRented(unrecorded, value);
     }
   }
 
-  /** Marks machines durably as leaving, so that no owner ever uses them again; returns those that are marked. */
+  /** Marks machines durably as leaving, so that no owner ever uses them again; returns the marked machines. */
   async markDecommissioning(machines: readonly Machine[]): Promise<Machine[]> {
-    const marked = machines.filter((m) => m.decommissioning);
-    for (const part of this.inTransactions(machines.filter((m) => !m.decommissioning))) {
-      const version = await this.tryMarkTogether(part);
-      for (const m of part) {
+    const marked = machines.filter((machine) => machine.decommissioning);
+    for (const batch of this.splitIntoTransactions(machines.filter((machine) => !machine.decommissioning))) {
+      const version = await this.tryMarkInOneTransaction(batch);
+      for (const machine of batch) {
         try {
-          // What cannot be marked together, since one record has changed or no answer came, is marked one by one.
-          m.version = version ?? (await this.write(m, { state: 'leaving' }));
-          m.decommissioning = true;
-          marked.push(m);
+          // If the machines cannot be marked together, because a record has changed or no answer came, they are
+          // marked one by one.
+          machine.version = version ?? (await this.write(machine, { state: 'leaving' }));
+          machine.decommissioning = true;
+          marked.push(machine);
         } catch (error) {
           if (error instanceof NotOwnerError) throw error;
-          this.options.log.info({ machine: m.id, err: error }, 'marking machine as leaving failed');
+          this.options.log.info({ machine: machine.id, err: error }, 'marking machine as leaving failed');
         }
       }
     }
     return marked;
   }
 
-  /** Deletes the records of machines that are surely no more; one whose record stays goes back into the registry. */
+  /**
+   * Deletes the records of machines that no longer exist; a machine whose record could not be deleted returns to the
+   * registry.
+   */
   async delete(machines: readonly Machine[]): Promise<void> {
-    for (const part of this.inTransactions(machines))
-      if (!(await this.tryDeleteTogether(part))) for (const m of part) await this.keepIfRecorded(m);
+    for (const batch of this.splitIntoTransactions(machines))
+      if (!(await this.tryDeleteInOneTransaction(batch)))
+        for (const machine of batch) await this.keepIfRecorded(machine);
   }
 
-  private recordOf(m: Machine, change: Partial<MachineRecord> = {}): MachineRecord {
+  private recordOf(machine: Machine, change: Partial<MachineRecord> = {}): MachineRecord {
     const { clock, names } = this.options.context;
     const now = clock.now();
     return {
       shard: this.options.shard,
-      addr: m.addr,
-      type: names.types.name(m.type),
-      zone: names.zones.name(m.zone),
-      spot: m.spot,
-      state: m.decommissioning ? 'leaving' : 'use',
-      rentedAt: Math.round(clock.wall() - (now - m.rentedAt)),
+      addr: machine.addr,
+      type: names.types.name(machine.type),
+      zone: names.zones.name(machine.zone),
+      spot: machine.spot,
+      state: machine.decommissioning ? 'leaving' : 'use',
+      rentedAt: Math.round(clock.wall() - (now - machine.rentedAt)),
       ...change,
     };
   }
 
-  /** One try to record machines that have no record; returns those that still have none, as far as is known. */
+  /** Makes one attempt to record machines that have no record; returns those not known to have one afterwards. */
   private async tryRecordRented(ids: string[], value: MachineRecord): Promise<string[]> {
     const { context, hooks, log } = this.options;
     try {
@@ -149,12 +164,21 @@
     }
   }
 
-  /** The version of all records that were marked in one transaction; null when it failed or is not known. */
-  private async tryMarkTogether(machines: readonly Machine[]): Promise<number | null> {
+  /**
+   * Marks machines in one transaction; returns the version of their records, or null if it failed or its outcome is
+   * unknown.
+   */
+  private async tryMarkInOneTransaction(machines: readonly Machine[]): Promise<number | null> {
     try {
       const result = await this.options.context.store.compareAndSwap(
-        [this.ownerCondition, ...machines.map((m) => ({ key: KEYS.machine(m.id), version: m.version }))],
-        machines.map((m) => ({ put: KEYS.machine(m.id), value: this.recordOf(m, { state: 'leaving' }) })),
+        [
+          this.ownerCondition,
+          ...machines.map((machine) => ({ key: KEYS.machine(machine.id), version: machine.version })),
+        ],
+        machines.map((machine) => ({
+          put: KEYS.machine(machine.id),
+          value: this.recordOf(machine, { state: 'leaving' }),
+        })),
       );
       return result.ok ? result.revision : null;
     } catch {
@@ -162,11 +186,14 @@
     }
   }
 
-  private async tryDeleteTogether(machines: readonly Machine[]): Promise<boolean> {
+  private async tryDeleteInOneTransaction(machines: readonly Machine[]): Promise<boolean> {
     try {
       const result = await this.options.context.store.compareAndSwap(
-        [this.ownerCondition, ...machines.map((m) => ({ key: KEYS.machine(m.id), version: m.version }))],
-        machines.map((m) => ({ delete: KEYS.machine(m.id) })),
+        [
+          this.ownerCondition,
+          ...machines.map((machine) => ({ key: KEYS.machine(machine.id), version: machine.version })),
+        ],
+        machines.map((machine) => ({ delete: KEYS.machine(machine.id) })),
       );
       return result.ok;
     } catch (error) {
@@ -175,19 +202,23 @@
     }
   }
 
-  private async keepIfRecorded(m: Machine): Promise<void> {
+  private async keepIfRecorded(machine: Machine): Promise<void> {
     const { context, registry } = this.options;
-    const stored = await context.store.get(KEYS.machine(m.id)).catch(() => undefined);
+    const stored = await context.store.get(KEYS.machine(machine.id)).catch(() => undefined);
     if (stored === null) return;
-    // Its record stays for now: it is returned once more, which does no harm.
-    registry.machines.set(m.id, { ...m, version: stored?.version ?? m.version, decommissioning: true });
+    // The record still exists, so the machine is returned to the cloud once more, which does no harm.
+    registry.machines.set(machine.id, {
+      ...machine,
+      version: stored?.version ?? machine.version,
+      decommissioning: true,
+    });
   }
 
-  private inTransactions<T>(items: readonly T[]): T[][] {
+  private splitIntoTransactions<T>(items: readonly T[]): T[][] {
     const { txnOps } = this.options.context.settings.stateLimits;
     const perTransaction = Math.max(1, Math.min(txnOps, MAX_TXN_MACHINES));
-    const parts: T[][] = [];
-    for (let i = 0; i < items.length; i += perTransaction) parts.push(items.slice(i, i + perTransaction));
-    return parts;
+    const batches: T[][] = [];
+    for (let i = 0; i < items.length; i += perTransaction) batches.push(items.slice(i, i + perTransaction));
+    return batches;
   }
 }
--- a/src/autoscaler/options.ts
+++ b/src/autoscaler/options.ts
@@ -5,26 +5,26 @@
 import type { Machine } from '../workers/machine.js';
 import type { MachineRegistry } from '../workers/machineregistry.js';
 
-/** What the shard knows and does for its autoscaler. */
+/** The shard's state and operations that its autoscaler uses. */
 export interface AutoscalerHooks {
-  /** This owner acts no more. */
+  /** Returns whether this owner has stopped acting for the shard. */
   stopped(): boolean;
-  /** Whether a machine is empty, and nothing is reserved on it or promised of it. */
-  isIdle(m: Machine): boolean;
-  /** A machine's record has been written. */
+  /** Returns whether a machine is empty and neither reserved for a task nor promised to another shard. */
+  isIdle(machine: Machine): boolean;
+  /** Called when a machine's record has been written. */
   recorded(id: string, entry: Entry): void;
-  /** Somebody else has the shard; returns the error to throw. */
+  /** Called when another node owns the shard; returns the error to throw. */
   lostOwnership(): Error;
-  /** A name that nobody ever uses again. */
+  /** Returns a name that is never used again by any node. */
   uniqueName(kind: string): string;
-  /** What a task of a class takes, as far as the shard has had one. */
+  /** Returns the resources that a task of a class takes; null if the shard has had no task of that class. */
   taskSizeOf(jobClass: string): Amounts | null;
-  /** Whether it has had no job yet, so that any class may be the first. */
+  /** Returns whether the shard has had no job yet, in which case its first job may be of any class. */
   hasSeenNoJob(): boolean;
   requestPlan(): void;
 }
 
-/** What an `Autoscaler` and its parts are made of. */
+/** The dependencies shared by an `Autoscaler` and its components. */
 export interface AutoscalerOptions {
   readonly context: ControllerContext;
   readonly shard: number;
--- a/src/autoscaler/rebalancing.ts
+++ b/src/autoscaler/rebalancing.ts
@@ -2,84 +2,94 @@
 import { PRIORITY } from '../wire/users.js';
 import { type IdleMachine, machineKindName, type ResourceDemand, type ShardStatus } from './shardstatus.js';
 
-/** Which machines go from one shard to another: pure decisions of the leader by what the owners told it. */
+/**
+ * Decides which machines move between shards: pure functions that the leader applies to the statuses reported by
+ * owners.
+ */
 
-/** Lower-priority tasks elsewhere are stopped for urgent ones only when those would wait longer than this, one machine at a time. */
+/**
+ * Lower-priority tasks in other shards are stopped, one machine at a time, only for urgent tasks that would wait
+ * longer than this.
+ */
 const MIN_EVICTION_WAIT_S = 8;
-/** A machine is reserved where urgent work waits at least so long, and so much longer than in the shard that reserves it. */
+/**
+ * A machine is reserved only for a shard whose urgent work waits at least this long, and longer than the reserving
+ * shard's by this factor and margin.
+ */
 const MIN_RESERVATION_WAIT_S = 12;
 const RESERVATION_WAIT_FACTOR = 1.25;
 const RESERVATION_WAIT_MARGIN_S = 6;
 const MIN_RESERVER_MACHINES = 3;
 
-/** What a machine of a type has. */
+/** Returns the resources of a machine of a type. */
 export type SizeOfType = (type: string) => Amounts;
 
-/** A machine that is to be reserved in one shard for another's demand. */
+/** A reservation of a machine in one shard for the demand of another. */
 export interface ReservationChoice {
   /** The shard that reserves one of its machines. */
   readonly from: number;
-  /** The shard that it is for. */
+  /** The shard that the machine is reserved for. */
   readonly to: number;
   readonly need: ResourceDemand;
-  /** Where the owner of that shard is. */
+  /** The zone of the owner of the shard that the machine is for. */
   readonly zone: string;
 }
 
-/** A machine that is to go from one shard to another. */
+/** A transfer of a machine from one shard to another. */
 export interface MachineTransfer {
   readonly machine: string;
   readonly from: number;
   readonly to: number;
 }
 
-/** A machine that is to be emptied of all below a priority, and then to go to another shard. */
+/** A transfer of a machine after all its tasks below a priority have been stopped. */
 export interface MachineEviction extends MachineTransfer {
   readonly priority: number;
 }
 
-/** A shard as it is weighed for a machine of some type in some zone. */
+/** A shard as a candidate for a machine of one type in one zone. */
 export interface ShardCandidate {
-  /** What its teams are guaranteed. */
+  /** The share that the shard's teams are guaranteed. */
   readonly weight: number;
-  /** Its machines of this type, and those of them in the machine's zone. */
+  /** Number of the shard's machines of this type, and how many of them are in the machine's zone. */
   readonly machines: number;
   readonly machinesInZone: number;
-  /** At home in the machine's zone. */
+  /** Whether the machine's zone is the shard's home zone. */
   readonly isHomeZone: boolean;
 }
 
-/** A demand, and the shard that has it. */
+/** A demand with the shard that reports it. */
 interface ShardDemand {
   readonly shard: number;
   readonly need: ResourceDemand;
 }
 
-/** Empty machines of one type and zone that are all spot ones or none of them, by the shard that has them. */
+/** The idle machines of one type and zone that are either all spot machines or all not, by shard. */
 interface IdleKind {
   readonly example: IdleMachine;
   readonly idsByShard: Map<number, string[]>;
 }
 
 /**
- * From which shard to which a machine should go as its tasks end, where urgent work waits much longer in one than in
- * another: on full days no machine is ever empty, and shards would stay as they were partitioned. A shard where urgent work
- * waits more than `maxUrgentS` reserves none.
+ * Chooses the shards between which a machine should move once its tasks end, if urgent work waits much longer in one
+ * shard than in another. On a full day no machine is ever idle, and without reservations the partition between shards
+ * would never change. A shard whose urgent work waits more than `maxUrgentS` reserves no machine.
  */
 export function chooseReservation(
   statuses: readonly ShardStatus[],
   maxUrgentS: number,
 ): ReservationChoice | null {
   let to: ShardStatus | null = null;
-  for (const s of statuses) if (!to || s.urgentS > to.urgentS) to = s;
+  for (const status of statuses) if (!to || status.urgentS > to.urgentS) to = status;
   const need = to?.demands.find((n) => n.priority >= PRIORITY.high);
   if (!to || !need || to.urgentS < MIN_RESERVATION_WAIT_S) return null;
   let from: ShardStatus | null = null;
-  for (const s of statuses) {
-    if (s.shard === to.shard || s.machines < MIN_RESERVER_MACHINES) continue;
-    if (!from || s.urgentS < from.urgentS) from = s;
+  for (const status of statuses) {
+    if (status.shard === to.shard || status.machines < MIN_RESERVER_MACHINES) continue;
+    if (!from || status.urgentS < from.urgentS) from = status;
   }
-  // Where urgent work waits long itself nothing is gained: when all wait equally long, all may miss their objectives.
+  // A reservation gains nothing if urgent work waits long in the reserving shard too: if all shards wait equally
+  // long, all may miss their objectives.
   if (
     !from ||
     from.urgentS > maxUrgentS ||
@@ -89,7 +99,9 @@
   return { from: from.shard, to: to.shard, need, zone: to.zone };
 }
 
-/** Which empty machines go to which shard: the most urgent and then earliest due demand first. */
+/**
+ * Assigns idle machines to the shards' demands: by priority first, then guaranteed demands, then by deadline.
+ */
 export function chooseTransfers(statuses: readonly ShardStatus[], sizeOf: SizeOfType): MachineTransfer[] {
   const demands = shardDemands(statuses).sort(
     (a, b) =>
@@ -98,28 +110,28 @@
       a.need.deadline - b.need.deadline,
   );
   const kinds = idleMachineKinds(statuses);
-  const zones = new Map(statuses.map((s) => [s.shard, s.zone]));
+  const zones = new Map(statuses.map((status) => [status.shard, status.zone]));
   const transfers: MachineTransfer[] = [];
   for (const { shard, need } of demands) {
-    let left = need.count;
+    let remainingTasks = need.count;
     const fitting = kinds
       .filter((k) => idleMachineFits(k.example, need) && fitCount(sizeOf(k.example.type), need, 1) > 0)
-      // Machines with GPUs last for tasks that need none.
+      // Machines without unneeded GPUs come first, so that machines with GPUs remain for tasks that need them.
       .sort(
         (a, b) =>
           unneededGpus(a.example, need, sizeOf) - unneededGpus(b.example, need, sizeOf) ||
           Number(b.example.zone === zones.get(shard)) - Number(a.example.zone === zones.get(shard)),
       );
-    // Its own first: they are already where the tasks are.
-    for (const own of [true, false]) {
+    // The shard's own machines come first, because they are already where the tasks are.
+    for (const sameShard of [true, false]) {
       for (const kind of fitting) {
         const tasksPerMachine = fitCount(sizeOf(kind.example.type), need, need.count);
         for (const [from, ids] of kind.idsByShard) {
-          if ((from === shard) !== own) continue;
-          while (left > 0 && ids.length > 0) {
+          if ((from === shard) !== sameShard) continue;
+          while (remainingTasks > 0 && ids.length > 0) {
             const machine = ids.shift()!;
-            left -= tasksPerMachine;
-            if (!own) transfers.push({ machine, from, to: shard });
+            remainingTasks -= tasksPerMachine;
+            if (!sameShard) transfers.push({ machine, from, to: shard });
           }
         }
       }
@@ -128,15 +140,18 @@
   return transfers;
 }
 
-/** A machine with nothing but lower-priority tasks, for the most urgent tasks that would wait long in their own shard. */
+/**
+ * Chooses a machine with only lower-priority tasks for the most urgent tasks that would wait too long in their own
+ * shard.
+ */
 export function chooseEviction(statuses: readonly ShardStatus[], sizeOf: SizeOfType): MachineEviction | null {
   const demands = shardDemands(statuses)
     .filter((d) => d.need.priority >= PRIORITY.high && d.need.waitS > MIN_EVICTION_WAIT_S)
     .sort((a, b) => b.need.priority - a.need.priority || a.need.deadline - b.need.deadline);
   for (const { shard, need } of demands) {
     const [first] = statuses
-      .filter((s) => s.shard !== shard)
-      .flatMap((s) => s.preemptible.map((machine) => ({ shard: s.shard, machine })))
+      .filter((status) => status.shard !== shard)
+      .flatMap((status) => status.preemptible.map((machine) => ({ shard: status.shard, machine })))
       .filter(
         ({ machine }) =>
           machine.highestPriority < need.priority &&
@@ -154,28 +169,36 @@
 }
 
 /**
- * The shard with the fewest machines of a type for what its teams are guaranteed. Shards at home in the machine's zone
- * come first up to their fair share: between zones that cannot reach each other a machine loses all its tasks, since no
- * node that it reaches may answer it. `unassigned` is how many machines of the type no shard has yet.
+ * Returns the index of the shard that has the fewest machines of a type relative to what its teams are guaranteed.
+ * Shards whose home zone is the machine's come first up to their fair share, because a machine whose zone cannot
+ * reach its shard's zone loses all its tasks: no node that it reaches may answer it. `unassigned` is the number of
+ * machines of the type that have no shard yet.
  */
 export function shardFor(shards: readonly ShardCandidate[], unassigned: number): number {
-  const allMachines = shards.reduce((sum, s) => sum + s.machines, unassigned);
-  const allWeights = shards.reduce((sum, s) => sum + s.weight, 0);
-  const goesFirst = (s: ShardCandidate) => s.isHomeZone && s.machines < (allMachines * s.weight) / allWeights;
-  const machinesPerWeight = (s: ShardCandidate) => (s.machines + 0.001 * s.machinesInZone + 0.5) / s.weight;
+  const allMachines = shards.reduce((sum, status) => sum + status.machines, unassigned);
+  const allWeights = shards.reduce((sum, status) => sum + status.weight, 0);
+  const isBelowHomeShare = (status: ShardCandidate) =>
+    status.isHomeZone && status.machines < (allMachines * status.weight) / allWeights;
+  const machinesPerWeight = (status: ShardCandidate) =>
+    (status.machines + 0.001 * status.machinesInZone + 0.5) / status.weight;
   let best = 0;
-  shards.forEach((s, i) => {
-    const b = shards[best]!;
-    if (goesFirst(s) !== goesFirst(b) ? goesFirst(s) : machinesPerWeight(s) < machinesPerWeight(b)) best = i;
+  shards.forEach((status, i) => {
+    const bestShard = shards[best]!;
+    if (
+      isBelowHomeShare(status) !== isBelowHomeShare(bestShard)
+        ? isBelowHomeShare(status)
+        : machinesPerWeight(status) < machinesPerWeight(bestShard)
+    )
+      best = i;
   });
   return best;
 }
 
 function shardDemands(statuses: readonly ShardStatus[]): ShardDemand[] {
-  return statuses.flatMap((s) => s.demands.map((need) => ({ shard: s.shard, need })));
+  return statuses.flatMap((status) => status.demands.map((need) => ({ shard: status.shard, need })));
 }
 
-/** Empty machines by type, zone and whether they are spot ones: there are far fewer kinds than machines. */
+/** Groups idle machines by type, zone and spot or not, because there are far fewer kinds than machines. */
 function idleMachineKinds(statuses: readonly ShardStatus[]): IdleKind[] {
   const kinds = new Map<string, IdleKind>();
   for (const status of statuses) {
--- a/src/autoscaler/scalein.ts
+++ b/src/autoscaler/scalein.ts
@@ -6,159 +6,181 @@
 import type { MachineRecords } from './machinerecords.js';
 import type { AutoscalerOptions } from './options.js';
 
-/** An idle machine is kept for long where nearly all tasks must start sooner than it boots, for some time where many. */
+/**
+ * How long an idle machine is kept: long where nearly all tasks must start faster than it boots, medium where many
+ * must.
+ */
 const LONG_IDLE_MS = 180_000;
 const MEDIUM_IDLE_MS = 30_000;
 const SHORT_IDLE_MS = 15_000;
-const NEARLY_ALL = 0.95;
-/** An idle machine is kept for a class when a task's share of it costs no more than so many times the cheapest. */
+const HIGH_OBJECTIVE_SHARE = 0.95;
+/**
+ * An idle machine is kept for a class if a task's share of its price is at most this multiple of the cheapest type's.
+ */
 const MAX_KEPT_COST_FACTOR = 1.5;
-/** Or when fewer tasks than this fit on it: smaller ones find capacity beside others, and need no machine of their own. */
-const KEPT_TASKS = 8;
-/** A deleted machine costs at least so much time, so returning it earlier saves nothing. */
+/**
+ * It is also kept if fewer tasks than this fit on it: smaller tasks find capacity next to others and need no machine
+ * of their own.
+ */
+const MIN_TASKS_OF_SMALL_CLASS = 8;
+/** The minimum time that is charged for a deleted machine, so returning it earlier saves nothing. */
 const MIN_CHARGE_MS = 55_000;
 /**
- * A machine that is not up after so many boot times, and some more, mostly never comes. It is returned, so that its place in
- * a small fleet can be rented anew.
+ * A machine that is not up after this multiple of its boot time, plus a margin, usually never comes up. It is
+ * returned so that its place in a small fleet can be rented again.
  */
 const OVERDUE_BOOTS = 2.5;
 const OVERDUE_MARGIN_MS = 5000;
-/** A new owner does not take machines for overdue before they had the time to report to it. */
+/** Time that a new owner gives its machines to report before it treats them as overdue. */
 const NEW_OWNER_GRACE_MS = 10_000;
-/** A machine whose lease expired this long ago is returned. */
+/** Time after the expiry of its lease at which a machine is returned. */
 const SILENT_RETURN_MS = 120_000;
 const RETURN_RETRY_MS = 3000;
-/** A machine is taken for gone only when the cloud's list lacks it for so long, or for several times the list's lag. */
+/**
+ * A machine is treated as gone only after it has been missing from the cloud's list this long, and for several times
+ * the list's lag.
+ */
 const MIN_UNLISTED_MS = 15_000;
 const UNLISTED_LAGS = 4;
-/** A machine that has never reported may be missing in the list for this long after it was rented. */
+/** Time after its rental for which a machine that has never reported may be missing from the list. */
 const UNLISTED_AFTER_RENTAL_MS = 60_000;
 
 /** Returns a shard's machines to the cloud. */
 export class ScaleIn {
-  /** Since when machines are missing in the cloud's list, in steady milliseconds. */
+  /** Since when machines have been missing from the cloud's list, in monotonic milliseconds. */
   private readonly unlistedSince = new Map<string, number>();
   private readonly claimedAt: number;
 
   constructor(
     private readonly options: AutoscalerOptions,
     private readonly records: MachineRecords,
-    /** Machines that are being given to another shard or back to the cloud. */
+    /** Machines that are being moved to another shard or returned to the cloud. */
     private readonly moving: Set<string>,
   ) {
     this.claimedAt = options.context.clock.now();
   }
 
-  /** Returns what nobody needs, never came up, has gone silent or fails all tasks. */
+  /** Returns machines to the cloud that are not needed, never came up, stopped reporting or fail all tasks. */
   returnIdle(now: number): void {
-    const due: Machine[] = [];
-    for (const m of this.options.registry.machines.values())
-      if (!this.moving.has(m.id) && this.isDue(m, now)) due.push(m);
-    if (due.length > 0) void this.giveBack(due.slice(0, RELEASE_LIMIT));
+    const toReturn: Machine[] = [];
+    for (const machine of this.options.registry.machines.values())
+      if (!this.moving.has(machine.id) && this.shouldReturn(machine, now)) toReturn.push(machine);
+    if (toReturn.length > 0) void this.returnMachines(toReturn.slice(0, RELEASE_LIMIT));
   }
 
-  /** Compares the machines with the cloud's list, which is late and may be older than the one before. */
+  /** Compares the machines with the cloud's list, which is delayed and may be older than the previous one. */
   onMachinesListed(): void {
     const { context, log, registry } = this.options;
     const now = context.clock.now();
     const { listedById } = context.catalog;
-    const patienceMs = Math.max(
+    const maxUnlistedMs = Math.max(
       MIN_UNLISTED_MS,
       context.settings.cloudLimits.listLagS * UNLISTED_LAGS * 1000,
     );
-    for (const m of registry.machines.values()) {
-      const listed = listedById.get(m.id);
+    for (const machine of registry.machines.values()) {
+      const listed = listedById.get(machine.id);
       if (listed) {
-        this.unlistedSince.delete(m.id);
-        if (!m.addr && listed.addr) m.addr = listed.addr;
-        if (listed.state === 'failed' && !this.moving.has(m.id)) {
-          log.info({ machine: m.id }, 'machine failed');
-          void this.giveBack([m]);
+        this.unlistedSince.delete(machine.id);
+        if (!machine.addr && listed.addr) machine.addr = listed.addr;
+        if (listed.state === 'failed' && !this.moving.has(machine.id)) {
+          log.info({ machine: machine.id }, 'machine failed');
+          void this.returnMachines([machine]);
         }
         continue;
       }
-      const since = this.unlistedSince.get(m.id) ?? now;
-      this.unlistedSince.set(m.id, since);
+      const since = this.unlistedSince.get(machine.id) ?? now;
+      this.unlistedSince.set(machine.id, since);
       const silent =
-        m.lastHeartbeatAt === null ? now - m.rentedAt > UNLISTED_AFTER_RENTAL_MS : m.leaseExpired;
-      if (silent && now - since > patienceMs && !this.moving.has(m.id)) void this.giveBack([m]);
+        machine.lastHeartbeatAt === null
+          ? now - machine.rentedAt > UNLISTED_AFTER_RENTAL_MS
+          : machine.leaseExpired;
+      if (silent && now - since > maxUnlistedMs && !this.moving.has(machine.id))
+        void this.returnMachines([machine]);
     }
     for (const id of this.unlistedSince.keys()) if (!registry.machines.has(id)) this.unlistedSince.delete(id);
   }
 
-  private isDue(m: Machine, now: number): boolean {
+  private shouldReturn(machine: Machine, now: number): boolean {
     const { hooks, registry } = this.options;
     const idle =
-      hooks.isIdle(m) &&
-      m.idleSince !== null &&
-      now - m.idleSince > this.maxIdleMs(m) &&
-      now - m.rentedAt > MIN_CHARGE_MS;
-    const silent = m.leaseExpired && now - registry.leaseEnd(m) > SILENT_RETURN_MS;
-    const failing = m.consecutiveErrors >= MAX_CONSECUTIVE_ERRORS && m.attempts.size === 0 && m.reconciled;
-    return m.decommissioning || idle || this.isOverdue(m, now) || silent || failing;
+      hooks.isIdle(machine) &&
+      machine.idleSince !== null &&
+      now - machine.idleSince > this.maxIdleMs(machine) &&
+      now - machine.rentedAt > MIN_CHARGE_MS;
+    const silent = machine.leaseExpired && now - registry.leaseEnd(machine) > SILENT_RETURN_MS;
+    const failing =
+      machine.consecutiveErrors >= MAX_CONSECUTIVE_ERRORS &&
+      machine.attempts.size === 0 &&
+      machine.reconciled;
+    return machine.decommissioning || idle || this.isOverdue(machine, now) || silent || failing;
   }
 
-  /** Whether a machine has not come up in time. */
-  private isOverdue(m: Machine, now: number): boolean {
-    const type = this.options.context.catalog.get(m.type);
+  /** Returns whether a machine has not come up in time. */
+  private isOverdue(machine: Machine, now: number): boolean {
+    const type = this.options.context.catalog.get(machine.type);
     return (
-      m.lastHeartbeatAt === null &&
-      !m.mayHoldUnreportedTasks &&
+      machine.lastHeartbeatAt === null &&
+      !machine.mayHoldUnreportedTasks &&
       type !== undefined &&
-      now - m.rentedAt > type.bootS * OVERDUE_BOOTS * 1000 + OVERDUE_MARGIN_MS &&
+      now - machine.rentedAt > type.bootS * OVERDUE_BOOTS * 1000 + OVERDUE_MARGIN_MS &&
       now - this.claimedAt > NEW_OWNER_GRACE_MS
     );
   }
 
   /**
-   * How long a machine may be idle, in milliseconds. Where tasks are expected to start sooner than a machine boots, idle
-   * machines are what makes it possible: all of them where nearly every task must, and for about a boot where many may miss
-   * it. A class of small tasks keeps only machines that are among the cheapest for them.
+   * Returns how long a machine may be idle, in milliseconds. If tasks are expected to start faster than a machine
+   * boots, only idle machines make that possible. They are kept longest if nearly every task must start that fast,
+   * and for about one boot time if many tasks may miss the target. For a class of small tasks only machines among the
+   * cheapest for them are kept.
    */
-  private maxIdleMs(m: Machine): number {
+  private maxIdleMs(machine: Machine): number {
     const { catalog, settings } = this.options.context;
-    const bootS = catalog.get(m.type)?.bootS ?? 0;
+    const bootS = catalog.get(machine.type)?.bootS ?? 0;
     const soonerThanBoot = settings.objectives.filter(
       (o) =>
         o.kind !== 'finished' &&
         o.withinS !== null &&
         o.withinS < bootS * 1.5 &&
-        (o.class === null || this.isKeptFor(m, o.class)),
+        (o.class === null || this.isKeptFor(machine, o.class)),
     );
     if (soonerThanBoot.length === 0) return SHORT_IDLE_MS;
-    return soonerThanBoot.some((o) => (o.share ?? 1) >= NEARLY_ALL) ? LONG_IDLE_MS : MEDIUM_IDLE_MS;
+    return soonerThanBoot.some((o) => (o.share ?? 1) >= HIGH_OBJECTIVE_SHARE) ? LONG_IDLE_MS : MEDIUM_IDLE_MS;
   }
 
-  private isKeptFor(m: Machine, jobClass: string): boolean {
+  private isKeptFor(machine: Machine, jobClass: string): boolean {
     const { context, hooks } = this.options;
     const taskSize = hooks.taskSizeOf(jobClass);
     if (!taskSize) return hooks.hasSeenNoJob();
-    const size = context.catalog.size(m.type);
-    if (fitCount(size, taskSize, 1) > 0 && fitCount(size, taskSize, KEPT_TASKS) < KEPT_TASKS) return true;
+    const size = context.catalog.size(machine.type);
+    if (
+      fitCount(size, taskSize, 1) > 0 &&
+      fitCount(size, taskSize, MIN_TASKS_OF_SMALL_CLASS) < MIN_TASKS_OF_SMALL_CLASS
+    )
+      return true;
     const costs = context.catalog
       .all()
       .map(([type, t]) => ({ type, cost: t.price / fitCount(t, taskSize, MAX_RESERVED_TASKS) }));
     const least = Math.min(...costs.map((c) => c.cost));
-    return costs.some((c) => c.type === m.type && c.cost <= least * MAX_KEPT_COST_FACTOR);
+    return costs.some((c) => c.type === machine.type && c.cost <= least * MAX_KEPT_COST_FACTOR);
   }
 
-  /** Returns machines to the cloud: marked durably first, so that no owner ever uses them again. */
-  private async giveBack(machines: Machine[]): Promise<void> {
+  /** Returns machines to the cloud, after marking them durably so that no owner ever uses them again. */
+  private async returnMachines(machines: Machine[]): Promise<void> {
     const { context, log, registry } = this.options;
-    for (const m of machines) this.moving.add(m.id);
+    for (const machine of machines) this.moving.add(machine.id);
     try {
       const marked = await this.records.markDecommissioning(machines);
       if (marked.length === 0) return;
-      await context.cloud.release(marked.map((m) => m.id));
-      log.info({ machines: marked.map((m) => m.id) }, 'machines returned');
-      // They are surely no more.
-      for (const m of marked) registry.remove(m);
+      await context.cloud.release(marked.map((machine) => machine.id));
+      log.info({ machines: marked.map((machine) => machine.id) }, 'machines returned');
+      // The cloud has confirmed the release, so the machines no longer exist.
+      for (const machine of marked) registry.remove(machine);
       await this.records.delete(marked);
     } catch (error) {
       log.info({ machines: machines.length, err: error }, 'returning machines failed');
       await pause(context.clock, RETURN_RETRY_MS);
     } finally {
-      for (const m of machines) this.moving.delete(m.id);
+      for (const machine of machines) this.moving.delete(machine.id);
     }
   }
 }
--- a/src/autoscaler/scaleout.ts
+++ b/src/autoscaler/scaleout.ts
@@ -6,36 +6,36 @@
 import type { MachineRecords } from './machinerecords.js';
 import type { AutoscalerOptions } from './options.js';
 
-/** A kind of machine that is not available is asked for again after this, and after twice as long each time. */
+/** Backoff after which an unavailable kind of machine is requested again; doubled with each failure. */
 const NO_CAPACITY_BACKOFF_MS = 15_000;
 const MAX_NO_CAPACITY_BACKOFF_MS = 30_000;
-/** All shards asking for all kinds that are not available take no more than this of the cloud's rate. */
+/** Maximum fraction of the cloud's request rate that all shards together use to probe for unavailable kinds. */
 const PROBING_FRACTION = 0.2;
-/** While the cloud fails, one rental at a time is tried, at growing intervals. */
+/** While the cloud fails, one rental at a time is attempted, at growing intervals. */
 const CLOUD_BACKOFF_MS = 1000;
 const MAX_CLOUD_BACKOFF_MS = 2500;
 const MAX_PENDING_RENTALS = 6;
 
-/** Machines that have been asked for and are not recorded yet. */
+/** Machines that have been requested from the cloud and are not recorded yet. */
 export interface PendingRental {
   readonly option: RentOption;
   readonly count: number;
-  /** When it began, in steady milliseconds. */
+  /** When the rental was started, in monotonic milliseconds. */
   readonly at: number;
 }
 
-/** Nothing is tried until then (steady milliseconds), after a pause of so many milliseconds. */
+/** A pause of `pauseMs` milliseconds during which nothing is attempted, and its end in monotonic milliseconds. */
 interface Backoff {
   readonly until: number;
   readonly pauseMs: number;
 }
 
-/** What became of a rental. */
+/** The outcome of a rental. */
 type RentalOutcome =
   | { readonly kind: 'rented'; readonly machines: string[] }
-  /** The cloud has no such machines at present. */
+  /** The cloud currently has no such machines. */
   | { readonly kind: 'noCapacity' }
-  /** The cloud did not answer, or failed; what was wanted is planned anew. */
+  /** The cloud did not answer, or failed; the demand is planned again. */
   | { readonly kind: 'failed' };
 
 const NO_BACKOFF: Backoff = { until: 0, pauseMs: 0 };
@@ -43,7 +43,7 @@
 /** Rents a shard's machines. */
 export class ScaleOut {
   readonly rentals = new Set<PendingRental>();
-  /** Kinds of machine (`kindKey`) that were not available. */
+  /** Backoffs of the kinds of machine that were unavailable, by `kindKey`. */
   private readonly unavailableKinds = new Map<string, Backoff>();
   private cloudBackoff = NO_BACKOFF;
 
@@ -52,7 +52,7 @@
     private readonly records: MachineRecords,
   ) {}
 
-  /** Whether anything could be rented now. */
+  /** Returns whether any machine may be rented at `now`. */
   mayRent(now: number): boolean {
     const { context, registry } = this.options;
     return (
@@ -63,43 +63,53 @@
     );
   }
 
-  /** Rents for tasks that would wait too long, the first shortage first. */
+  /** Rents machines for tasks that would wait too long, in the order of `shortages`. */
   rentFor(shortages: Shortage[], now: number): void {
     const { context, registry, hooks } = this.options;
     const maxRentals = MAX_PENDING_RENTALS - this.rentals.size;
     if (shortages.length === 0 || maxRentals <= 0 || now < this.cloudBackoff.until) return;
-    // A shard has no more machines than its owner has connections for.
+    // A shard may have no more machines than its owner has connections for.
     let maxMachines = maxMachinesPerShard(context.settings.limits.maxSockets) - registry.machines.size;
     for (const r of this.rentals) maxMachines -= r.count;
     const wanted = [];
-    for (const w of chooseRentals(shortages, this.rentOptions(now), RENT_LIMIT).slice(0, maxRentals)) {
-      const count = Math.min(w.count, maxMachines);
+    for (const rental of chooseRentals(shortages, this.rentOptions(now), RENT_LIMIT).slice(0, maxRentals)) {
+      const count = Math.min(rental.count, maxMachines);
       if (count <= 0) break;
       maxMachines -= count;
-      wanted.push({ option: w.option, count });
+      wanted.push({ option: rental.option, count });
     }
-    for (const w of wanted) void this.rent(w.option, w.count);
+    for (const rental of wanted) void this.rent(rental.option, rental.count);
     if (wanted.length > 0) hooks.requestPlan();
   }
 
-  /** What may be rented now, the shard's own zone first among equals. */
+  /** Returns the machines that may be rented now; among equal options the shard's own zone comes first. */
   rentOptions(now: number): RentOption[] {
     const { catalog, names, settings } = this.options.context;
-    const out: RentOption[] = [];
-    for (const [type, t] of catalog.all()) {
-      // Among equals its own zone comes first: a cut between zones does not part the shard from it.
-      const zones = [...t.zones].sort((a, b) => Number(b === settings.zone) - Number(a === settings.zone));
-      for (const z of zones) {
-        const zone = names.zones.index(z);
+    const options: RentOption[] = [];
+    for (const [type, machineType] of catalog.all()) {
+      // Among equals the shard's own zone comes first, because a partition between zones does not cut the shard off
+      // from it.
+      const zones = [...machineType.zones].sort(
+        (a, b) => Number(b === settings.zone) - Number(a === settings.zone),
+      );
+      for (const zoneName of zones) {
+        const zone = names.zones.index(zoneName);
         for (const spot of [true, false]) {
-          if (spot && t.spotPrice <= 0) continue;
+          if (spot && machineType.spotPrice <= 0) continue;
           if ((this.unavailableKinds.get(kindKey(type, zone, spot))?.until ?? 0) > now) continue;
-          const size = { cpus: t.cpus, gpus: t.gpus, memoryGb: t.memoryGb };
-          out.push({ type, zone, spot, size, price: spot ? t.spotPrice : t.price, bootS: t.bootS });
+          const size = { cpus: machineType.cpus, gpus: machineType.gpus, memoryGb: machineType.memoryGb };
+          options.push({
+            type,
+            zone,
+            spot,
+            size,
+            price: spot ? machineType.spotPrice : machineType.price,
+            bootS: machineType.bootS,
+          });
         }
       }
     }
-    return out;
+    return options;
   }
 
   private async rent(option: RentOption, count: number): Promise<void> {
@@ -118,7 +128,7 @@
       const outcome = await this.requestRental(request);
       if (outcome.kind === 'failed') return;
       const rented = outcome.kind === 'rented' ? outcome.machines : null;
-      this.noteAvailability(kindKey(option.type, option.zone, option.spot), rented?.length === count);
+      this.recordAvailability(kindKey(option.type, option.zone, option.spot), rented?.length === count);
       log[rented ? 'info' : 'debug'](
         { ...request, rented },
         rented ? 'machines rented' : 'no machines to rent',
@@ -130,7 +140,7 @@
     }
   }
 
-  /** Asks the cloud for machines. A request without an answer is repeated, since it may have been executed. */
+  /** Requests machines from the cloud; repeats a request without an answer, since it may have been executed. */
   private async requestRental(request: Rental): Promise<RentalOutcome> {
     const { context, hooks, log } = this.options;
     while (!hooks.stopped()) {
@@ -146,22 +156,23 @@
         );
         this.cloudBackoff = { until: context.clock.now() + pauseMs, pauseMs };
         await pause(context.clock, pauseMs);
-        // After an outage, what was wanted is planned anew; the same request is only repeated while it may have worked.
+        // After an outage the demand is planned again; the same request is repeated only while it may have been
+        // executed.
         if (!(error instanceof CloudError) || !error.mayHaveApplied) break;
       }
     }
     return { kind: 'failed' };
   }
 
-  private noteAvailability(key: string, available: boolean): void {
+  private recordAvailability(key: string, available: boolean): void {
     if (available) {
       this.unavailableKinds.delete(key);
       return;
     }
     const { catalog, clock, settings } = this.options.context;
-    const kinds = catalog.all().reduce((sum, [, t]) => sum + 2 * t.zones.length, 0);
+    const kinds = catalog.all().reduce((sum, [, machineType]) => sum + 2 * machineType.zones.length, 0);
     const probingRate = Math.max(0.1, settings.cloudLimits.rps * PROBING_FRACTION);
-    // All shards that ask for all kinds, one after the other, take so long.
+    // The time that all shards need to request all kinds one after another at that rate.
     const probingMs = (kinds * settings.nodes * 1000) / probingRate;
     const pauseMs = Math.min(
       Math.max(MAX_NO_CAPACITY_BACKOFF_MS, probingMs),
@@ -171,7 +182,7 @@
   }
 }
 
-/** Names a kind of machine by indices: type, zone, and whether it is a spot one. */
+/** Returns the key of a kind of machine: the indices of its type and zone, and whether it is a spot machine. */
 export function kindKey(type: number, zone: number, spot: boolean): string {
   return `${type}/${zone}/${spot}`;
 }
--- a/src/autoscaler/shardstatus.ts
+++ b/src/autoscaler/shardstatus.ts
@@ -1,8 +1,9 @@
 import * as v from 'valibot';
 
 /**
- * What owners tell the leader about their shards, so that it can move machines between them. `read…` checks what has come
- * and returns it by the names of the code, null when it is none; `write…` returns what is sent.
+ * The messages in which owners report the status of their shards to the leader, so that it can move machines between
+ * them. A `read…` function validates a received value and returns it under the names used in the code, or null if it
+ * is invalid; a `write…` function returns the value to send.
  */
 
 const wireMachine = v.object({
@@ -40,76 +41,76 @@
 });
 type WireShardStatus = v.InferOutput<typeof wireShardStatus>;
 
-/** A machine that holds nothing. */
+/** A machine without tasks. */
 export interface IdleMachine {
   readonly id: string;
-  /** Its machine type, by name. */
+  /** The name of the machine type. */
   readonly type: string;
   readonly zone: string;
   readonly spot: boolean;
-  /** Images in its cache, by name. */
+  /** Names of the images in the machine's cache. */
   readonly images: string[];
 }
 
-/** A machine whose tasks may all be stopped for tasks of a higher priority. */
+/** A machine all of whose tasks may be stopped for tasks of a higher priority. */
 export interface PreemptibleMachine extends IdleMachine {
-  /** The highest priority of its tasks. */
+  /** The highest priority among the machine's tasks. */
   readonly highestPriority: number;
 }
 
-/** Tasks of one job that wait for machines. The same fields are sent. */
+/** Tasks of one job that are waiting for machines. The fields are sent under these names. */
 export interface ResourceDemand {
-  /** The machine types that serve, by name; null: all. */
+  /** Names of the suitable machine types; null for all types. */
   readonly types: string[] | null;
-  /** The zone that they are bound to; null: any. */
+  /** The zone that the tasks are bound to; null for any zone. */
   readonly zone: string | null;
-  /** Whether spot machines serve. */
+  /** Whether spot machines are suitable. */
   readonly spot: boolean;
-  /** What one task takes. */
+  /** The resources that one task takes. */
   readonly cpus: number;
   readonly gpus: number;
   readonly memoryGb: number;
-  /** How many tasks wait. */
+  /** Number of waiting tasks. */
   readonly count: number;
   readonly priority: number;
-  /** Within what its team is guaranteed. */
+  /** Whether the demand is within what its team is guaranteed. */
   readonly guaranteed: boolean;
-  /** When the job is due, as a time of day in milliseconds. */
+  /** The job's deadline as wall-clock time in milliseconds. */
   readonly deadline: number;
-  /** How long they would wait in their own shard, in seconds. */
+  /** How long the tasks would wait in their own shard, in seconds. */
   readonly waitS: number;
-  /** The only kinds of machine that serve (`machineKindName`), where type, zone and spot alone do not say. */
+  /** The only suitable kinds of machine (`machineKindName`), if type, zone and spot alone do not determine them. */
   readonly kinds?: string[] | undefined;
 }
 
-/** How one shard stands. */
+/** The status of one shard. */
 export interface ShardStatus {
   readonly shard: number;
   /** The owner's node. */
   readonly node: string;
-  /** Where the owner is. */
+  /** The zone of the owner. */
   readonly zone: string;
-  /** How long all of the shard's machines would take for the urgent work that waits, in seconds. */
+  /** The time that all of the shard's machines together would need for the waiting urgent work, in seconds. */
   readonly urgentS: number;
-  /** How many machines the shard has. */
+  /** Number of machines in the shard. */
   readonly machines: number;
   readonly idleMachines: IdleMachine[];
-  /** Machines that hold nothing above a priority. */
+  /** Machines with only tasks of lower priority, which may be stopped. */
   readonly preemptible: PreemptibleMachine[];
-  /** What waits, the most urgent first. */
+  /** The waiting demands, most urgent first. */
   readonly demands: ResourceDemand[];
 }
 
-/** A kind of machine in messages between nodes. */
+/** Returns the name of a kind of machine in messages between nodes. */
 export function machineKindName(type: string, zone: string, spot: boolean): string {
   return `${type} ${zone} ${spot ? 'spot' : 'ordinary'}`;
 }
 
-/** A shard's status that has come; null when it is none. */
+/** Reads a received shard status; returns null if the value is not one. */
 export function readShardStatus(value: unknown): ShardStatus | null {
-  const p = v.safeParse(wireShardStatus, value);
-  if (!p.success) return null;
-  const { spares, soft, needs, ...rest } = p.output;
+  const parsed = v.safeParse(wireShardStatus, value);
+  if (!parsed.success) return null;
+  const { spares, soft, needs, ...rest } = parsed.output;
   return {
     ...rest,
     idleMachines: spares,
@@ -118,22 +119,22 @@
   };
 }
 
-/** A shard's status as it is sent; the order of fields is that of their bytes. */
-export function writeShardStatus(s: ShardStatus): WireShardStatus {
+/** Returns a shard status in the form in which it is sent; the order of the fields determines the bytes sent. */
+export function writeShardStatus(status: ShardStatus): WireShardStatus {
   return {
-    shard: s.shard,
-    node: s.node,
-    zone: s.zone,
-    urgentS: s.urgentS,
-    machines: s.machines,
-    spares: s.idleMachines,
-    soft: s.preemptible.map(({ highestPriority, ...machine }) => ({ ...machine, top: highestPriority })),
-    needs: s.demands,
+    shard: status.shard,
+    node: status.node,
+    zone: status.zone,
+    urgentS: status.urgentS,
+    machines: status.machines,
+    spares: status.idleMachines,
+    soft: status.preemptible.map(({ highestPriority, ...machine }) => ({ ...machine, top: highestPriority })),
+    needs: status.demands,
   };
 }
 
-/** A demand that has come; null when it is none. */
+/** Reads a received demand; returns null if the value is not one. */
 export function readResourceDemand(value: unknown): ResourceDemand | null {
-  const p = v.safeParse(wireDemand, value);
-  return p.success ? p.output : null;
+  const parsed = v.safeParse(wireDemand, value);
+  return parsed.success ? parsed.output : null;
 }
--- a/src/changefeed/changefeed.ts
+++ b/src/changefeed/changefeed.ts
@@ -1,4 +1,5 @@
-// This package: every change under a prefix of the key-value store, at every controller: a few watch, the others follow them.
+// This package: distributes every change under a prefix of the key-value store to all controllers. A few controllers
+// watch the store, and the others follow them.
 
 import { type Clock, pause } from '../clock/clock.js';
 import { type PeriodicTask, startPeriodicTask } from '../clock/periodictask.js';
@@ -18,85 +19,94 @@
 import { SourceHealth } from './sourcehealth.js';
 import { type PresentNode, SOURCES_PER_REGION, type SourceOrder, sourceOrder } from './sourceorder.js';
 import { Subscribers } from './subscribers.js';
-import { watchPaceMs } from './watchpacing.js';
+import { minWatchIntervalMs } from './watchpacing.js';
 
-/** What a cache of the keys reads from; the key-value store itself serves as well. */
+/** The source that a cache of the keys reads from; the key-value store itself can be one. */
 export type ChangeSource = Pick<StateStore, 'list' | 'watch'>;
 
-/** What a `ChangeFeed` goes by. */
+/** The configuration of a `ChangeFeed` and the state it depends on. */
 export interface ChangeFeedOptions {
   /** This node's name. */
   readonly node: string;
   /** The prefix of the keys whose changes are passed on. */
   readonly prefix: string;
   readonly regionOf: (node: string) => string;
-  /** This node's even share of the key-value store's requests, a second. */
+  /** This node's even share of the key-value store's request rate, per second. */
   readonly requestsPerSecond: number;
-  /** Nodes that are present and pass changes on, as this node's cache of the keys shows them. */
+  /** Present nodes that pass changes on, according to this node's cache of the keys. */
   readonly presentNodes: () => PresentNode[];
-  /** Whether the key-value store serves this node at present, as far as it knows by other requests. */
+  /** Whether the key-value store currently serves this node, judged by the node's other requests. */
   readonly isStateStoreReachable: () => boolean;
 }
 
-/** A source answers after this at the latest, with changes or without; so much longer is waited for the answer. */
+/**
+ * A source answers after at most `IDLE_WAIT_MS`, with or without changes; its answer may take `ANSWER_MARGIN_MS`
+ * longer.
+ */
 const IDLE_WAIT_MS = 500;
 const ANSWER_MARGIN_MS = 400;
-/** How often another source is asked for its latest revision, and how long its answer is waited for. */
+/** How often another source is asked for its latest revision, and the timeout of that request. */
 const PROGRESS_CHECK_INTERVAL_MS = 150;
 const PROGRESS_TIMEOUT_MS = 900;
 /**
- * This node lacks a change that another one had so long ago, beside the time between two watches of its source: the
- * source is behind.
+ * If this node still lacks a change that another source had this long ago, in addition to the interval between two
+ * watches of its own source, its source is behind.
  */
 const BEHIND_CONFIRM_MS = 100;
-/** Without any source, nodes watch the key-value store one after the other, so far apart; meanwhile they look again. */
+/**
+ * Without any source, nodes start to watch the key-value store one after another at this interval; until its turn, a
+ * node keeps looking for a source.
+ */
 const DIRECT_STAGGER_MS = 150;
 const UNDECIDED_RETRY_MS = 100;
-/** A node that had to watch the key-value store itself does so for this long. */
+/** Minimum time for which a node without a source watches the key-value store itself. */
 const MIN_DIRECT_MS = 3000;
 
-/** What the key-value store tells of the changes after a revision; null when it no longer keeps changes that old. */
+/** The key-value store's answer with the changes after a revision; null when it no longer keeps changes that old. */
 type WatchResult = Awaited<ReturnType<ChangeSource['watch']>>;
 
-/** Where the next changes are to come from. */
+/** The source chosen for the next changes. */
 type SourceChoice =
   | { readonly kind: 'stateService' }
   | { readonly kind: 'node'; readonly node: string }
-  /** It cannot be decided yet. */
+  /** No source can be chosen yet. */
   | { readonly kind: 'undecided' };
 
-/** How one request for changes ended. */
+/** The outcome of one request for changes. */
 type RequestOutcome =
   | { readonly kind: 'changes'; readonly revision: number; readonly changes: Change[] }
   /** The key-value store no longer keeps changes that old. */
   | { readonly kind: 'compacted' }
-  /** It came to nothing, and the source is chosen anew. */
+  /** The request returned no usable changes, and the source is chosen again. */
   | { readonly kind: 'failed' }
-  /** Another source turned out to be better meanwhile. */
+  /** A better source was found during the request. */
   | { readonly kind: 'interrupted' };
 
 const FAILED: RequestOutcome = { kind: 'failed' };
 
 /**
- * Gives a cache of the keys the changes under its prefix, by way of a source or from the key-value store itself. All of it
- * is a hint, as the cache is: what comes late, twice or not at all never decides anything.
+ * Supplies a cache of the keys with the changes under its prefix, from another node or from the key-value store
+ * itself. Everything it supplies is a hint, like the cache itself: no decision relies on a change arriving on time,
+ * only once or at all.
  */
 export class ChangeFeed implements ChangeSource {
   private readonly log = new ChangeLog();
   private readonly subscribers: Subscribers;
   private readonly sourceHealth: SourceHealth;
-  /** Whom this node follows; null while it watches the key-value store itself. */
+  /** The node that this node follows; null while it watches the key-value store itself. */
   private following: string | null = null;
-  /** Since when there is no source to follow; null while there is one. */
-  private sourcelessSince: number | null = null;
-  /** Until when this node watches the key-value store itself, since there was no source. */
+  /** Since when there has been no source to follow; null while there is one. */
+  private noSourceSince: number | null = null;
+  /** Until when this node watches the key-value store itself for lack of a source. */
   private directUntil = Number.NEGATIVE_INFINITY;
-  /** When the last watch of this node's own returned changes. */
-  private watchedAt = Number.NEGATIVE_INFINITY;
-  /** Ends the wait for the request under way, if there is one. */
+  /** When this node's own watch last returned changes. */
+  private lastChangesAt = Number.NEGATIVE_INFINITY;
+  /** Ends the wait for the pending request, if there is one. */
   private interrupt: (() => void) | null = null;
-  /** A node whose progress this node's own is compared with, and whether it watches the key-value store itself. */
-  private witness: { readonly node: string; readonly watches: boolean } | null = null;
+  /**
+   * The node whose progress is compared with this node's, and whether that node watches the key-value store itself.
+   */
+  private progressPeer: { readonly node: string; readonly isWatching: boolean } | null = null;
   private mesh: Mesh | null = null;
   private progressChecks: PeriodicTask | null = null;
 
@@ -110,7 +120,7 @@
     this.sourceHealth = new SourceHealth(clock);
   }
 
-  /** Connects the node to the others; before that it watches the key-value store itself. */
+  /** Connects the feed to the other nodes; until then it watches the key-value store itself. */
   start(mesh: Mesh): void {
     this.mesh = mesh;
     this.progressChecks ??= startPeriodicTask(this.clock, PROGRESS_CHECK_INTERVAL_MS, () =>
@@ -120,28 +130,29 @@
     );
   }
 
-  /** Compares its progress with others' no more. */
+  /** Stops comparing progress with other nodes. */
   stop(): void {
     this.progressChecks?.stop();
   }
 
-  /** Whom this node follows at present; null while it watches the key-value store itself. */
+  /** The node that this node currently follows; null while it watches the key-value store itself. */
   get source(): string | null {
     return this.following;
   }
 
-  /** Reads all entries from the key-value store itself. Fails with `StateStoreError`. */
+  /** Reads all entries from the key-value store itself. Rejects with `StateStoreError` on failure. */
   list(prefix: string): ReturnType<ChangeSource['list']> {
     return this.store.list(prefix);
   }
 
   /**
-   * Changes after a revision, as soon as there are some, or none after `waitMs`; null when the key-value store no longer
-   * keeps changes that old. Fails with `StateStoreError` when the key-value store did not answer. One call at a time.
+   * Returns the changes after a revision as soon as there are any, or none after `waitMs`; null when the key-value
+   * store no longer keeps changes that old. Rejects with `StateStoreError` if the key-value store did not answer.
+   * Only one call may be pending at a time.
    */
   async watch(prefix: string, since: number, waitMs: number): Promise<WatchResult> {
     this.log.startFrom(since);
-    const until = this.clock.now() + waitMs;
+    const deadline = this.clock.now() + waitMs;
     for (;;) {
       const order = this.order();
       const choice = this.chooseSource(order);
@@ -159,12 +170,12 @@
       if (changes.length > 0) {
         this.log.append({ since, revision, changes });
         this.subscribers.onAppend();
-      } else if (this.clock.now() < until) continue;
+      } else if (this.clock.now() < deadline) continue;
       return { revision, changes };
     }
   }
 
-  /** Answers another node's request. Throws `ProtocolViolationError` when it is no request of this feed's. */
+  /** Answers another node's request. Throws `ProtocolViolationError` if it is not a valid request to this feed. */
   async serve(op: string, args: unknown): Promise<unknown> {
     if (op === CHANGE_FEED_OPS.head) return this.subscribers.latestRevision();
     const request = readChangesRequest(args);
@@ -173,7 +184,7 @@
     return this.subscribers.changesAfter(request);
   }
 
-  // --- where changes come from
+  // --- choice of the source
 
   private order(): SourceOrder {
     const { node, presentNodes, regionOf } = this.options;
@@ -186,22 +197,22 @@
 
   private chooseSource(order: SourceOrder): SourceChoice {
     const now = this.clock.now();
-    if (order.source && !this.sourceHealth.isUnhealthy(this.options.node)) return this.switchSource(null);
+    if (order.isSource && !this.sourceHealth.isUnhealthy(this.options.node)) return this.switchSource(null);
     const usable = this.firstUsableSource(order);
     if (usable !== null && now >= this.directUntil) return this.switchSource(usable);
-    if (order.source || now < this.directUntil) return this.switchSource(null);
-    this.sourcelessSince ??= now;
-    if (now - this.sourcelessSince < (order.position - SOURCES_PER_REGION) * DIRECT_STAGGER_MS) {
-      // Those before this one may watch the key-value store by now.
+    if (order.isSource || now < this.directUntil) return this.switchSource(null);
+    this.noSourceSince ??= now;
+    if (now - this.noSourceSince < (order.position - SOURCES_PER_REGION) * DIRECT_STAGGER_MS) {
+      // Nodes earlier in the order may have started to watch the key-value store by now.
       this.sourceHealth.retry(order.candidates);
       return { kind: 'undecided' };
     }
     this.directUntil = now + MIN_DIRECT_MS;
-    this.sourcelessSince = null;
+    this.noSourceSince = null;
     return this.switchSource(null);
   }
 
-  /** Changes come from a node from now on, or from the key-value store itself (null). */
+  /** Switches the source of changes to a node, or to the key-value store itself (null). */
   private switchSource(source: string | null): SourceChoice {
     if (source !== this.following) {
       this.logger.info({ source: source ?? 'key-value store' }, 'change source switched');
@@ -211,12 +222,12 @@
     return source === null ? { kind: 'stateService' } : { kind: 'node', node: source };
   }
 
-  /** Waits for a request under way, unless another source turns out to be better meanwhile. */
+  /** Waits for a pending request unless a better source is found first. */
   private interruptible(request: Promise<RequestOutcome>): Promise<RequestOutcome> {
     const interrupted = new Promise<RequestOutcome>((resolve) => {
       this.interrupt = () => resolve({ kind: 'interrupted' });
     });
-    // What was given up may fail later, which concerns nobody.
+    // An abandoned request may fail later; that failure is ignored.
     request.catch(() => undefined);
     return Promise.race([request, interrupted]).finally(() => {
       this.interrupt = null;
@@ -227,34 +238,38 @@
     order: SourceOrder,
     { prefix, since, waitMs }: ChangesRequest,
   ): Promise<RequestOutcome> {
-    const paceMs = this.paceMs(order, this.isFirst(order));
-    const remainingMs = this.watchedAt + paceMs - this.clock.now();
+    const minIntervalMs = this.minIntervalMs(order, this.isFirst(order));
+    const remainingMs = this.lastChangesAt + minIntervalMs - this.clock.now();
     if (remainingMs > 0) await pause(this.clock, remainingMs);
     if (this.following !== null) return FAILED;
     const result = await this.store.watch(prefix, since, waitMs);
     if (result === null) return { kind: 'compacted' };
-    // Only then the next one would come too soon.
-    if (result.changes.length > 0) this.watchedAt = this.clock.now();
+    // The interval between watches counts only from a watch that returned changes; an empty one already took its
+    // whole wait.
+    if (result.changes.length > 0) this.lastChangesAt = this.clock.now();
     return { kind: 'changes', revision: result.revision, changes: result.changes };
   }
 
-  /** The least time between two watches, in milliseconds. */
-  private paceMs(order: SourceOrder, first: boolean): number {
-    return watchPaceMs(first, order.firsts, this.options.requestsPerSecond);
+  /** Returns the minimum interval between two watches, in milliseconds. */
+  private minIntervalMs(order: SourceOrder, isFirstSource: boolean): number {
+    return minWatchIntervalMs(isFirstSource, order.regionCount, this.options.requestsPerSecond);
   }
 
-  /** How long this node may lack what another one knows, while all is well, in milliseconds. */
-  private lagMs(): number {
+  /** Returns how long this node may normally lack a change that another node has, in milliseconds. */
+  private maxLagMs(): number {
     const order = this.order();
-    const first = this.following === null ? this.isFirst(order) : this.following === order.candidates[0];
-    return this.paceMs(order, first) + BEHIND_CONFIRM_MS;
+    const isFirstSource =
+      this.following === null ? this.isFirst(order) : this.following === order.candidates[0];
+    return this.minIntervalMs(order, isFirstSource) + BEHIND_CONFIRM_MS;
   }
 
-  /** The first source of a region, or its second while the first does not watch. */
+  /** Returns whether this node is its region's first source, or its second source while the first does not watch. */
   private isFirst(order: SourceOrder): boolean {
     if (order.position === 0) return true;
-    const first = order.candidates[0];
-    return order.position === 1 && !(this.witness?.node === first && this.witness?.watches);
+    const firstSource = order.candidates[0];
+    return (
+      order.position === 1 && !(this.progressPeer?.node === firstSource && this.progressPeer?.isWatching)
+    );
   }
 
   private async follow(source: string, { prefix, since }: ChangesRequest): Promise<RequestOutcome> {
@@ -265,26 +280,27 @@
       .catch(() => null);
     if (response !== null && !('refused' in response) && response.since === since) {
       this.sourceHealth.onSuccess(source);
-      this.sourcelessSince = null;
+      this.noSourceSince = null;
       return { kind: 'changes', revision: response.revision, changes: response.changes };
     }
-    // Also where it does not keep what follows `since`: in the end the key-value store does.
+    // This includes a source that no longer keeps the changes after `since`; as a last resort the key-value store has
+    // them.
     this.sourceHealth.onFailure(source);
     return FAILED;
   }
 
-  // --- whether the others are further
+  // --- comparison of progress
 
   /**
-   * Asks another source for its latest revision: a source that the key-value store refuses, or that stands still, does not
-   * show that itself. Where this node's own source is behind, another one is chosen at once.
+   * Asks another source for its latest revision, because a source that is refused by the key-value store or is frozen
+   * does not reveal that itself. If this node's own source is behind, another one is chosen at once.
    */
   private async compareProgress(): Promise<void> {
-    const { witnesses } = this.order();
-    const reachable = witnesses.filter((c) => c !== this.following && this.mesh?.connected(c));
-    const node = this.nextWitness(reachable);
+    const { progressPeers } = this.order();
+    const reachable = progressPeers.filter((c) => c !== this.following && this.mesh?.connected(c));
+    const node = this.nextProgressPeer(reachable);
     if (node === null) {
-      this.witness = null;
+      this.progressPeer = null;
       return;
     }
     const response = await this.mesh!.request(node, CHANGE_FEED_OPS.head, {}, PROGRESS_TIMEOUT_MS)
@@ -292,9 +308,9 @@
       .catch(() => null);
     if (response === null) this.sourceHealth.onFailure(node);
     const lastChange = response?.lastChange ?? null;
-    this.witness = { node, watches: lastChange !== null };
+    this.progressPeer = { node, isWatching: lastChange !== null };
     if (lastChange === null || lastChange <= this.log.revision) return;
-    await pause(this.clock, this.lagMs());
+    await pause(this.clock, this.maxLagMs());
     if (lastChange <= this.log.revision) return;
     const behind = this.following ?? this.options.node;
     this.logger.info({ behind, witness: node, lastChange, revision: this.log.revision }, 'source is behind');
@@ -303,11 +319,11 @@
     this.interrupt?.();
   }
 
-  /** The same node as long as it watches, else the next one. */
-  private nextWitness(nodes: readonly string[]): string | null {
+  /** Returns the current progress peer as long as it watches the key-value store, otherwise the next node. */
+  private nextProgressPeer(nodes: readonly string[]): string | null {
     if (nodes.length === 0) return null;
-    const at = this.witness ? nodes.indexOf(this.witness.node) : -1;
-    if (at < 0) return nodes[0]!;
-    return this.witness?.watches ? nodes[at]! : nodes[(at + 1) % nodes.length]!;
+    const index = this.progressPeer ? nodes.indexOf(this.progressPeer.node) : -1;
+    if (index < 0) return nodes[0]!;
+    return this.progressPeer?.isWatching ? nodes[index]! : nodes[(index + 1) % nodes.length]!;
   }
 }
--- a/src/changefeed/changelog.ts
+++ b/src/changefeed/changelog.ts
@@ -1,8 +1,8 @@
 import type { Change } from '../wire/state.js';
 
-/** Changes of a prefix that follow a revision: everything up to `revision` is known with them. */
+/** The changes of a prefix after a revision, complete up to `revision`. */
 export interface Batch {
-  /** The revision that the changes follow. */
+  /** The revision after which the changes begin. */
   readonly since: number;
   readonly revision: number;
   readonly changes: Change[];
@@ -13,32 +13,34 @@
   readonly bytes: number;
 }
 
-/** What is kept for followers; whoever is further behind reads elsewhere. */
+/** Limits of the changes kept for followers; a follower that is further behind reads from another source. */
 const MAX_LOGGED_CHANGES = 4000;
 const MAX_LOGGED_BYTES = 4 * 1024 * 1024;
-/** The most in one answer, well below the largest message between nodes; a revision is never cut in two. */
+/**
+ * Limits of one answer, well below the largest message between nodes; the changes of one revision are never split.
+ */
 const MAX_BATCH_CHANGES = 200;
 const MAX_BATCH_BYTES = 256 * 1024;
 
-/** The last changes of a prefix, in the order of their revisions, without a gap. */
+/** The latest changes of a prefix, in the order of their revisions and without gaps. */
 export class ChangeLog {
   private logged: LoggedChange[] = [];
   private bytes = 0;
-  /** Changes after this revision are all here. */
+  /** The log holds all changes after this revision. */
   private base = 0;
   private end = 0;
 
-  /** All changes up to this revision are here or before the base. */
+  /** The revision up to which every change is either in the log or older than its base. */
   get revision(): number {
     return this.end;
   }
 
-  /** The revision of the last change that is kept; 0 when none is. */
+  /** The revision of the last change in the log; 0 if the log is empty. */
   get lastChange(): number {
     return this.logged.at(-1)?.change.version ?? 0;
   }
 
-  /** What is appended next follows this revision: the log begins anew there unless it is its end. */
+  /** Makes the next batch follow this revision, and clears the log unless the revision is its end. */
   startFrom(revision: number): void {
     if (revision === this.end) return;
     this.logged = [];
@@ -47,20 +49,22 @@
     this.end = revision;
   }
 
-  /** Adds changes; those up to the log's end are left out, and a batch that does not follow it begins the log anew. */
+  /**
+   * Appends changes, skipping those up to the log's end; a batch that does not follow that end clears the log first.
+   */
   append(batch: Batch): void {
     this.startFrom(batch.since);
-    const fresh = batch.changes.filter((c) => c.version > this.end);
-    for (const change of fresh.sort((a, b) => a.version - b.version)) {
+    const newChanges = batch.changes.filter((c) => c.version > this.end);
+    for (const change of newChanges.sort((a, b) => a.version - b.version)) {
       const bytes = Buffer.byteLength(JSON.stringify(change));
       this.logged.push({ change, bytes });
       this.bytes += bytes;
     }
     this.end = Math.max(this.end, batch.revision);
-    this.forgetOldest();
+    this.evictOldest();
   }
 
-  /** What follows a revision, empty when nothing does; null when the log does not reach back so far. */
+  /** Returns the changes after a revision, possibly none; null if the log does not reach back that far. */
   after(since: number): Batch | null {
     if (since < this.base) return null;
     const first = this.firstAfter(since);
@@ -70,17 +74,18 @@
     return { since, revision, changes: this.logged.slice(first, next).map((logged) => logged.change) };
   }
 
-  private forgetOldest(): void {
-    let drop = Math.max(0, this.logged.length - MAX_LOGGED_CHANGES);
+  private evictOldest(): void {
+    let dropCount = Math.max(0, this.logged.length - MAX_LOGGED_CHANGES);
     let bytes = this.bytes;
-    for (let i = 0; i < drop; i++) bytes -= this.logged[i]!.bytes;
-    while (bytes > MAX_LOGGED_BYTES && drop < this.logged.length) bytes -= this.logged[drop++]!.bytes;
-    if (drop === 0) return;
-    this.base = this.logged[drop - 1]!.change.version;
-    // Of a revision, either all changes are kept or none.
-    while (drop < this.logged.length && this.logged[drop]!.change.version === this.base)
-      bytes -= this.logged[drop++]!.bytes;
-    this.logged.splice(0, drop);
+    for (let i = 0; i < dropCount; i++) bytes -= this.logged[i]!.bytes;
+    while (bytes > MAX_LOGGED_BYTES && dropCount < this.logged.length)
+      bytes -= this.logged[dropCount++]!.bytes;
+    if (dropCount === 0) return;
+    this.base = this.logged[dropCount - 1]!.change.version;
+    // The changes of one revision are either all kept or all evicted.
+    while (dropCount < this.logged.length && this.logged[dropCount]!.change.version === this.base)
+      bytes -= this.logged[dropCount++]!.bytes;
+    this.logged.splice(0, dropCount);
     this.bytes = bytes;
   }
 
--- a/src/changefeed/sourceorder.ts
+++ b/src/changefeed/sourceorder.ts
@@ -1,31 +1,38 @@
-/** A node that is present and passes changes on. */
+/** A present node that passes changes on. */
 export interface PresentNode {
   readonly node: string;
-  /** Revision at which its presence was written: the smaller, the longer it is there. */
+  /** Revision at which the node's presence was written; the lower it is, the longer the node has been present. */
   readonly version: number;
 }
 
-/** How many nodes of each region watch the key-value store. */
+/** Number of nodes per region that watch the key-value store. */
 export const SOURCES_PER_REGION = 2;
 
-/** Who watches and who follows whom, as one node sees it. */
+/** The assignment of sources and followers, as seen by one node. */
 export interface SourceOrder {
-  /** How many nodes of this node's region come before it; 0 and 1 watch the key-value store themselves. */
+  /**
+   * Number of nodes of the same region that precede this node; at positions 0 and 1 it watches the key-value store
+   * itself.
+   */
   position: number;
-  /** Whom this node may follow, in the order in which it tries them; of two that watch, each may follow the other. */
+  /**
+   * Nodes that this node may follow, in the order in which it tries them; two watching nodes may each follow the
+   * other.
+   */
   candidates: string[];
-  /** Whose progress tells this node whether its own source is behind, in the order in which it asks them. */
-  witnesses: string[];
-  /** Whether this node is one of those that watch. */
-  source: boolean;
-  /** Nodes of all regions that are first in theirs. */
-  firsts: number;
+  /** Nodes whose progress shows whether this node's source is behind, in the order in which it asks them. */
+  progressPeers: string[];
+  /** Whether this node is one of the sources, which watch the key-value store. */
+  isSource: boolean;
+  /** Number of regions, and so of first sources; at least 1. */
+  regionCount: number;
 }
 
 /**
- * Who watches the key-value store and who follows whom, by the order of presence alone: all nodes that know the same
- * presences come to the same order, and a node that was restarted goes to its end. Only a node that watches the state
- * service itself answers followers, so that they never form a circle, however their views of the order differ.
+ * Determines which nodes watch the key-value store and which nodes follow them, from the order of presence alone. All
+ * nodes that know the same presences determine the same order, and a restarted node moves to its end. Only a node
+ * that watches the key-value store itself answers followers, so nodes never follow each other in a circle, however
+ * their views of the order differ.
  */
 export function sourceOrder(
   self: string,
@@ -39,21 +46,23 @@
     byRegion.set(regionOf(node), nodes);
     nodes.push(node);
   }
-  const mine = byRegion.get(regionOf(self)) ?? [];
-  const at = mine.indexOf(self);
-  const position = at < 0 ? mine.length : at;
-  // A source that is cut off follows the other one, or whoever has taken their place.
-  const known = position < SOURCES_PER_REGION ? 2 * SOURCES_PER_REGION : position;
-  const own = mine.slice(0, known).filter((node) => node !== self);
-  const elsewhere: string[] = [];
+  const regionNodes = byRegion.get(regionOf(self)) ?? [];
+  const index = regionNodes.indexOf(self);
+  const position = index < 0 ? regionNodes.length : index;
+  // A source that is cut off from the store follows the other source, or the nodes that have taken the sources'
+  // place.
+  const candidateCount = position < SOURCES_PER_REGION ? 2 * SOURCES_PER_REGION : position;
+  const sameRegion = regionNodes.slice(0, candidateCount).filter((node) => node !== self);
+  const otherRegions: string[] = [];
   for (const [region, nodes] of byRegion)
-    if (region !== regionOf(self)) elsewhere.push(...nodes.slice(0, SOURCES_PER_REGION));
+    if (region !== regionOf(self)) otherRegions.push(...nodes.slice(0, SOURCES_PER_REGION));
   return {
     position,
-    candidates: [...own, ...elsewhere],
-    // First sources know soonest. The second one of a region looks whether its first one is there.
-    witnesses: position === 1 ? [...own, ...elsewhere] : [...elsewhere, ...own],
-    source: position < SOURCES_PER_REGION,
-    firsts: Math.max(1, byRegion.size),
+    candidates: [...sameRegion, ...otherRegions],
+    // First sources learn of changes earliest. The second source of a region checks whether its first source is
+    // there.
+    progressPeers: position === 1 ? [...sameRegion, ...otherRegions] : [...otherRegions, ...sameRegion],
+    isSource: position < SOURCES_PER_REGION,
+    regionCount: Math.max(1, byRegion.size),
   };
 }
--- a/src/clock/clock.ts
+++ b/src/clock/clock.ts
@@ -1,22 +1,25 @@
-/** Time, as the program sees it. */
+/** Clocks, timers and the bound on clock drift. */
 
-/** A clock with timers; tests put a fake one in its place. */
+/** A clock with timers; tests replace it with a fake one. */
 export interface Clock {
-  /** Monotonic time: milliseconds since an arbitrary start. */
+  /** Returns the monotonic time: milliseconds since an arbitrary start. */
   now(): number;
-  /** Time of day in milliseconds since 1970, within the platform's skew of that of other machines. */
+  /**
+   * Returns the wall-clock time: milliseconds since 1970, differing from other machines by at most the platform's
+   * skew.
+   */
   wall(): number;
-  /** Calls `run` once after `ms` milliseconds, at the next turn of the event loop if that is not positive. */
+  /** Calls `run` once after `ms` milliseconds, or at the next turn of the event loop if `ms` is not positive. */
   after(ms: number, run: () => void): Timer;
 }
 
-/** A call that is due. */
+/** A scheduled call. */
 export interface Timer {
-  /** Prevents the call; without effect once it was made. */
+  /** Prevents the call; has no effect after the call was made. */
   cancel(): void;
 }
 
-/** The clock of the machine. */
+/** The system clock. */
 export const systemClock: Clock = {
   now: () => performance.now(),
   wall: () => Date.now(),
@@ -26,12 +29,12 @@
   },
 };
 
-/** The moment from which the time of day of fast clocks runs ahead, so that all of one speed agree on it. */
+/** The time from which the wall-clock time of fast clocks is scaled, so that all clocks of the same speed agree. */
 const FAST_CLOCK_EPOCH = Date.UTC(2026, 0, 1);
 
 /**
- * A clock that runs `speed` times as fast as the machine's, for trials on one machine: all processes of a cluster have to
- * run at the same speed.
+ * Returns a clock that runs `speed` times as fast as the system clock, for trials on one machine. All processes of a
+ * cluster must run at the same speed.
  */
 export function fastClock(speed: number): Clock {
   if (speed === 1) return systemClock;
@@ -49,5 +52,5 @@
   });
 }
 
-/** The monotonic clocks of two machines drift apart by no more than this share of the time. */
+/** Maximum drift between the monotonic clocks of two machines, as a fraction of the elapsed time. */
 export const MAX_CLOCK_DRIFT = 0.0005;
--- a/src/clock/periodictask.ts
+++ b/src/clock/periodictask.ts
@@ -1,15 +1,18 @@
-/** Loops that run in the background until they are stopped. */
+/** Background loops that run until they are stopped. */
 
 import type { Clock, Timer } from './clock.js';
 
-/** Ends what `startPeriodicTask` or `startPacedTask` has started; a run under way is not interrupted. */
+/**
+ * Handle of a loop started by `startPeriodicTask` or `startPacedTask`. Stopping it does not interrupt a run in
+ * progress.
+ */
 export interface PeriodicTask {
   stop(): void;
 }
 
 /**
- * Runs a task at once and then again `intervalMs` after each end of it, until it is stopped. A task that throws or
- * rejects is not run again: it has to handle what it expects to fail.
+ * Runs a task at once, and again `intervalMs` after the end of each run, until it is stopped. A task that throws or
+ * rejects is not run again, so it has to handle the failures it expects.
  */
 export function startPeriodicTask(
   clock: Clock,
@@ -22,7 +25,7 @@
   });
 }
 
-/** As `startPeriodicTask`; the task itself returns how long to wait before it runs again, in milliseconds. */
+/** Like `startPeriodicTask`, but the task itself returns the delay before its next run, in milliseconds. */
 export function startPacedTask(clock: Clock, task: () => number | Promise<number>): PeriodicTask {
   let stopped = false;
   let timer: Timer | null = null;
@@ -31,9 +34,9 @@
   };
   const run = () => {
     timer = null;
-    const next = task();
-    if (typeof next === 'number') schedule(next);
-    else void next.then(schedule);
+    const result = task();
+    if (typeof result === 'number') schedule(result);
+    else void result.then(schedule);
   };
   run();
   return {
--- a/src/config/bounds.ts
+++ b/src/config/bounds.ts
@@ -1,19 +1,23 @@
-/** Bounds that follow from the settings and the safety argument of docs/design.md. */
+/** Bounds that follow from the settings by the safety argument in docs/design.md. */
 
 import { MAX_CLOCK_DRIFT } from '../clock/clock.js';
 
-/** A node's lease in the key-value store where nothing requires a shorter one. */
+/** Duration of a node's lease in the key-value store, unless the settings require a shorter one. */
 const DEFAULT_LEASE_MS = 8000;
-/** A shorter one would expire while the key-value store is merely slow. */
+/** Minimum duration; a shorter lease would expire while the key-value store is merely slow. */
 const MIN_LEASE_MS = 3000;
-/** What a stop may take in addition: a command that gets no response, and the margin after which a machine's lease counts as expired. */
+/**
+ * Extra time for a stop: a command that gets no response, and the margin after which a machine's lease counts as
+ * expired.
+ */
 const STOP_MARGIN_MS = 3500;
 
 /**
- * How long a node's lease in the key-value store may last, in milliseconds. An owner that the service does not reach acts on for as
- * long as that, and its last answer keeps a machine's tasks for a worker's lease more, while another node may have told a user
- * meanwhile that a job is cancelled: `leaseMs` + worker's lease with drift + what a stop takes stays below `cancelS`. Where even the
- * shortest lease does not allow it, `missingMs` says by how much (docs/design.md, "Safety").
+ * Returns the longest permitted duration of a node's lease in the key-value store, in milliseconds. An owner that
+ * cannot reach the store keeps acting for up to that long, and its last response lets a machine keep its tasks for
+ * one more worker lease. Meanwhile another node may already have told a user that a job is cancelled. Therefore the
+ * sum of `leaseMs`, the worker's lease with clock drift and the time for a stop must stay below `cancelS`. If even
+ * the shortest lease exceeds that, `missingMs` is the excess (docs/design.md, "Safety").
  */
 export function nodeLease(workers: { leaseS: number; cancelS: number }): {
   leaseMs: number;
--- a/src/config/log.ts
+++ b/src/config/log.ts
@@ -1,14 +1,16 @@
-/** Logging: one JSON object a line on standard error. */
+/** Logging to standard error, one JSON object per line. */
 
 import pino from 'pino';
 
-/** The logger that the parts of a node share; errors go in the field `err`, ids in fields of their own. */
+/**
+ * The logger shared by the components of a node. Errors are logged in the field `err`, ids in fields of their own.
+ */
 export type Log = pino.Logger;
 
-/** The values of `LOG_LEVEL`, the fewest lines first. */
+/** The values of `LOG_LEVEL`, from the least to the most verbose. */
 export const LEVELS = ['error', 'warn', 'info', 'debug'] as const;
 
-/** A logger to standard error for lines of `level` and above; each line names the node. */
+/** Returns a logger to standard error for lines of `level` and above; each line names the node. */
 export function makeLog(level: string, node: string): Log {
   return pino(
     { level, base: { node }, timestamp: pino.stdTimeFunctions.isoTime },
--- a/src/config/settings.ts
+++ b/src/config/settings.ts
@@ -1,4 +1,4 @@
-/** What operators and the platform set, validated. */
+/** Reading and validation of the settings made by operators and the platform. */
 
 import { readFileSync } from 'node:fs';
 import { parse } from 'smol-toml';
@@ -6,7 +6,9 @@
 import { InvalidInputError } from '../errors/errors.js';
 import { type SettingsFile, settingsFile } from './settingsfile.js';
 
-/** A team and its share of the cluster: what it is entitled to, and what it may use at most (0: no bound). */
+/**
+ * A team and its share of the cluster: the resources it is guaranteed, and the most it may use (0 means no limit).
+ */
 export interface Team {
   name: string;
   cpus: number;
@@ -15,37 +17,40 @@
   gpusMax: number;
 }
 
-/** A service-level objective; what is null is not part of it. */
+/** A service-level objective; fields that are null are not part of it. */
 export interface Objective {
   kind: string;
-  /** The class of jobs that it is for. */
+  /** The class of jobs that the objective applies to. */
   class: string | null;
   withinS: number | null;
   share: number | null;
 }
 
-/** An address to listen at. */
+/** An address to listen on. */
 export interface Endpoint {
   host: string;
   port: number;
 }
 
-/** Another controller, as the settings name it. */
+/** Another controller named in the settings. */
 export interface Peer {
   node: string;
   zone: string;
-  /** `host:port`. */
+  /** Address as `host:port`. */
   addr: string;
 }
 
-/** The settings of one controller. Names end with the unit: `S` seconds, `Ms` milliseconds, `Kb` kilobytes of 1000 bytes, `Mb` megabytes. */
+/**
+ * The settings of one controller. Field names end with the unit: `S` seconds, `Ms` milliseconds, `Kb` kilobytes of
+ * 1000 bytes, `Mb` megabytes.
+ */
 export interface Settings {
   /** The name of this node. */
   node: string;
   zone: string;
-  /** Where users and workers connect. */
+  /** The address for users and workers. */
   listen: Endpoint;
-  /** Where the other controllers connect. */
+  /** The address for the other controllers. */
   peerListen: Endpoint;
   peers: Peer[];
   /** `host:port` of the cloud. */
@@ -55,26 +60,29 @@
   /** Number of controllers. */
   nodes: number;
   zones: string[];
-  /** Zones of each region; none where all are in one. */
+  /** The zones of each region; empty if all zones are in one region. */
   regions: Record<string, string[]>;
-  /** By how much the times of day of two machines may differ. */
+  /** Maximum difference between the wall clocks of two machines. */
   skewMs: number;
   teams: Team[];
   objectives: Objective[];
-  /** Times of the protocol with the workers: heartbeat interval, lease, gang start and loss, and cancellation. */
+  /** Timing of the worker protocol: heartbeat interval, lease, gang start and loss, and cancellation. */
   workers: { reportS: number; leaseS: number; gangWaitS: number; gangPeerS: number; cancelS: number };
-  /** What the key-value store allows now and, where that is less, from some later moment on (`state.next`). */
+  /** Limits of the key-value store: the lower of each current limit and the one announced for later (`state.next`). */
   stateLimits: { rps: number; writeRps: number; valueKb: number; txnOps: number };
-  /** The size of values that the former layout of done tasks depends on: the one of now, whatever comes. */
+  /**
+   * The value size that determines the former layout of completed tasks: always the current limit, regardless of
+   * announced ones.
+   */
   layoutKb: number;
   cloudLimits: { rps: number; listLagS: number };
-  /** What the process itself may use. */
+  /** Resource limits of the process itself. */
   limits: { cores: number; memoryMb: number; maxSockets: number };
 }
 
 type Params = SettingsFile['params'];
 
-/** A settings file that cannot be used; the message names the field. */
+/** The settings file cannot be used; the message names the field. */
 export class SettingsError extends InvalidInputError {}
 
 function endpoint(addr: string): Endpoint {
@@ -83,9 +91,10 @@
 }
 
 /**
- * How many of its `sockets` a process uses for what: most for connections of users and workers (`incoming`), some for the
- * other controllers, the rest for those that it opens itself. Key-value store and cloud (`services`) have connections of
- * their own: requests to hundreds of machines at once (`workers`) must not keep a lease from renewal.
+ * Divides the process's `sockets` between their uses: most are for connections of users and workers (`incoming`),
+ * some for the other controllers, and the rest for outgoing connections. The key-value store and the cloud
+ * (`services`) have connections of their own, because requests to hundreds of machines at once (`workers`) must not
+ * delay the renewal of a lease.
  */
 export function allocateSockets(sockets: number): { incoming: number; services: number; workers: number } {
   const outgoing = Math.max(8, Math.floor(sockets * 0.3));
@@ -94,14 +103,15 @@
 }
 
 /**
- * How many machines a shard may have: each keeps a connection to the shard's owner, beside those of its users. More than
- * that would evict each other's connections, and lose their leases.
+ * Returns the maximum number of machines in a shard. Each machine keeps a connection to the shard's owner, in
+ * addition to the connections of users. With more machines their connections would evict each other, and the machines
+ * would lose their leases.
  */
 export function maxMachinesPerShard(sockets: number): number {
   return Math.floor(allocateSockets(sockets).incoming * 0.75);
 }
 
-/** The region that a node is in; the same for all where no regions are set. */
+/** Returns the region of a node; the same for all nodes if no regions are configured. */
 export function regionOfNode(s: Pick<Settings, 'node' | 'zone' | 'peers' | 'regions'>, node: string): string {
   const zone = node === s.node ? s.zone : s.peers.find((p) => p.node === node)?.zone;
   const region = Object.entries(s.regions).find(([, zones]) => zone !== undefined && zones.includes(zone));
@@ -109,8 +119,8 @@
 }
 
 /**
- * Reads the text of a settings file. Throws `SettingsError` when it is not TOML, when a field is missing or has a wrong
- * value, or when two nodes have the same name.
+ * Parses the text of a settings file. Throws `SettingsError` if it is not TOML, if a field is missing or has an
+ * invalid value, or if two nodes have the same name.
  */
 export function parseSettings(content: string): Settings {
   const file = validate(parseToml(content));
@@ -128,8 +138,8 @@
     zones: params.zones,
     regions: params.regions,
     skewMs: params.skew_ms,
-    teams: params.teams.map(team),
-    objectives: params.objectives.map(objective),
+    teams: params.teams.map(readTeam),
+    objectives: params.objectives.map(readObjective),
     workers: workerTimes(params.workers),
     stateLimits: stateLimits(params.state),
     layoutKb: params.state.value_kb,
@@ -165,12 +175,23 @@
   }
 }
 
-function team(t: Params['teams'][number]): Team {
-  return { name: t.name, cpus: t.cpus, cpusMax: t.cpus_max, gpus: t.gpus, gpusMax: t.gpus_max };
+function readTeam(team: Params['teams'][number]): Team {
+  return {
+    name: team.name,
+    cpus: team.cpus,
+    cpusMax: team.cpus_max,
+    gpus: team.gpus,
+    gpusMax: team.gpus_max,
+  };
 }
 
-function objective(o: Params['objectives'][number]): Objective {
-  return { kind: o.kind, class: o.class ?? null, withinS: o.within_s ?? null, share: o.share ?? null };
+function readObjective(objective: Params['objectives'][number]): Objective {
+  return {
+    kind: objective.kind,
+    class: objective.class ?? null,
+    withinS: objective.within_s ?? null,
+    share: objective.share ?? null,
+  };
 }
 
 function workerTimes(w: Params['workers']): Settings['workers'] {
@@ -183,7 +204,7 @@
   };
 }
 
-/** The lesser of each limit as it is now and as it will be. */
+/** Returns the lower of the current and the announced value of each limit. */
 function stateLimits({ next, ...now }: Params['state']): Settings['stateLimits'] {
   return {
     rps: Math.min(now.rps, next.rps ?? now.rps),
@@ -193,7 +214,7 @@
   };
 }
 
-/** Reads a settings file; throws `SettingsError` as `parseSettings` does, and when the file cannot be read. */
+/** Reads a settings file. Throws `SettingsError` if the file cannot be read, and in the cases of `parseSettings`. */
 export function loadSettings(path: string): Settings {
   let content: string;
   try {
--- a/src/config/settingsfile.ts
+++ b/src/config/settingsfile.ts
@@ -1,4 +1,4 @@
-/** The settings file (TOML): its fields as operators and the platform write them, with bounds and defaults. */
+/** The schema of the settings file (TOML), with the bounds and defaults of the fields. */
 
 import * as v from 'valibot';
 
@@ -7,7 +7,7 @@
 const positive = v.pipe(v.number(), v.finite(), v.gtValue(0, 'must be above 0'));
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0, 'must not be negative'));
 
-/** The whole file; unknown fields are ignored. */
+/** The complete settings file; unknown fields are ignored. */
 export const settingsFile = v.object({
   node: text,
   zone: text,
@@ -70,5 +70,5 @@
   }),
 });
 
-/** A valid settings file. */
+/** The contents of a valid settings file. */
 export type SettingsFile = v.InferOutput<typeof settingsFile>;
--- a/src/config/version.ts
+++ b/src/config/version.ts
@@ -2,7 +2,7 @@
 
 import { readFileSync } from 'node:fs';
 
-/** The version of this program, as its package says. */
+/** Returns the version of this program from package.json. */
 export function version(): string {
   const text = readFileSync(new URL('../../package.json', import.meta.url), 'utf8');
   return (JSON.parse(text) as { version: string }).version;
--- a/src/context/context.ts
+++ b/src/context/context.ts
@@ -1,4 +1,4 @@
-// This package: what all parts of one node share.
+// This package: the clock, clients, settings and tables that all components of one node share.
 import type { Clock } from '../clock/clock.js';
 import type { Cloud } from '../cloud/cloud.js';
 import type { Log } from '../config/log.js';
@@ -10,29 +10,32 @@
 import type { MachineTypeCatalog } from './machinetypecatalog.js';
 import type { NameTables } from './nametables.js';
 
-/** Compiles match expressions for the plan; a part of its own, loaded where it is enabled. */
+/** Compiles match expressions for the plan; an optional component, loaded only where it is enabled. */
 export interface MatchCompiler {
   compile(spec: MatchSpec): Match;
 }
 
-/** For nodes that do not serve match expressions: such a job never starts here, rather than anywhere. */
+/**
+ * The match used on nodes that do not serve match expressions, so that such a job never starts there rather than
+ * starting on any machine.
+ */
 export const MATCHES_NOTHING: Match = { kind: () => false, machine: null, rank: null };
 
-/** What all parts of one node share: its clock, clients, settings, names and what it knows of the cloud. */
+/** The clock, clients, settings, names and cloud state that all components of one node share. */
 export interface ControllerContext {
   readonly clock: Clock;
   readonly settings: Settings;
   readonly log: Log;
-  /** Requests to workers. */
+  /** Client for requests to workers. */
   readonly http: Requester;
   store: StateStore;
   cloud: Cloud;
   readonly names: NameTables;
   readonly catalog: MachineTypeCatalog;
-  /** When the record of a machine went, in steady milliseconds, by the machine's id. */
+  /** When each machine's record was removed, in monotonic milliseconds, by machine id. */
   readonly removedMachines: Map<string, number>;
-  /** Understands match expressions; null where they are not served. */
+  /** The compiler of match expressions; null where they are not served. */
   matchCompiler: MatchCompiler | null;
-  /** Marks this run of the process in every name that must not be used twice. */
+  /** Identifies this run of the process in every name that must not be reused. */
   readonly incarnation: string;
 }
--- a/src/context/nametables.ts
+++ b/src/context/nametables.ts
@@ -1,6 +1,9 @@
 import { NameTable } from '../interning/nametable.js';
 
-/** The tables of one node. Names are mapped to indices where they enter, and back where they leave. */
+/**
+ * The name tables of one node. Names are mapped to indices when they are received, and back when they are sent or
+ * stored.
+ */
 export class NameTables {
   readonly teams = new NameTable();
   /** Machine types. */
--- a/src/schema/leaseholder.ts
+++ b/src/schema/leaseholder.ts
@@ -1,6 +1,6 @@
 import * as v from 'valibot';
 
-/** A holder as it is stored; these names pass between versions. */
+/** A lease holder in its stored form; nodes of different versions exchange these names. */
 const storedLeaseHolder = v.object({
   node: v.string(),
   run: v.string(),
@@ -13,26 +13,28 @@
 type StoredLeaseHolder = v.InferOutput<typeof storedLeaseHolder>;
 
 /**
- * Which node holds a key (`c/own/K`, `c/lead`, `c/condor`), and in the key of a node how it presents itself. Written by that
- * node: a claim when the key is absent, a presence at the version read, both on the node's lease.
+ * The node that holds a key (`c/own/K`, `c/lead`, `c/condor`), and in a node's own key the node's presence. Written
+ * by that node on its lease: a claim when the key is absent, a presence at the version read.
  */
 export interface LeaseHolder {
   readonly node: string;
-  /** Which run of the node's process: names that it uses are never used by another. */
+  /** Identifies the run of the node's process; the names that a run uses are never used by another run. */
   readonly incarnation: string;
-  /** The id of the lease in the key-value store that the key hangs on. */
+  /** The id of the key-value store lease that the key is attached to. */
   readonly leaseId: number;
-  /** In the key of a node: the workers cannot reach it, and it takes no shard. */
+  /** In a node's own key: workers cannot reach the node, so it takes no shard. */
   readonly cordoned?: boolean | undefined;
-  /** In the key of a node: which version of records and messages it understands. The first version says nothing. */
+  /**
+   * In a node's own key: the version of records and messages that it understands. The first version omits this field.
+   */
   readonly protocolVersion?: number | undefined;
-  /** In the key of a node: it can be the standby of shards (docs/standby.md). */
+  /** In a node's own key: it can be the standby of shards (docs/standby.md). */
   readonly standbyCapable?: boolean | undefined;
-  /** In the key of a node: it passes changes of the cluster's keys on to others (docs/changes.md). */
+  /** In a node's own key: it passes changes of the cluster's keys on to other nodes (docs/changes.md). */
   readonly servesChanges?: boolean | undefined;
 }
 
-/** Reads a holder as it is stored; null when it is none. */
+/** Reads a lease holder from its stored form; returns null if the value is not one. */
 export function readLeaseHolder(value: unknown): LeaseHolder | null {
   const parsed = v.safeParse(storedLeaseHolder, value);
   if (!parsed.success) return null;
@@ -48,7 +50,7 @@
   };
 }
 
-/** A holder as it is stored. */
+/** Returns a lease holder in its stored form. */
 export function writeLeaseHolder(holder: LeaseHolder): StoredLeaseHolder {
   const { node, incarnation, leaseId, cordoned, protocolVersion, standbyCapable, servesChanges } = holder;
   return {
--- a/src/schema/protocolversion.ts
+++ b/src/schema/protocolversion.ts
@@ -1,8 +1,11 @@
 /**
- * What a version understands of the others' records and messages. Level 2: jobs that wait for others, descriptions in
- * parts, done tasks whose layout the record states, assignments of teams in several records. Nothing of a level is written
- * or sent before every node understands it: an older one would drop what it cannot read.
+ * The level of the records and messages that a version understands. Level 2 covers jobs that wait for others,
+ * descriptions in parts, completed tasks whose layout is stated in the record, and team assignments in several
+ * records. Records and messages of a level are written or sent only once every node understands it, because an older
+ * node would drop what it cannot read.
  */
 export const PROTOCOL_VERSION = 2;
-/** Jobs with match expressions as well; said only by nodes that serve them, which is up to their operators. */
+/**
+ * Level that adds jobs with match expressions; announced only by nodes that serve them, which their operators decide.
+ */
 export const MATCH_PROTOCOL_VERSION = 3;
--- a/src/schema/schema.ts
+++ b/src/schema/schema.ts
@@ -1,4 +1,4 @@
-// This package: the layout of the key-value store: keys, and the records that belong to no other package.
+// This package: the layout of the key-value store: its keys, and the records that no other package defines.
 
 export { KEYS } from './keys.js';
 export { type LeaseHolder, readLeaseHolder, writeLeaseHolder } from './leaseholder.js';
--- a/src/schema/teamassignment.ts
+++ b/src/schema/teamassignment.ts
@@ -4,11 +4,14 @@
 const teamsRecord = v.record(v.string(), v.number());
 
 function readTeams(value: unknown): Record<string, number> | null {
-  const p = v.safeParse(teamsRecord, value);
-  return p.success ? p.output : null;
+  const parsed = v.safeParse(teamsRecord, value);
+  return parsed.success ? parsed.output : null;
 }
 
-/** Which shard each team belongs to, from all records that hold it; null when teams have not been assigned yet. */
+/**
+ * Returns the shard of each team, merged from all records of the assignment; null if teams have not been assigned
+ * yet.
+ */
 export function readTeamAssignment(
   entries: ReadonlyMap<string, { value: unknown }>,
 ): Record<string, number> | null {
--- a/src/state/ratelimiter.ts
+++ b/src/state/ratelimiter.ts
@@ -1,15 +1,15 @@
 import type { Clock } from '../clock/clock.js';
 import { SpartrayError } from '../errors/errors.js';
 
-/** How a request waits for its turn. */
+/** How a request acquires tokens. */
 export interface AcquireOptions {
-  /** Goes at once, whatever waits. */
+  /** Whether the request is sent at once, ahead of all queued requests. */
   readonly urgent?: boolean;
-  /** How long it waits at most; after that it fails with `RateLimitExceededError`. */
+  /** Maximum time in the queue, after which the request fails with `RateLimitExceededError`. */
   readonly maxWaitMs: number;
 }
 
-/** A request that waits for its turn. */
+/** A request that is queued for tokens. */
 interface QueuedRequest {
   readonly amount: number;
   readonly proceed: () => void;
@@ -17,70 +17,73 @@
   readonly expiresAt: number;
 }
 
-/** A request waited too long for its turn; it was not sent. */
+/** A request exceeded its maximum time in the queue; it was not sent. */
 export class RateLimitExceededError extends SpartrayError {}
 
-/** While requests wait and none is rejected, a node uses more of what the others leave, in steps of this. */
+/**
+ * Growth of the rate per step while requests are queued and none is rejected, to use capacity that other nodes leave.
+ */
 const GROWTH_FACTOR = 1.25;
 const GROWTH_INTERVAL_MS = 500;
-/** After a rejection a node keeps to its even share for so long. */
+/** How long a node keeps to its even share after a rejection. */
 const NO_GROWTH_MS = 5000;
-/** Over which time the use of the last moments is averaged. */
+/** Time constant of the exponential average of recent usage. */
 const USAGE_WINDOW_MS = 1000;
-/** How often requests that wait are looked at. */
+/** Interval at which queued requests are checked. */
 const DRAIN_INTERVAL_MS = 20;
 
 /**
- * A token bucket. Urgent requests go at once and put the bucket into debt, so that renewing a lease never waits
- * behind ordinary work. The rate is shared with other nodes, which mostly are not all busy at once: a node with
- * requests waiting goes beyond its even share, up to `maxRate`, until the service rejects one. Where the leader allocates
- * the rate to all nodes by their demands, the share that a node was allocated goes before that. All rates are a second.
+ * A token bucket. Urgent requests are sent at once and may leave the bucket in debt, so that the renewal of a lease
+ * never waits behind ordinary work. The rate is shared with other nodes, which are rarely all busy at once: a node
+ * with queued requests exceeds its even share, up to `maxRate`, until the service rejects a request. If the leader
+ * allocates the rate to the nodes by their demands, the allocated share takes precedence over this. All rates are per
+ * second.
  */
 export class RateLimiter {
   private tokens: number;
   private refilledAt: number;
   private currentRate: number;
-  /** When the rate was last raised; in the future while it must not be. */
-  private grownAt = 0;
+  /** When the rate last grew; in the future while it must not grow. */
+  private lastGrowthAt = 0;
   private allocatedUntil = Number.NEGATIVE_INFINITY;
-  /** Tokens taken lately, fading. */
-  private used = 0;
-  private usedAt: number;
+  /** Recently consumed tokens, with exponential decay. */
+  private recentUsage = 0;
+  private usageUpdatedAt: number;
   private readonly queue: QueuedRequest[] = [];
   private drainScheduled = false;
 
   constructor(
     private readonly clock: Clock,
     private readonly evenShare: number,
-    private readonly ownBurst: number,
+    private readonly evenShareBurst: number,
     private readonly maxRate = evenShare,
   ) {
     this.currentRate = evenShare;
-    this.tokens = ownBurst;
+    this.tokens = evenShareBurst;
     this.refilledAt = clock.now();
-    this.usedAt = this.refilledAt;
+    this.usageUpdatedAt = this.refilledAt;
   }
 
-  /** Sets this node's share of the rate for so many milliseconds; after that it keeps to its even share again. */
+  /** Sets this node's share of the rate for `validMs` milliseconds, after which it returns to its even share. */
   allocate(rate: number, validMs: number): void {
     this.refill();
     this.currentRate = rate;
     this.allocatedUntil = this.clock.now() + validMs;
   }
 
-  /** What this node takes and would take a second: its use of late, and all that waits. */
+  /** The node's demand per second: its recent usage and all queued requests. */
   get demand(): number {
     this.decayUsage();
-    return this.used / (USAGE_WINDOW_MS / 1000) + this.queuedAmount;
+    return this.recentUsage / (USAGE_WINDOW_MS / 1000) + this.queuedAmount;
   }
 
   private get isAllocated(): boolean {
     return this.clock.now() < this.allocatedUntil;
   }
 
-  /** A burst is what comes in together in a second. */
+  /** The capacity of the bucket: one second's worth of tokens. */
   private get burst(): number {
-    return this.isAllocated ? Math.max(1, this.currentRate) : this.ownBurst;
+    return this.isAllocated ? Math.max(1, this.currentRate) : this.evenShareBurst;
   }
 
   private get queuedAmount(): number {
@@ -89,51 +92,51 @@
 
   private decayUsage(): void {
     const now = this.clock.now();
-    this.used *= Math.exp((this.usedAt - now) / USAGE_WINDOW_MS);
-    this.usedAt = now;
+    this.recentUsage *= Math.exp((this.usageUpdatedAt - now) / USAGE_WINDOW_MS);
+    this.usageUpdatedAt = now;
   }
 
   private consume(amount: number): void {
     this.decayUsage();
-    this.used += amount;
+    this.recentUsage += amount;
     this.tokens -= amount;
   }
 
-  /** The service has rejected a request for its rate. */
+  /** Called when the service has rejected a request because of its rate. */
   onRejected(): void {
     this.refill();
     this.tokens = Math.min(this.tokens, 0);
     if (this.isAllocated) return;
     this.currentRate = this.evenShare;
-    this.grownAt = this.clock.now() + NO_GROWTH_MS;
+    this.lastGrowthAt = this.clock.now() + NO_GROWTH_MS;
   }
 
   private grow(): void {
     const now = this.clock.now();
-    if (this.isAllocated || now - this.grownAt < GROWTH_INTERVAL_MS) return;
-    this.grownAt = now;
+    if (this.isAllocated || now - this.lastGrowthAt < GROWTH_INTERVAL_MS) return;
+    this.lastGrowthAt = now;
     this.currentRate = Math.min(this.maxRate, this.currentRate * GROWTH_FACTOR);
   }
 
-  /** How many this node may send a second at present. */
+  /** The rate that this node may send at now, per second. */
   get rate(): number {
     this.refill();
     return this.currentRate;
   }
 
-  /** How long a request that comes now would wait for its turn, in milliseconds. */
+  /** The time in milliseconds that a request arriving now would spend in the queue. */
   get delayMs(): number {
     this.refill();
     return Math.max(0, ((this.queuedAmount - this.tokens) * 1000) / this.currentRate);
   }
 
-  /** True when nothing waits and `amount` may be sent now. */
+  /** Returns true if no request is queued and `amount` may be sent now. */
   hasTokens(amount: number): boolean {
     this.refill();
     return this.queue.length === 0 && this.tokens >= amount;
   }
 
-  /** Resolves when `amount` may be sent; counted as sent from then on. */
+  /** Resolves when `amount` may be sent; the tokens are consumed at that moment. */
   acquire(amount: number, { urgent = false, maxWaitMs }: AcquireOptions): Promise<void> {
     this.refill();
     if (urgent || (this.queue.length === 0 && this.tokens >= Math.min(amount, this.burst))) {
--- a/src/state/statestore.ts
+++ b/src/state/statestore.ts
@@ -1,4 +1,4 @@
-// This package: the client of the key-value store: its requests, within this node's share of its rates.
+// This package: the client of the key-value store, which keeps within this node's share of the store's request rates.
 
 import { type Clock, pause } from '../clock/clock.js';
 import { RemoteServiceError } from '../errors/errors.js';
@@ -19,71 +19,85 @@
 } from '../wire/state.js';
 import { RateLimitExceededError, RateLimiter } from './ratelimiter.js';
 
-/** The key-value store refused a request, or did not answer it. */
+/** The key-value store rejected a request or did not answer it. */
 export class StateStoreError extends RemoteServiceError {}
 
-/** The revision of a transaction that was carried out, or the keys whose conditions failed. */
+/** The revision of a committed transaction, or the keys whose conditions failed. */
 export type CompareAndSwapResult =
   | { readonly ok: true; readonly revision: number }
   | { readonly ok: false; readonly failed: string[] };
 
 /** How a transaction is sent. */
 export interface CompareAndSwapOptions {
-  /** Goes at once, whatever waits for the rate: leases hang on it. */
+  /** Whether the transaction is sent at once, ahead of queued requests, because a lease depends on it. */
   readonly urgent?: boolean;
 }
 
-/** What the key-value store allows all nodes together, a second, and how many nodes share it. */
+/**
+ * The limits per second that the key-value store sets for all nodes together, and the number of nodes that share
+ * them.
+ */
 export interface StateLimits {
-  /** Requests. */
+  /** Requests per second. */
   readonly rps: number;
-  /** Changes of keys. */
+  /** Changes of keys per second. */
   readonly writeRps: number;
   readonly nodes: number;
 }
 
-/** Requests and changes a second. */
+/** Requests and changes of keys per second. */
 export interface StateRates {
   readonly requests: number;
   readonly changes: number;
 }
 
-/** One request of the key-value store's API. */
+/** A request to the key-value store's API. */
 interface StateRequest {
   readonly method: 'GET' | 'POST' | 'DELETE';
   readonly path: string;
   readonly body?: object;
-  /** How many keys it changes; counted against the rate of changes. */
+  /** Number of keys that the request changes, counted against the rate of changes. */
   readonly changes?: number;
-  /** Goes at once, whatever waits for the rate. */
+  /** Whether the request is sent at once, ahead of queued requests. */
   readonly urgent?: boolean;
   readonly timeoutMs?: number;
 }
 
 const TIMEOUT_MS = 2500;
-/** How much longer than its own wait a watch may take to be answered. */
+/** Time beyond its own wait within which a watch must be answered. */
 const WATCH_MARGIN_MS = 4000;
-/** How long a request waits for its turn by this node's share of the rates. */
+/** Maximum time that a request waits for this node's share of the rates. */
 const MAX_RATE_WAIT_MS = 2000;
-/** A request rejected for the rate was not executed; it is sent again after this, for so long. */
+/**
+ * A request rejected for its rate was not executed. It is retried at this interval, for at most `MAX_REJECTED_MS`.
+ */
 const REJECTED_PAUSE_MS = 150;
 const MAX_REJECTED_MS = 1500;
-/** The part of the rates that all nodes take together; the rest is for what does not wait, renewals of leases above all. */
+/**
+ * Fraction of the rates that all nodes use together; the rest is for urgent requests, above all the renewal of
+ * leases.
+ */
 const SHARED_FRACTION = 0.85;
-/** The most that one node takes of the rates while the others need less. */
+/** Maximum fraction of the rates that one node uses while the others need less. */
 const MAX_NODE_FRACTION = 0.7;
-/** The part of a node's share of the rate that reads for users may take, and how long one waits for its turn. */
+/**
+ * Fraction of a node's share of the request rate that reads for users may use, and the maximum time that one is
+ * queued.
+ */
 const USER_READS_FRACTION = 0.4;
 const USER_READ_WAIT_MS = 400;
-/** Entries of one page of a listing. */
+/** Entries per page of a listing. */
 const PAGE_ENTRIES = 500;
 
-/** The key-value store, within this node's share of its rates. Every method throws `StateStoreError` when it fails. */
+/**
+ * A client of the key-value store that keeps within its node's share of the rates. Every method throws
+ * `StateStoreError` on failure.
+ */
 export class StateStore {
   private readonly requests: RateLimiter;
   private readonly writes: RateLimiter;
   private readonly userReads: RateLimiter;
-  /** What all nodes together may take. */
+  /** The rates that all nodes together may use. */
   readonly clusterRates: StateRates;
   private readonly pendingReads = new Map<string, Promise<Entry | null>>();
 
@@ -93,7 +107,8 @@
     private readonly addr: string,
     limits: StateLimits,
   ) {
-    // The service counts all nodes together; each keeps to its share, with some left for lease renewals.
+    // The service counts the requests of all nodes together, so each node keeps to its share and leaves some for
+    // lease renewals.
     const evenFraction = SHARED_FRACTION / limits.nodes;
     this.clusterRates = {
       requests: limits.rps * SHARED_FRACTION,
@@ -113,37 +128,38 @@
     );
   }
 
-  /** What this node takes and would take, a second. */
+  /** This node's demand per second: its recent usage and all queued requests. */
   get demand(): StateRates {
     return { requests: this.requests.demand, changes: this.writes.demand };
   }
 
-  /** Sets this node's share of the rates, for so many milliseconds. */
+  /** Sets this node's share of the rates for `validMs` milliseconds. */
   allocate(rates: StateRates, validMs: number): void {
     this.requests.allocate(rates.requests, validMs);
     this.writes.allocate(rates.changes, validMs);
     this.userReads.allocate(rates.requests * USER_READS_FRACTION, validMs);
   }
 
-  /** How long a change that comes now would wait for this node's share of the rate, in milliseconds. */
+  /** The time in milliseconds that a change made now would wait for this node's share of the rates. */
   get writeDelayMs(): number {
     return Math.max(this.requests.delayMs, this.writes.delayMs);
   }
 
-  /** How many changes this node may make a second at present. */
+  /** The number of changes per second that this node may make now. */
   get writesPerSecond(): number {
     return this.writes.rate;
   }
 
   /**
-   * Reads a key for a user's request. Many users may ask at once, also for jobs that nobody has submitted: those who wait
-   * for their turn with the same key share a read, and all reads take no more than a part of this node's rate, so that
-   * they keep neither acceptances nor completions waiting. A read that has been sent is not shared any more: what it
-   * finds may be older than what a user has been told since. Fails soon when there are too many.
+   * Reads a key for a user's request. Many users may ask at once, even about jobs that do not exist. Callers waiting
+   * to read the same key therefore share one read, and all these reads together use only a fraction of this node's
+   * rate, so that they delay neither acceptances nor completions. A read that has been sent is no longer shared,
+   * because its result may be older than what a user has been told since. Fails after a short wait when there are too
+   * many reads.
    */
   getCoalesced(key: string): Promise<Entry | null> {
-    const waiting = this.pendingReads.get(key);
-    if (waiting) return waiting;
+    const pending = this.pendingReads.get(key);
+    if (pending) return pending;
     const read = this.userReads
       .acquire(1, { maxWaitMs: USER_READ_WAIT_MS })
       .catch(() => Promise.reject(new StateStoreError('too many questions', false)))
@@ -153,7 +169,7 @@
     return read;
   }
 
-  /** The entry of a key; null when there is none. */
+  /** Returns the entry of a key, or null if there is none. */
   async get(key: string): Promise<Entry | null> {
     const answer = await this.send({ method: 'GET', path: STATE_PATHS.key(key) });
     if (answer.status === 404) return null;
@@ -162,7 +178,7 @@
     return entry;
   }
 
-  /** All entries under a prefix, and the revision of the first page. */
+  /** Returns all entries under a prefix, and the revision of the first page. */
   async list(prefix: string): Promise<{ entries: Entry[]; revision: number }> {
     const entries: Entry[] = [];
     let after: string | null = null;
@@ -180,8 +196,8 @@
   }
 
   /**
-   * Carries out all writes if all conditions hold, and none otherwise. One without an answer (`mayHaveApplied`) may still be
-   * carried out seconds later.
+   * Applies all writes if all conditions hold, and none otherwise. A transaction that failed without an answer
+   * (`mayHaveApplied`) may still be applied seconds later.
    */
   async compareAndSwap(
     when: Condition[],
@@ -206,7 +222,7 @@
       : { ok: false, failed: result.failed };
   }
 
-  /** Grants a lease that lasts so many milliseconds without a renewal: its id. */
+  /** Grants a lease that expires after `ttlMs` milliseconds unless it is renewed; returns its id. */
   async grant(ttlMs: number): Promise<number> {
     const body = writeLeaseRequest(ttlMs);
     const answer = await this.send({ method: 'POST', path: STATE_PATHS.leases, body, urgent: true });
@@ -215,7 +231,7 @@
     return lease;
   }
 
-  /** Renews a lease; false when it is gone. */
+  /** Renews a lease; returns false if it no longer exists. */
   async renew(lease: number, timeoutMs: number): Promise<boolean> {
     const path = STATE_PATHS.renew(lease);
     const answer = await this.send({ method: 'POST', path, body: {}, urgent: true, timeoutMs });
@@ -224,7 +240,7 @@
     throw new StateStoreError(`renew: ${answer.status}`, true);
   }
 
-  /** Ends a lease, and with it the keys that hang on it. */
+  /** Revokes a lease, which deletes the keys attached to it. */
   async revoke(lease: number): Promise<void> {
     const answer = await this.send({ method: 'DELETE', path: STATE_PATHS.lease(lease), urgent: true });
     if (answer.status !== 200 && answer.status !== 404)
@@ -232,8 +248,8 @@
   }
 
   /**
-   * Changes under a prefix after a revision, as soon as there are some, or none after `waitMs`. Null when the service no
-   * longer keeps changes that old.
+   * Returns the changes under a prefix after a revision as soon as there are any, or none after `waitMs`. Returns
+   * null if the service no longer keeps changes that old.
    */
   async watch(
     prefix: string,
@@ -252,16 +268,16 @@
     return result;
   }
 
-  /** Sends a request, and again for a while when it is rejected for the rate. */
+  /** Sends a request, and retries it for up to `MAX_REJECTED_MS` while it is rejected for its rate. */
   private async send(request: StateRequest): Promise<HttpAnswer> {
     const { path, changes = 0 } = request;
-    const begun = this.clock.now();
+    const startedAt = this.clock.now();
     for (;;) {
       const answer = await this.sendOnce(request);
-      // 503 and 429 say that nothing was executed.
+      // A 503 or 429 means that the request was not executed.
       if (answer.status === 429) {
         (changes > 0 ? this.writes : this.requests).onRejected();
-        if (this.clock.now() - begun < MAX_REJECTED_MS) {
+        if (this.clock.now() - startedAt < MAX_REJECTED_MS) {
           await pause(this.clock, REJECTED_PAUSE_MS);
           continue;
         }
--- a/src/workers/attemptreconciliation.ts
+++ b/src/workers/attemptreconciliation.ts
@@ -1,76 +1,79 @@
 import type { Heartbeat, TaskStatus } from '../wire/workers.js';
 import { attemptKey, type Machine, type TaskAttempt } from './machine.js';
-import type { GoneReason, RegistryParts } from './registryhooks.js';
+import type { GoneReason, RegistryContext } from './registryhooks.js';
 
-/** Matches the task attempts that are known to be on a machine with those that it reports. */
+/** Reconciles the attempts recorded for a machine with the attempts that its heartbeats report. */
 export class AttemptReconciliation {
-  constructor(private readonly parts: Pick<RegistryParts, 'clock' | 'hooks'>) {}
+  constructor(private readonly context: Pick<RegistryContext, 'clock' | 'hooks'>) {}
 
-  /** Takes up what a machine holds by a heartbeat under the present token. */
-  reconcile(m: Machine, r: Heartbeat): void {
-    const now = this.parts.clock.now();
+  /** Applies the task list of a heartbeat that carries the current fencing token. */
+  reconcile(machine: Machine, heartbeat: Heartbeat): void {
+    const now = this.context.clock.now();
     const reported = new Set<string>();
-    for (const task of r.tasks) {
+    for (const task of heartbeat.tasks) {
       const key = attemptKey(task.job, task.index, task.attempt);
       reported.add(key);
-      const known = m.attempts.get(key);
-      if (known) this.update(known, task, now);
-      else this.addFound(m, key, task, now);
+      const knownAttempt = machine.attempts.get(key);
+      if (knownAttempt) this.update(knownAttempt, task, now);
+      else this.addReported(machine, key, task, now);
     }
-    this.dropUnreported(m, reported);
-    if (m.attempts.size === 0) m.idleSince ??= now;
-    else m.idleSince = null;
+    this.dropUnreported(machine, reported);
+    if (machine.attempts.size === 0) machine.idleSince ??= now;
+    else machine.idleSince = null;
   }
 
-  /** Drops all that a machine is known to hold. */
-  forgetAll(m: Machine, why: GoneReason): void {
-    const all = [...m.attempts.values()];
-    m.attempts.clear();
-    for (const h of all) if (h.state !== 'exited' || !h.exitRecorded) this.parts.hooks.onAttemptGone(h, why);
+  /** Drops every attempt recorded for a machine. */
+  dropAll(machine: Machine, reason: GoneReason): void {
+    const attempts = [...machine.attempts.values()];
+    machine.attempts.clear();
+    for (const attempt of attempts)
+      if (attempt.state !== 'exited' || !attempt.exitRecorded)
+        this.context.hooks.onAttemptGone(attempt, reason);
   }
 
-  private addFound(m: Machine, key: string, task: TaskStatus, now: number): void {
-    const found: TaskAttempt = {
+  private addReported(machine: Machine, key: string, task: TaskStatus, now: number): void {
+    const attempt: TaskAttempt = {
       job: task.job,
       index: task.index,
       attempt: task.attempt,
-      machine: m,
+      machine: machine,
       state: task.state,
       cause: task.cause,
       startPhase: 'known',
-      fencingToken: m.fencingToken,
+      fencingToken: machine.fencingToken,
       orderedAt: now,
       runningAt: task.state === 'running' ? now : null,
       exitedAt: task.state === 'exited' ? now : null,
       stop: null,
       exitRecorded: false,
     };
-    m.attempts.set(key, found);
-    this.parts.hooks.onAttemptFound(found);
+    machine.attempts.set(key, attempt);
+    this.context.hooks.onAttemptFound(attempt);
   }
 
-  private update(h: TaskAttempt, task: TaskStatus, now: number): void {
-    if (h.startPhase !== 'sending') h.startPhase = 'known';
-    if (h.state === task.state && h.cause === task.cause) return;
-    h.state = task.state;
-    h.cause = task.cause;
-    if (task.state === 'running' && h.runningAt === null) h.runningAt = now;
-    if (task.state === 'exited') h.exitedAt = now;
-    this.parts.hooks.onAttemptChanged(h);
+  private update(attempt: TaskAttempt, task: TaskStatus, now: number): void {
+    if (attempt.startPhase !== 'sending') attempt.startPhase = 'known';
+    if (attempt.state === task.state && attempt.cause === task.cause) return;
+    attempt.state = task.state;
+    attempt.cause = task.cause;
+    if (task.state === 'running' && attempt.runningAt === null) attempt.runningAt = now;
+    if (task.state === 'exited') attempt.exitedAt = now;
+    this.context.hooks.onAttemptChanged(attempt);
   }
 
-  /** Drops the attempts that are surely not on the machine, since it has not reported them. */
-  private dropUnreported(m: Machine, reported: ReadonlySet<string>): void {
-    for (const [key, h] of [...m.attempts]) {
-      if (reported.has(key) || mayStillArrive(m, h)) continue;
-      m.attempts.delete(key);
-      if (!(h.state === 'exited' && h.exitRecorded)) this.parts.hooks.onAttemptGone(h, 'not reported');
+  /** Drops the attempts that the machine did not report and that can no longer be started there. */
+  private dropUnreported(machine: Machine, reported: ReadonlySet<string>): void {
+    for (const [key, attempt] of [...machine.attempts]) {
+      if (reported.has(key) || mayStillArrive(machine, attempt)) continue;
+      machine.attempts.delete(key);
+      if (!(attempt.state === 'exited' && attempt.exitRecorded))
+        this.context.hooks.onAttemptGone(attempt, 'not reported');
     }
   }
 }
 
-/** Whether the start of an attempt that a machine does not report may reach it after this heartbeat. */
-function mayStillArrive(m: Machine, h: TaskAttempt): boolean {
-  if (h.startPhase === 'sending') return true;
-  return h.startPhase === 'unsure' && h.fencingToken >= m.fencingToken;
+/** Returns whether an unreported attempt may still be started on the machine after this heartbeat. */
+function mayStillArrive(machine: Machine, attempt: TaskAttempt): boolean {
+  if (attempt.startPhase === 'sending') return true;
+  return attempt.startPhase === 'unsure' && attempt.fencingToken >= machine.fencingToken;
 }
--- a/src/workers/heartbeats.ts
+++ b/src/workers/heartbeats.ts
@@ -1,71 +1,72 @@
 import type { Heartbeat } from '../wire/workers.js';
 import type { AttemptReconciliation } from './attemptreconciliation.js';
 import { classifyHeartbeat, type HeartbeatValidity, type Machine, nextHeartbeatWithinMs } from './machine.js';
-import type { RegistryParts } from './registryhooks.js';
+import type { RegistryContext } from './registryhooks.js';
 
-/** How a heartbeat came: by itself as a report, or in the answer to a command. */
+/** How a heartbeat arrived: as a report sent by the machine, or in the response to a command. */
 export type HeartbeatChannel = 'report' | 'command';
 
-/** Takes up what machines report, by themselves and in the answers to commands. */
-export class HeartbeatIntake {
+/** Applies the heartbeats of machines, whether reported or returned in responses to commands. */
+export class HeartbeatProcessor {
   constructor(
-    private readonly parts: Pick<RegistryParts, 'clock' | 'times' | 'hooks'>,
+    private readonly context: Pick<RegistryContext, 'clock' | 'times' | 'hooks'>,
     private readonly attempts: AttemptReconciliation,
   ) {}
 
-  /** Takes up a heartbeat of a machine as far as it counts; returns what it counts for. */
-  apply(m: Machine, r: Heartbeat, via: HeartbeatChannel): HeartbeatValidity {
-    const validity = classifyHeartbeat(m, r);
+  /** Applies the parts of a heartbeat that its validity permits, and returns that validity. */
+  apply(machine: Machine, heartbeat: Heartbeat, channel: HeartbeatChannel): HeartbeatValidity {
+    const validity = classifyHeartbeat(machine, heartbeat);
     if (validity === 'late' || validity === 'foreign') return validity;
-    const now = this.parts.clock.now();
-    this.applyIncarnation(m, r.incarnation, now);
-    m.heartbeatSequence = r.sequence;
-    m.addr = r.addr;
-    this.applyPresence(m, via, now);
-    if (r.reclaimInS !== null) this.applyReclaim(m, now + r.reclaimInS * 1000);
+    const now = this.context.clock.now();
+    this.applyIncarnation(machine, heartbeat.incarnation, now);
+    machine.heartbeatSequence = heartbeat.sequence;
+    machine.addr = heartbeat.addr;
+    this.applyPresence(machine, channel, now);
+    if (heartbeat.reclaimInS !== null) this.applyReclaim(machine, now + heartbeat.reclaimInS * 1000);
     if (validity === 'untokened') return validity;
-    m.unconfirmedResponses = 0;
-    if (!m.reconciled) {
-      m.reconciled = true;
-      this.parts.hooks.requestPlan();
+    machine.unconfirmedResponses = 0;
+    if (!machine.reconciled) {
+      machine.reconciled = true;
+      this.context.hooks.requestPlan();
     }
-    this.attempts.reconcile(m, r);
-    m.mayHoldUnreportedTasks = false;
+    this.attempts.reconcile(machine, heartbeat);
+    machine.mayHoldUnreportedTasks = false;
     return 'ok';
   }
 
-  private applyIncarnation(m: Machine, incarnation: number, now: number): void {
-    const isNew = incarnation > m.incarnation;
-    // The lease of an incarnation counts from its beginning, which is known only to lie before this report. An incarnation that
-    // shows itself in the answer to a command outlasts the last answered report, which was of the incarnation before it.
-    if (isNew) m.leaseRenewedAt = Math.max(m.leaseRenewedAt, now);
-    // A new incarnation begins with no tasks.
-    if (isNew && m.incarnation > 0) this.attempts.forgetAll(m, 'new incarnation');
-    m.incarnation = incarnation;
-    if (isNew) this.parts.hooks.onIncarnation(m);
+  private applyIncarnation(machine: Machine, incarnation: number, now: number): void {
+    const isNew = incarnation > machine.incarnation;
+    // The lease of an incarnation runs from the incarnation's start, which is only known to precede this heartbeat.
+    // An incarnation first seen in a command response outlives the last acknowledged report, because that report
+    // belonged to the incarnation before it.
+    if (isNew) machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
+    // A new incarnation starts without tasks.
+    if (isNew && machine.incarnation > 0) this.attempts.dropAll(machine, 'new incarnation');
+    machine.incarnation = incarnation;
+    if (isNew) this.context.hooks.onIncarnation(machine);
   }
 
-  private applyPresence(m: Machine, via: HeartbeatChannel, now: number): void {
-    if (m.lastHeartbeatAt === null) {
-      // Until now it booted; only from here on is it idle.
-      m.idleSince = now;
-      this.parts.hooks.requestPlan();
+  private applyPresence(machine: Machine, channel: HeartbeatChannel, now: number): void {
+    if (machine.lastHeartbeatAt === null) {
+      // The machine was booting until now, so its idle time starts here.
+      machine.idleSince = now;
+      this.context.hooks.requestPlan();
     }
     const staysWithThisNode =
-      m.lastHeartbeatAt !== null &&
-      now - m.lastHeartbeatAt <= nextHeartbeatWithinMs(this.parts.times.reportS);
-    if (via === 'command' || staysWithThisNode) m.unreachableAt = null;
-    m.lastHeartbeatAt = now;
-    if (m.leaseExpired) {
-      m.leaseExpired = false;
-      m.leaseRenewedAt = now;
-      this.parts.hooks.requestPlan();
+      machine.lastHeartbeatAt !== null &&
+      now - machine.lastHeartbeatAt <= nextHeartbeatWithinMs(this.context.times.reportS);
+    if (channel === 'command' || staysWithThisNode) machine.unreachableAt = null;
+    machine.lastHeartbeatAt = now;
+    if (machine.leaseExpired) {
+      machine.leaseExpired = false;
+      machine.leaseRenewedAt = now;
+      this.context.hooks.requestPlan();
     }
   }
 
-  /** The cloud has given notice that it takes the machine away; the earliest notice counts. */
-  private applyReclaim(m: Machine, reclaimAt: number): void {
-    if (m.reclaimAt === null) this.parts.hooks.requestPlan();
-    m.reclaimAt = m.reclaimAt === null ? reclaimAt : Math.min(m.reclaimAt, reclaimAt);
+  /** Records a reclaim notice from the cloud; of several notices the earliest reclaim time applies. */
+  private applyReclaim(machine: Machine, reclaimAt: number): void {
+    if (machine.reclaimAt === null) this.context.hooks.requestPlan();
+    machine.reclaimAt = machine.reclaimAt === null ? reclaimAt : Math.min(machine.reclaimAt, reclaimAt);
   }
 }
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -11,115 +11,130 @@
   state: TaskState;
   cause: ExitCause | null;
   /**
-   * How sure it is that the start arrived: `sending`: its command is under way. `unsure`: the command got no answer and
-   * may yet be executed, until the machine has a newer token or incarnation. `known`: the machine has reported it.
+   * Whether the start is known to have arrived. `sending`: the command is in flight. `unsure`: the command got no
+   * answer and may still be executed, until the machine has a newer token or incarnation. `known`: the machine has
+   * reported the attempt.
    */
   startPhase: 'sending' | 'unsure' | 'known';
-  /** Token that the start was sent under. */
+  /** Fencing token that the start was sent under. */
   fencingToken: number;
-  /** When the start was ordered, and when the attempt was first reported as running and as exited; steady milliseconds. */
+  /**
+   * When the start was ordered, and when the attempt was first reported running and exited; monotonic milliseconds.
+   */
   orderedAt: number;
   runningAt: number | null;
   exitedAt: number | null;
   /**
-   * How the task is to stop: with so many seconds to save its state, and when that was last sent straight to the machine (steady
-   * milliseconds, 0 for not yet). Null when it is not to stop.
+   * The order to stop: the seconds allowed for saving state, and when it was last sent directly to the machine
+   * (monotonic milliseconds, 0 if not yet). Null if the task is not to stop.
    */
   stop: { graceS: number; sentAt: number } | null;
-  /** The exit is recorded as far as it needs to be: the machine may forget it. */
+  /** Whether the exit is recorded as far as necessary, so that the machine may forget the attempt. */
   exitRecorded: boolean;
 }
 
-/** A machine of a shard as its owner knows it; times are steady milliseconds of this node. */
+/** A machine of a shard as known to the shard's owner; times are monotonic milliseconds of this node. */
 export interface Machine {
   id: string;
-  /** Where it takes commands; empty while that is not known. */
+  /** Address for commands; empty while unknown. */
   addr: string;
-  /** Indices of its type and its zone. */
+  /** Indices of the machine type and the zone. */
   type: number;
   zone: number;
   /** Whether the cloud may reclaim it at short notice. */
   spot: boolean;
-  /** It is on its way back to the cloud: nothing more is started there. */
+  /** Whether the machine is being returned to the cloud, so that no new task is started on it. */
   decommissioning: boolean;
-  /** Version of its assignment record. */
+  /** Version of the machine's record in the key-value store. */
   version: number;
-  /** The token that commands to it are sent under; an older one makes a command void. */
+  /** The fencing token that commands are sent under; commands with an older token are void. */
   fencingToken: number;
-  /** The machine's incarnation and the number of its last heartbeat in it, by which late heartbeats are recognized. */
+  /** The machine's incarnation and the sequence number of its latest heartbeat, used to recognize late heartbeats. */
   incarnation: number;
   heartbeatSequence: number;
-  /** Reports of incarnations before this one come late. */
+  /** Lowest incarnation whose reports are accepted; reports of earlier ones are late. */
   minIncarnation: number;
-  /** It has reported under the present token. */
+  /** Whether the machine has reported under the current token. */
   reconciled: boolean;
-  /** It may hold tasks of an earlier owner's that nobody has reported. */
+  /** Whether the machine may hold unreported tasks that an earlier owner started. */
   mayHoldUnreportedTasks: boolean;
-  /** Its lease counts from here at the latest. */
+  /** Latest time from which the machine's lease can run. */
   leaseRenewedAt: number;
-  /** When this owner last answered a report of it with 200, or took it over. */
+  /** When this owner last answered a report of the machine with 200, or took the machine over. */
   lastAcknowledgedAt: number;
   lastHeartbeatAt: number | null;
-  /** Its lease surely ran out with no report since. */
+  /** Whether the machine's lease has certainly expired and no report has arrived since. */
   leaseExpired: boolean;
   rentedAt: number;
-  /** When the cloud takes it away; null without a notice. */
+  /** When the cloud reclaims the machine; null without a notice. */
   reclaimAt: number | null;
-  /** The attempts that are, or may be, on it, by `attemptKey`. */
+  /** Attempts that are, or may be, on the machine, by `attemptKey`. */
   attempts: Map<string, TaskAttempt>;
-  /** The images that it has, by index, with their sizes in GB; the least recently used first. */
+  /** Images in the machine's cache, by index, with their sizes in GB; least recently used first. */
   images: Map<number, number>;
-  /** Since when it holds nothing; null while it holds something. */
+  /** Since when the machine has held no attempts; null while it holds one. */
   idleSince: number | null;
-  /** When it last gave no answer to a request or a command; null once it has answered one, or stays with this node. */
+  /**
+   * When the machine last failed to answer a request or command; null once it answers one or keeps reporting to this
+   * node.
+   */
   unreachableAt: number | null;
-  /** Answers to its reports since it should have shown the present token. */
+  /** Consecutive responses to reports that did not show the current token. */
   unconfirmedResponses: number;
-  /** Task failures that count against it since a task last succeeded there. */
+  /** Consecutive task failures counted against the machine since a task last succeeded on it. */
   consecutiveErrors: number;
-  /** Until then it takes no new task. */
+  /** End of the machine's quarantine, until which it takes no new tasks. */
   quarantinedUntil: number;
 }
 
-/** A machine that hears the answers to its reports sends the next one to the same node within so many milliseconds. */
+/**
+ * Returns the time in ms within which a machine that receives the responses sends its next report to the same node.
+ */
 export function nextHeartbeatWithinMs(reportS: number): number {
   return reportS * 1250 + 500;
 }
 
-/** What a report counts for: `late` and `foreign` say nothing, `untokened` only that the machine is there. */
+/**
+ * The evidence that a report gives: `late` and `foreign` reports give none, an `untokened` one shows only that the
+ * machine is running, an `ok` one also shows which tasks it holds.
+ */
 export type HeartbeatValidity = 'late' | 'foreign' | 'untokened' | 'ok';
 
 /**
- * What a report counts for beside what is known of its machine. Copies may come at any later time: only one that is newer than
- * all that is known, and shows the present token, shows what the machine holds now.
+ * Classifies a report against the recorded state of its machine. Duplicates may arrive at any later time, so only a
+ * report that is newer than the recorded state and carries the current token shows what the machine holds now.
  */
 export function classifyHeartbeat(
   known: Pick<Machine, 'incarnation' | 'heartbeatSequence' | 'minIncarnation' | 'fencingToken'>,
-  r: { incarnation: number; sequence: number; fencingToken: number },
+  heartbeat: { incarnation: number; sequence: number; fencingToken: number },
 ): HeartbeatValidity {
-  if (r.incarnation < known.minIncarnation || r.incarnation < known.incarnation) return 'late';
-  if (r.incarnation === known.incarnation && r.sequence <= known.heartbeatSequence) return 'late';
-  if (r.fencingToken > known.fencingToken) return 'foreign';
-  return r.fencingToken < known.fencingToken ? 'untokened' : 'ok';
+  if (heartbeat.incarnation < known.minIncarnation || heartbeat.incarnation < known.incarnation)
+    return 'late';
+  if (heartbeat.incarnation === known.incarnation && heartbeat.sequence <= known.heartbeatSequence)
+    return 'late';
+  if (heartbeat.fencingToken > known.fencingToken) return 'foreign';
+  return heartbeat.fencingToken < known.fencingToken ? 'untokened' : 'ok';
 }
 
-/** The key of an attempt among those of a machine. */
+/** Returns the key of an attempt in `Machine.attempts`. */
 export function attemptKey(job: string, index: number, attempt: number): string {
   return `${job}/${index}#${attempt}`;
 }
 
-/** Notes that the machine has an image, and drops the least recently used ones beyond its cache; sizes in GB. */
-export function noteImage(m: Machine, image: number, gb: number, cacheGb: number): void {
-  m.images.delete(image);
-  m.images.set(image, gb);
-  let sum = 0;
-  for (const size of m.images.values()) sum += size;
-  for (const [oldest, size] of m.images) {
-    if (sum <= cacheGb || oldest === image) break;
-    m.images.delete(oldest);
-    sum -= size;
+/**
+ * Records that the machine has an image, and evicts the least recently used ones beyond its cache size; sizes in GB.
+ */
+export function noteImage(machine: Machine, image: number, gb: number, cacheGb: number): void {
+  machine.images.delete(image);
+  machine.images.set(image, gb);
+  let totalGb = 0;
+  for (const size of machine.images.values()) totalGb += size;
+  for (const [oldest, size] of machine.images) {
+    if (totalGb <= cacheGb || oldest === image) break;
+    machine.images.delete(oldest);
+    totalGb -= size;
   }
 }
 
-/** A machine with so many errors in a row is returned. */
+/** Consecutive errors after which a machine is returned to the cloud. */
 export const MAX_CONSECUTIVE_ERRORS = 3;
--- a/src/workers/machineleases.ts
+++ b/src/workers/machineleases.ts
@@ -1,63 +1,69 @@
 import { MAX_CLOCK_DRIFT } from '../clock/clock.js';
 import type { AttemptReconciliation } from './attemptreconciliation.js';
 import type { Machine } from './machine.js';
-import type { RegistryParts } from './registryhooks.js';
+import type { RegistryContext } from './registryhooks.js';
 
 const LEASE_MARGIN_MS = 500;
 
-/** The leases of machines: when a machine that is not heard of has surely dropped its tasks. */
+/** The leases of machines: decides when a machine that no longer reports must have dropped its tasks. */
 export class MachineLeases {
   constructor(
-    private readonly parts: Pick<RegistryParts, 'clock' | 'times' | 'log' | 'hooks'>,
+    private readonly context: Pick<RegistryContext, 'clock' | 'times' | 'log' | 'hooks'>,
     private readonly attempts: AttemptReconciliation,
   ) {}
 
-  /** When the machine has surely dropped all that it held, unless it reports before; steady milliseconds. */
-  leaseEnd(m: Machine): number {
-    return this.leaseFrom(m.leaseRenewedAt);
+  /** Returns the monotonic time in ms by which the machine has dropped all its tasks unless it reports before. */
+  leaseEnd(machine: Machine): number {
+    return this.leaseFrom(machine.leaseRenewedAt);
   }
 
   /**
-   * When the machine has surely dropped all that owners before this one have started there: by the end of any incarnation that
-   * began under them. That one lasts no longer than a lease from the change of owner, or from the last answer of this owner's,
-   * whatever incarnations have begun since. Steady milliseconds.
+   * Returns the monotonic time in ms by which the machine has dropped everything that previous owners started there,
+   * because every incarnation that began under those owners has ended. Such an incarnation lasts at most one lease
+   * after the change of owner or after this owner's last acknowledgement, regardless of which incarnations have begun
+   * since.
    */
-  unreportedTasksUntil(m: Machine): number {
-    return this.leaseFrom(m.lastAcknowledgedAt);
+  unreportedTasksUntil(machine: Machine): number {
+    return this.leaseFrom(machine.lastAcknowledgedAt);
   }
 
-  /** Declares what is over by time alone; `now` in steady milliseconds. */
-  expire(m: Machine, now: number): void {
-    if (!m.leaseExpired && hasBegun(m) && now > this.leaseEnd(m)) this.expireLease(m);
-    if (m.mayHoldUnreportedTasks && now > this.unreportedTasksUntil(m)) {
-      m.mayHoldUnreportedTasks = false;
-      this.parts.hooks.requestPlan();
+  /** Applies the lease expiries that are due at `now`, in monotonic milliseconds. */
+  expire(machine: Machine, now: number): void {
+    if (!machine.leaseExpired && hasLeaseStarted(machine) && now > this.leaseEnd(machine))
+      this.expireLease(machine);
+    if (machine.mayHoldUnreportedTasks && now > this.unreportedTasksUntil(machine)) {
+      machine.mayHoldUnreportedTasks = false;
+      this.context.hooks.requestPlan();
     }
   }
 
-  private leaseFrom(at: number): number {
-    return at + this.parts.times.leaseS * 1000 * (1 + 2 * MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS;
+  private leaseFrom(renewedAt: number): number {
+    return renewedAt + this.context.times.leaseS * 1000 * (1 + 2 * MAX_CLOCK_DRIFT) + LEASE_MARGIN_MS;
   }
 
-  private expireLease(m: Machine): void {
-    if (m.lastHeartbeatAt === null) {
-      // Taken over and never heard of: what it may have held is gone, and it may well still boot.
-      m.mayHoldUnreportedTasks = false;
-      this.parts.hooks.requestPlan();
+  private expireLease(machine: Machine): void {
+    if (machine.lastHeartbeatAt === null) {
+      // The machine was taken over and has never reported to this owner: any tasks it held are gone, and it may still
+      // be booting.
+      machine.mayHoldUnreportedTasks = false;
+      this.context.hooks.requestPlan();
       return;
     }
-    this.parts.log.info({ machine: m.id, held: m.attempts.size }, 'machine lease expired');
-    m.leaseExpired = true;
-    m.reconciled = false;
-    m.mayHoldUnreportedTasks = false;
-    // What its present incarnation still reports is from before its lease ended.
-    if (m.incarnation > 0) m.minIncarnation = m.incarnation + 1;
-    this.attempts.forgetAll(m, 'lease expired');
-    this.parts.hooks.requestPlan();
+    this.context.log.info({ machine: machine.id, held: machine.attempts.size }, 'machine lease expired');
+    machine.leaseExpired = true;
+    machine.reconciled = false;
+    machine.mayHoldUnreportedTasks = false;
+    // Later reports of the current incarnation were sent before the lease expired, so they are rejected.
+    if (machine.incarnation > 0) machine.minIncarnation = machine.incarnation + 1;
+    this.attempts.dropAll(machine, 'lease expired');
+    this.context.hooks.requestPlan();
   }
 }
 
-/** Whether a machine has a lease: one that still boots has none to run out, and stays in the plan. */
-export function hasBegun(m: Machine): boolean {
-  return m.lastHeartbeatAt !== null || m.mayHoldUnreportedTasks;
+/**
+ * Returns whether the machine has a lease that can run out. A machine that is still booting has none and stays in the
+ * plan.
+ */
+export function hasLeaseStarted(machine: Machine): boolean {
+  return machine.lastHeartbeatAt !== null || machine.mayHoldUnreportedTasks;
 }
--- a/src/workers/machinereconciliation.ts
+++ b/src/workers/machinereconciliation.ts
@@ -1,91 +1,100 @@
 import { readHeartbeat, WORKER_PATHS } from '../wire/workers.js';
 import type { Machine } from './machine.js';
-import type { RegistryParts } from './registryhooks.js';
+import type { RegistryContext } from './registryhooks.js';
 import type { WorkerCommands } from './workercommands.js';
 
 const STATUS_TIMEOUT_MS = 2000;
-/** A machine is asked no more often than this. */
+/** Minimum interval between two requests to the same machine when its incarnation is not known. */
 const RECONCILE_INTERVAL_MS = 1500;
 
-/** Asks machines for their heartbeat under the present token. */
+/** Requests heartbeats under the current fencing token from machines. */
 export class MachineReconciliation {
-  /** Machines that are being asked. */
+  /** Machines with a request in flight. */
   private readonly inFlight = new Set<string>();
-  private readonly startedAt = new Map<string, number>();
-  /** Machines whose turn to be asked is still to come. */
-  private readonly waiting = new Set<string>();
+  private readonly requestedAt = new Map<string, number>();
+  /** Machines still queued in `reconcileAll`. */
+  private readonly queued = new Set<string>();
 
   constructor(
-    private readonly parts: Pick<RegistryParts, 'clock' | 'http' | 'machines' | 'isStopped' | 'isActive'>,
+    private readonly context: Pick<RegistryContext, 'clock' | 'http' | 'machines' | 'isStopped' | 'isActive'>,
     private readonly commands: WorkerCommands,
   ) {}
 
-  /** Whether the machine's turn in `reconcileAll` is still to come. */
-  isWaiting(m: Machine): boolean {
-    return this.waiting.has(m.id);
+  /** Returns whether the machine is still queued in `reconcileAll`. */
+  isQueued(machine: Machine): boolean {
+    return this.queued.has(machine.id);
   }
 
-  /** The machine is no more. */
-  forget(m: Machine): void {
-    this.startedAt.delete(m.id);
+  /** Discards the state kept for a machine that has been removed. */
+  forget(machine: Machine): void {
+    this.requestedAt.delete(machine.id);
   }
 
   /**
-   * Asks a machine for its heartbeat under the present token. Until it has given one, a command of an earlier owner that
-   * the network holds back could still be executed there. `incarnation` is the machine's as it is supposed to be; with null
-   * the machine is asked for it first, but not again soon.
+   * Requests a machine's heartbeat under the current token. Until the machine has sent one, a command of an earlier
+   * owner that is delayed in the network could still be executed there. `incarnation` is the machine's expected
+   * incarnation; if it is null, the machine is asked for its incarnation first, at most once per
+   * `RECONCILE_INTERVAL_MS`.
    */
-  async reconcile(m: Machine, incarnation: number | null): Promise<void> {
-    const { clock } = this.parts;
-    const last = this.startedAt.get(m.id) ?? Number.NEGATIVE_INFINITY;
-    if ((m.reconciled && m.unreachableAt === null) || !m.addr || this.inFlight.has(m.id)) return;
-    if (incarnation === null && clock.now() - last < RECONCILE_INTERVAL_MS) return;
-    this.inFlight.add(m.id);
-    this.startedAt.set(m.id, clock.now());
+  async reconcile(machine: Machine, incarnation: number | null): Promise<void> {
+    const { clock } = this.context;
+    const lastRequestAt = this.requestedAt.get(machine.id) ?? Number.NEGATIVE_INFINITY;
+    if (
+      (machine.reconciled && machine.unreachableAt === null) ||
+      !machine.addr ||
+      this.inFlight.has(machine.id)
+    )
+      return;
+    if (incarnation === null && clock.now() - lastRequestAt < RECONCILE_INTERVAL_MS) return;
+    this.inFlight.add(machine.id);
+    this.requestedAt.set(machine.id, clock.now());
     try {
-      let target = incarnation ?? (m.reconciled ? m.incarnation : null);
-      if (target === null) {
-        const { http } = this.parts;
-        const answer = await http.request(m.addr, 'GET', WORKER_PATHS.status, null, STATUS_TIMEOUT_MS);
-        const r = readHeartbeat(answer.body);
-        if (!r || r.machine !== m.id) return;
-        target = r.incarnation;
+      let targetIncarnation = incarnation ?? (machine.reconciled ? machine.incarnation : null);
+      if (targetIncarnation === null) {
+        const { http } = this.context;
+        const answer = await http.request(machine.addr, 'GET', WORKER_PATHS.status, null, STATUS_TIMEOUT_MS);
+        const heartbeat = readHeartbeat(answer.body);
+        if (!heartbeat || heartbeat.machine !== machine.id) return;
+        targetIncarnation = heartbeat.incarnation;
       }
-      if (this.parts.isActive()) await this.commands.send(m, { commands: [], incarnation: target });
+      if (this.context.isActive())
+        await this.commands.send(machine, { commands: [], incarnation: targetIncarnation });
     } catch {
-      // It is asked again, and its own reports come as well. Until it answers, nothing is planned on it.
-      if (m.lastHeartbeatAt !== null) m.unreachableAt = clock.now();
+      // The request is retried later, and the machine also reports by itself. Nothing is planned on it until it
+      // answers.
+      if (machine.lastHeartbeatAt !== null) machine.unreachableAt = clock.now();
     } finally {
-      this.inFlight.delete(m.id);
+      this.inFlight.delete(machine.id);
     }
   }
 
   /**
-   * Asks machines that were taken over for their heartbeats, so many at once, in this order. With the incarnation that the
-   * former owner knew one request is enough; a machine that has another says so.
+   * Requests the heartbeats of machines that were taken over, in the given order and at most `maxConcurrent` at once.
+   * If the incarnation known to the previous owner still holds, one request is enough; otherwise the response carries
+   * the current one.
    */
   async reconcileAll(
     machines: readonly Machine[],
-    incarnationOf: (m: Machine) => number | null,
+    incarnationOf: (machine: Machine) => number | null,
     maxConcurrent: number,
   ): Promise<void> {
     const queue = [...machines];
-    for (const m of queue) this.waiting.add(m.id);
-    const work = async () => {
-      for (let m = queue.shift(); m; m = queue.shift()) {
-        this.waiting.delete(m.id);
-        if (this.parts.isStopped()) return;
-        const supposed = incarnationOf(m);
-        await this.reconcile(m, supposed);
+    for (const machine of queue) this.queued.add(machine.id);
+    const processQueue = async () => {
+      for (let machine = queue.shift(); machine; machine = queue.shift()) {
+        this.queued.delete(machine.id);
+        if (this.context.isStopped()) return;
+        const expectedIncarnation = incarnationOf(machine);
+        await this.reconcile(machine, expectedIncarnation);
         if (
-          supposed !== null &&
-          !m.reconciled &&
-          !this.parts.isStopped() &&
-          this.parts.machines.get(m.id) === m
+          expectedIncarnation !== null &&
+          !machine.reconciled &&
+          !this.context.isStopped() &&
+          this.context.machines.get(machine.id) === machine
         )
-          await this.reconcile(m, m.incarnation > 0 ? m.incarnation : null);
+          await this.reconcile(machine, machine.incarnation > 0 ? machine.incarnation : null);
       }
     };
-    await Promise.all(Array.from({ length: Math.min(maxConcurrent, queue.length) }, work));
+    await Promise.all(Array.from({ length: Math.min(maxConcurrent, queue.length) }, processQueue));
   }
 }
--- a/src/workers/machineregistry.ts
+++ b/src/workers/machineregistry.ts
@@ -1,30 +1,33 @@
-// This package: the machines of a shard as they report, and the commands to them.
+// This package: the registry of a shard's machines, fed by their heartbeats, and the commands sent to them.
 import type { Clock } from '../clock/clock.js';
 import type { Log } from '../config/log.js';
 import type { Requester } from '../http/client.js';
 import { type Heartbeat, writeHeartbeatResponse } from '../wire/workers.js';
 import { AttemptReconciliation } from './attemptreconciliation.js';
-import { HeartbeatIntake } from './heartbeats.js';
+import { HeartbeatProcessor } from './heartbeats.js';
 import { type Machine, nextHeartbeatWithinMs, type TaskAttempt } from './machine.js';
-import { hasBegun, MachineLeases } from './machineleases.js';
+import { hasLeaseStarted, MachineLeases } from './machineleases.js';
 import { MachineReconciliation } from './machinereconciliation.js';
-import type { MachineRegistryHooks, RegistryParts, WorkerTimes } from './registryhooks.js';
+import type { MachineRegistryHooks, RegistryContext, WorkerTimes } from './registryhooks.js';
 import { type TaskStart, TaskStarts } from './taskstarts.js';
 import { WorkerCommands } from './workercommands.js';
 
 /**
- * So many answers in a row may go to a machine whose reports do not show the present token. One that still does not is deaf:
- * answered on, it would count as renewed for ever, and all that may be on it would be waited for.
+ * How many consecutive responses go to a machine whose reports do not show the current token. A machine that still
+ * does not show it receives no responses: if it were acknowledged further, its lease would count as renewed forever,
+ * and the owner would wait indefinitely for the tasks that may be on it.
  */
 const MAX_UNCONFIRMED_RESPONSES = 2;
-const UNCONFIRMED_RESPONSE_LEASES = 2;
+const UNCONFIRMED_RESPONSE_INTERVAL_LEASES = 2;
 
-/** The machines of one shard: what is known of them, and all that passes between them and the shard's owner. */
+/**
+ * The machines of one shard: their known state, and the exchange of heartbeats and commands with the shard's owner.
+ */
 export class MachineRegistry {
   /** The machines of the shard, by id. */
   readonly machines = new Map<string, Machine>();
   private readonly attempts: AttemptReconciliation;
-  private readonly heartbeats: HeartbeatIntake;
+  private readonly heartbeats: HeartbeatProcessor;
   private readonly leases: MachineLeases;
   private readonly commands: WorkerCommands;
   private readonly reconciliation: MachineReconciliation;
@@ -38,7 +41,7 @@
     log: Log,
     private readonly hooks: MachineRegistryHooks,
   ) {
-    const parts: RegistryParts = {
+    const context: RegistryContext = {
       clock,
       http,
       times,
@@ -48,15 +51,15 @@
       isStopped: () => this.stopped,
       isActive: () => this.isActive,
     };
-    this.attempts = new AttemptReconciliation(parts);
-    this.heartbeats = new HeartbeatIntake(parts, this.attempts);
-    this.leases = new MachineLeases(parts, this.attempts);
-    this.commands = new WorkerCommands(parts, this.heartbeats);
-    this.reconciliation = new MachineReconciliation(parts, this.commands);
-    this.starts = new TaskStarts(parts, this.commands, this.reconciliation);
+    this.attempts = new AttemptReconciliation(context);
+    this.heartbeats = new HeartbeatProcessor(context, this.attempts);
+    this.leases = new MachineLeases(context, this.attempts);
+    this.commands = new WorkerCommands(context, this.heartbeats);
+    this.reconciliation = new MachineReconciliation(context, this.commands);
+    this.starts = new TaskStarts(context, this.commands, this.reconciliation);
   }
 
-  /** The shard is lost: nothing more is sent or taken up. */
+  /** Stops the registry because the shard is lost: it sends no commands and applies no heartbeats from now on. */
   stop(): void {
     this.stopped = true;
   }
@@ -65,95 +68,114 @@
     return !this.stopped && this.hooks.holdsShard();
   }
 
-  /** The answer to a reporting machine, with commands for it; null when the report must not be answered with 200. */
-  onHeartbeat(m: Machine, r: Heartbeat): object | null {
+  /**
+   * Returns the response to a heartbeat, with pending commands; null if the heartbeat must not be answered with 200.
+   */
+  onHeartbeat(machine: Machine, heartbeat: Heartbeat): object | null {
     if (!this.isActive) return null;
-    const validity = this.heartbeats.apply(m, r, 'report');
+    const validity = this.heartbeats.apply(machine, heartbeat, 'report');
     if (validity === 'late' || validity === 'foreign') return null;
     if (validity === 'untokened') {
-      void this.reconciliation.reconcile(m, r.incarnation);
-      // Now and then it is answered all the same: it may hear by now, and be out of reach for commands alone.
-      const acknowledgedLately =
-        this.clock.now() - m.lastAcknowledgedAt < this.times.leaseS * 1000 * UNCONFIRMED_RESPONSE_LEASES;
-      if (++m.unconfirmedResponses > MAX_UNCONFIRMED_RESPONSES && acknowledgedLately) return null;
+      void this.reconciliation.reconcile(machine, heartbeat.incarnation);
+      // The machine is still acknowledged occasionally: it may receive responses again and only be unreachable for
+      // commands.
+      const recentlyAcknowledged =
+        this.clock.now() - machine.lastAcknowledgedAt <
+        this.times.leaseS * 1000 * UNCONFIRMED_RESPONSE_INTERVAL_LEASES;
+      if (++machine.unconfirmedResponses > MAX_UNCONFIRMED_RESPONSES && recentlyAcknowledged) return null;
     }
-    m.leaseRenewedAt = this.clock.now();
-    m.lastAcknowledgedAt = m.leaseRenewedAt;
-    return writeHeartbeatResponse(m.fencingToken, validity === 'ok' ? this.commands.pending(m) : []);
+    machine.leaseRenewedAt = this.clock.now();
+    machine.lastAcknowledgedAt = machine.leaseRenewedAt;
+    return writeHeartbeatResponse(
+      machine.fencingToken,
+      validity === 'ok' ? this.commands.pending(machine) : [],
+    );
   }
 
   /**
-   * A machine of this shard has reported to another node, which redirected it here. As long as it neither reports here nor
-   * answers it gets nothing new: it may hear no answers, which is a fault of its own.
+   * Handles a heartbeat that a machine of this shard sent to another node, which redirected it here. Until the
+   * machine reports here or answers a request it is given no new tasks: it may not be receiving responses, which is a
+   * fault of the machine.
    */
   onHeartbeatElsewhere(id: string): void {
-    const m = this.machines.get(id);
+    const machine = this.machines.get(id);
     if (
-      !m?.reconciled ||
-      m.lastHeartbeatAt === null ||
-      this.clock.now() - m.lastHeartbeatAt <= nextHeartbeatWithinMs(this.times.reportS)
+      !machine?.reconciled ||
+      machine.lastHeartbeatAt === null ||
+      this.clock.now() - machine.lastHeartbeatAt <= nextHeartbeatWithinMs(this.times.reportS)
     )
       return;
-    m.unreachableAt ??= this.clock.now();
-    void this.reconciliation.reconcile(m, null);
+    machine.unreachableAt ??= this.clock.now();
+    void this.reconciliation.reconcile(machine, null);
   }
 
   /** Starts tasks on a machine that has reported under the present token. */
-  startTasks(m: Machine, starts: readonly TaskStart[]): TaskAttempt[] {
-    return this.starts.start(m, starts);
+  startTasks(machine: Machine, starts: readonly TaskStart[]): TaskAttempt[] {
+    return this.starts.start(machine, starts);
   }
 
-  /** Stops a task with so many seconds to save its state; a later call can only shorten the grace. */
-  stopTask(h: TaskAttempt, graceS: number): void {
-    this.commands.stopTask(h, graceS);
+  /**
+   * Stops a task, allowing it `graceS` seconds to save its state; a later call can only shorten that grace period.
+   */
+  stopTask(attempt: TaskAttempt, graceS: number): void {
+    this.commands.stopTask(attempt, graceS);
   }
 
-  /** Sends stops that have not been sent, or long ago, straight to the machines. */
+  /** Sends stops directly to the machines if they have not been sent yet or were sent too long ago. */
   sendStops(): void {
     this.commands.sendStops();
   }
 
-  /** What time alone decides: leases that ran out, machines to be asked. */
+  /** Handles everything that depends on time alone: expires leases and retries the reconciliation of machines. */
   tick(): void {
     const now = this.clock.now();
-    for (const m of this.machines.values()) {
-      const begun = hasBegun(m);
-      this.leases.expire(m, now);
-      // One that was taken over and could not be asked at first (no socket free, no answer) is asked again as well.
-      // So is one that gave no answer, until it gives one: its reports alone do not show that it hears.
-      const isDue = !m.reconciled || m.unreachableAt !== null;
-      if (isDue && m.addr && !m.leaseExpired && begun && !this.reconciliation.isWaiting(m))
-        void this.reconciliation.reconcile(m, null);
+    for (const machine of this.machines.values()) {
+      const leaseStarted = hasLeaseStarted(machine);
+      this.leases.expire(machine, now);
+      // A machine that was taken over and could not be reached at first (no socket free, no answer) is asked again. A
+      // machine that failed to answer is also asked until it does, because its reports alone do not show that it
+      // receives responses.
+      const isDue = !machine.reconciled || machine.unreachableAt !== null;
+      if (
+        isDue &&
+        machine.addr &&
+        !machine.leaseExpired &&
+        leaseStarted &&
+        !this.reconciliation.isQueued(machine)
+      )
+        void this.reconciliation.reconcile(machine, null);
     }
   }
 
-  /** When the machine has surely dropped all that it held, unless it reports before; steady milliseconds. */
-  leaseEnd(m: Machine): number {
-    return this.leases.leaseEnd(m);
+  /** Returns the monotonic time in ms by which the machine has dropped all its tasks unless it reports before. */
+  leaseEnd(machine: Machine): number {
+    return this.leases.leaseEnd(machine);
   }
 
-  /** When the machine has surely dropped all that owners before this one have started there; steady milliseconds. */
-  unreportedTasksUntil(m: Machine): number {
-    return this.leases.unreportedTasksUntil(m);
+  /**
+   * Returns the monotonic time in ms by which the machine has dropped everything that previous owners started there.
+   */
+  unreportedTasksUntil(machine: Machine): number {
+    return this.leases.unreportedTasksUntil(machine);
   }
 
-  /** The machine is no more, or no longer this shard's. */
-  remove(m: Machine): void {
-    this.machines.delete(m.id);
-    this.reconciliation.forget(m);
-    this.attempts.forgetAll(m, 'machine removed');
-    m.mayHoldUnreportedTasks = false;
+  /** Removes a machine that no longer exists or no longer belongs to this shard. */
+  remove(machine: Machine): void {
+    this.machines.delete(machine.id);
+    this.reconciliation.forget(machine);
+    this.attempts.dropAll(machine, 'machine removed');
+    machine.mayHoldUnreportedTasks = false;
   }
 
-  /** Asks a machine for its heartbeat under the present token; see `MachineReconciliation.reconcile`. */
-  reconcile(m: Machine, incarnation: number | null): Promise<void> {
-    return this.reconciliation.reconcile(m, incarnation);
+  /** Requests a machine's heartbeat under the current token; see `MachineReconciliation.reconcile`. */
+  reconcile(machine: Machine, incarnation: number | null): Promise<void> {
+    return this.reconciliation.reconcile(machine, incarnation);
   }
 
-  /** Asks machines that were taken over; see `MachineReconciliation.reconcileAll`. */
+  /** Requests the heartbeats of machines that were taken over; see `MachineReconciliation.reconcileAll`. */
   reconcileAll(
     machines: readonly Machine[],
-    incarnationOf: (m: Machine) => number | null,
+    incarnationOf: (machine: Machine) => number | null,
     maxConcurrent: number,
   ): Promise<void> {
     return this.reconciliation.reconcileAll(machines, incarnationOf, maxConcurrent);
--- a/src/workers/registryhooks.ts
+++ b/src/workers/registryhooks.ts
@@ -3,7 +3,7 @@
 import type { Requester } from '../http/client.js';
 import type { Machine, TaskAttempt } from './machine.js';
 
-/** How it became sure that a task is not on its machine. */
+/** The evidence that a task is not on its machine. */
 export type GoneReason =
   | 'never sent'
   | 'not executed'
@@ -12,37 +12,37 @@
   | 'lease expired'
   | 'machine removed';
 
-/** What the registry asks of its shard, and what it reports to it. */
+/** The shard's operations that the registry calls, and the events that it reports to the shard. */
 export interface MachineRegistryHooks {
-  /** True while this node surely holds the shard. */
+  /** Returns true while this node is certain to hold the shard. */
   holdsShard(): boolean;
-  /** Makes a newer token durable; returns the new version of the machine's record. */
-  renewFencingToken(m: Machine): Promise<number>;
-  /** A machine reports a task that was not known to be there. */
-  onAttemptFound(h: TaskAttempt): void;
-  /** State or cause of a known task changed. */
-  onAttemptChanged(h: TaskAttempt): void;
-  /** A task is surely no longer on its machine. */
-  onAttemptGone(h: TaskAttempt, why: GoneReason): void;
-  /** A machine has begun an incarnation that was not known. */
-  onIncarnation(m: Machine): void;
+  /** Stores a newer fencing token durably; returns the new version of the machine's record. */
+  renewFencingToken(machine: Machine): Promise<number>;
+  /** Called when a machine reports an attempt that was not recorded for it. */
+  onAttemptFound(attempt: TaskAttempt): void;
+  /** Called when the state or the exit cause of a recorded attempt has changed. */
+  onAttemptChanged(attempt: TaskAttempt): void;
+  /** Called when an attempt is certain not to be on its machine any more. */
+  onAttemptGone(attempt: TaskAttempt, reason: GoneReason): void;
+  /** Called when a machine has begun a new incarnation. */
+  onIncarnation(machine: Machine): void;
   /**
-   * Announces where tasks may be started before their commands are sent. Null when nothing has to be waited for; else true
-   * once they may be sent, false when they must not be any more.
+   * Announces where tasks may be started, before their commands are sent. Returns null if there is nothing to wait
+   * for; otherwise resolves to true once the commands may be sent, or to false if they must not be sent any more.
    */
   announceStarts(attempts: readonly TaskAttempt[]): Promise<boolean> | null;
-  /** Something changed that the plan should take in. */
+  /** Requests a new plan after a change that affects it. */
   requestPlan(): void;
 }
 
-/** The settings of the workers' protocol: the interval of heartbeats and the length of a machine's lease, in seconds. */
+/** The timing of the worker protocol, in seconds: the heartbeat interval and the duration of a machine's lease. */
 export interface WorkerTimes {
   readonly reportS: number;
   readonly leaseS: number;
 }
 
-/** What the parts of a registry share. */
-export interface RegistryParts {
+/** The dependencies and state shared by the components of a registry. */
+export interface RegistryContext {
   readonly clock: Clock;
   readonly http: Requester;
   readonly times: WorkerTimes;
@@ -50,8 +50,8 @@
   readonly hooks: MachineRegistryHooks;
   /** The machines of the shard, by id. */
   readonly machines: Map<string, Machine>;
-  /** Whether the shard is no longer this node's. */
+  /** Returns whether the shard no longer belongs to this node. */
   isStopped(): boolean;
-  /** Whether this node surely holds the shard, so that commands and answers may be sent. */
+  /** Returns whether this node is certain to hold the shard, so that commands and responses may be sent. */
   isActive(): boolean;
 }
--- a/src/workers/taskstarts.ts
+++ b/src/workers/taskstarts.ts
@@ -2,130 +2,156 @@
 import type { WorkerCommand } from '../wire/workers.js';
 import type { Machine, TaskAttempt } from './machine.js';
 import type { MachineReconciliation } from './machinereconciliation.js';
-import type { GoneReason, RegistryParts } from './registryhooks.js';
-import { keyOf, type WorkerCommands } from './workercommands.js';
+import type { GoneReason, RegistryContext } from './registryhooks.js';
+import { keyOfAttempt, type WorkerCommands } from './workercommands.js';
 
 const TOKEN_RETRY_MS = 1000;
 
-/** A task to be started, by its job, its index there and the number of the attempt. */
+/** A task to start: its job, its index in the job, and the attempt number. */
 export interface TaskStart {
   readonly job: string;
   readonly index: number;
   readonly attempt: number;
 }
 
-/** Starts tasks on machines, and finds out which starts were executed. */
+/** Starts tasks on machines, and determines which starts were executed. */
 export class TaskStarts {
   constructor(
-    private readonly parts: Pick<
-      RegistryParts,
+    private readonly context: Pick<
+      RegistryContext,
       'clock' | 'log' | 'hooks' | 'machines' | 'isStopped' | 'isActive'
     >,
     private readonly commands: WorkerCommands,
     private readonly reconciliation: MachineReconciliation,
   ) {}
 
-  /** Starts tasks on a machine that has reported under the present token; returns their attempts, which it may hold from now on. */
-  start(m: Machine, starts: readonly TaskStart[]): TaskAttempt[] {
-    const now = this.parts.clock.now();
-    const attempts = starts.map((s): TaskAttempt => {
-      const h: TaskAttempt = {
-        ...s,
-        machine: m,
+  /**
+   * Starts tasks on a machine that has reported under the current token. From now on the machine may hold the
+   * returned attempts.
+   */
+  start(machine: Machine, starts: readonly TaskStart[]): TaskAttempt[] {
+    const now = this.context.clock.now();
+    const attempts = starts.map((taskStart): TaskAttempt => {
+      const attempt: TaskAttempt = {
+        ...taskStart,
+        machine: machine,
         state: 'fetching',
         cause: null,
         startPhase: 'sending',
-        fencingToken: m.fencingToken,
+        fencingToken: machine.fencingToken,
         orderedAt: now,
         runningAt: null,
         exitedAt: null,
         stop: null,
         exitRecorded: false,
       };
-      m.attempts.set(keyOf(h), h);
-      return h;
+      machine.attempts.set(keyOfAttempt(attempt), attempt);
+      return attempt;
     });
-    m.idleSince = null;
-    void this.send(m, attempts);
+    machine.idleSince = null;
+    void this.send(machine, attempts);
     return attempts;
   }
 
-  private async send(m: Machine, attempts: TaskAttempt[]): Promise<void> {
+  private async send(machine: Machine, attempts: TaskAttempt[]): Promise<void> {
     let startable = attempts;
-    const announced = this.parts.hooks.announceStarts(attempts);
+    const announced = this.context.hooks.announceStarts(attempts);
     if (announced !== null) {
       const mayStart = await announced;
-      startable = this.startable(m, attempts, mayStart && this.parts.isActive());
+      startable = this.startable(machine, attempts, mayStart && this.context.isActive());
       if (startable.length === 0) return;
-      // The token that a start is sent under is what makes it void later.
-      for (const h of startable) h.fencingToken = m.fencingToken;
+      // The token that a start is sent under is the one that later invalidates it.
+      for (const attempt of startable) attempt.fencingToken = machine.fencingToken;
     }
     const commands = startable.map(
-      (h): WorkerCommand => ({ op: 'start', job: h.job, index: h.index, attempt: h.attempt }),
+      (attempt): WorkerCommand => ({
+        op: 'start',
+        job: attempt.job,
+        index: attempt.index,
+        attempt: attempt.attempt,
+      }),
     );
     const onExecuted = () => {
-      for (const h of startable) if (h.startPhase === 'sending') h.startPhase = 'known';
+      for (const attempt of startable) if (attempt.startPhase === 'sending') attempt.startPhase = 'known';
     };
     try {
-      const executed = await this.commands.send(m, { commands, incarnation: m.incarnation, onExecuted });
-      if (executed) m.unreachableAt = null;
-      else this.reject(startable, 'not executed');
+      const executed = await this.commands.send(machine, {
+        commands,
+        incarnation: machine.incarnation,
+        onExecuted,
+      });
+      if (executed) machine.unreachableAt = null;
+      else this.discard(startable, 'not executed');
     } catch (error) {
-      this.onSendFailed(m, startable, error);
+      this.onSendFailed(machine, startable, error);
     }
   }
 
-  private onSendFailed(m: Machine, attempts: readonly TaskAttempt[], error: unknown): void {
-    m.unreachableAt = this.parts.clock.now();
+  private onSendFailed(machine: Machine, attempts: readonly TaskAttempt[], error: unknown): void {
+    machine.unreachableAt = this.context.clock.now();
     if (error instanceof HttpRequestError && !error.sent) {
-      this.reject(attempts, 'never sent');
+      this.discard(attempts, 'never sent');
       return;
     }
-    // The command may be executed at any later time while token and incarnation match. Only a newer token, or the end of
-    // the incarnation, makes sure that it is not.
-    for (const h of attempts) if (h.startPhase === 'sending') h.startPhase = 'unsure';
-    this.parts.log.info({ machine: m.id, tasks: attempts.length }, 'start unanswered: token renewal started');
-    void this.renewFencingToken(m);
+    // The command may still be executed at any later time while its token and incarnation match. Only a newer token
+    // or the end of the incarnation guarantees that it is not executed.
+    for (const attempt of attempts) if (attempt.startPhase === 'sending') attempt.startPhase = 'unsure';
+    this.context.log.info(
+      { machine: machine.id, tasks: attempts.length },
+      'start unanswered: token renewal started',
+    );
+    void this.renewFencingToken(machine);
   }
 
   /**
-   * Of starts that had to wait before they could be sent, those that may still be. Meanwhile the machine may have lost its lease
-   * or begun a new incarnation, so that the task counts as gone and may be starting elsewhere, or the task may be to stop.
+   * Returns the attempts that may still be started after the wait for the announcement; the others are discarded.
+   * During the wait the machine may have lost its lease or begun a new incarnation, in which case the task counts as
+   * gone and may be starting elsewhere; or the task may have been ordered to stop.
    */
-  private startable(m: Machine, attempts: readonly TaskAttempt[], mayStart: boolean): TaskAttempt[] {
-    const usable = mayStart && m.reconciled && !m.leaseExpired && !m.decommissioning && m.reclaimAt === null;
+  private startable(machine: Machine, attempts: readonly TaskAttempt[], mayStart: boolean): TaskAttempt[] {
+    const usable =
+      mayStart &&
+      machine.reconciled &&
+      !machine.leaseExpired &&
+      !machine.decommissioning &&
+      machine.reclaimAt === null;
     const present = attempts.filter(
-      (h) => this.parts.machines.get(m.id) === m && m.attempts.get(keyOf(h)) === h,
+      (attempt) =>
+        this.context.machines.get(machine.id) === machine &&
+        machine.attempts.get(keyOfAttempt(attempt)) === attempt,
     );
-    const startable = usable ? present.filter((h) => h.stop === null) : [];
-    const rejected = present.filter((h) => !startable.includes(h));
-    if (rejected.length > 0) this.reject(rejected, 'never sent');
+    const startable = usable ? present.filter((attempt) => attempt.stop === null) : [];
+    const rejected = present.filter((attempt) => !startable.includes(attempt));
+    if (rejected.length > 0) this.discard(rejected, 'never sent');
     return startable;
   }
 
-  private reject(attempts: readonly TaskAttempt[], why: GoneReason): void {
-    for (const h of attempts) {
-      if (h.startPhase !== 'sending') continue;
-      h.machine.attempts.delete(keyOf(h));
-      this.parts.hooks.onAttemptGone(h, why);
+  private discard(attempts: readonly TaskAttempt[], reason: GoneReason): void {
+    for (const attempt of attempts) {
+      if (attempt.startPhase !== 'sending') continue;
+      attempt.machine.attempts.delete(keyOfAttempt(attempt));
+      this.context.hooks.onAttemptGone(attempt, reason);
     }
-    this.parts.hooks.requestPlan();
+    this.context.hooks.requestPlan();
   }
 
-  /** Renews the token, so that starts without an answer cannot be executed any more; tried again until it works. */
-  private async renewFencingToken(m: Machine): Promise<void> {
-    const { clock, hooks, machines } = this.parts;
+  /**
+   * Renews the fencing token, so that unanswered starts can no longer be executed; retries until the renewal
+   * succeeds.
+   */
+  private async renewFencingToken(machine: Machine): Promise<void> {
+    const { clock, hooks, machines } = this.context;
     while (
-      !this.parts.isStopped() &&
-      machines.get(m.id) === m &&
-      [...m.attempts.values()].some((h) => h.startPhase === 'unsure')
+      !this.context.isStopped() &&
+      machines.get(machine.id) === machine &&
+      [...machine.attempts.values()].some((attempt) => attempt.startPhase === 'unsure')
     ) {
       try {
-        const version = await hooks.renewFencingToken(m);
-        m.version = version;
-        m.fencingToken = Math.max(m.fencingToken, version);
-        m.reconciled = false;
-        void this.reconciliation.reconcile(m, null);
+        const version = await hooks.renewFencingToken(machine);
+        machine.version = version;
+        machine.fencingToken = Math.max(machine.fencingToken, version);
+        machine.reconciled = false;
+        void this.reconciliation.reconcile(machine, null);
         return;
       } catch {
         await new Promise<void>((resolve) => {
