--- a/src/workers/workercommands.ts
+++ b/src/workers/workercommands.ts
@@ -1,60 +1,67 @@
 import { readHeartbeat, WORKER_PATHS, type WorkerCommand, writeCommands } from '../wire/workers.js';
-import type { HeartbeatIntake } from './heartbeats.js';
+import type { HeartbeatProcessor } from './heartbeats.js';
 import { attemptKey, type Machine, type TaskAttempt } from './machine.js';
-import type { RegistryParts } from './registryhooks.js';
+import type { RegistryContext } from './registryhooks.js';
 
 const COMMAND_TIMEOUT_MS = 3000;
-/** A stop that has not shown an effect is sent again after this. */
+/** Interval after which a stop that has had no visible effect is sent again. */
 const STOP_RESEND_MS = 2000;
 
-/** A request to a machine that carries commands. */
+/** A set of commands sent to a machine in one request. */
 export interface CommandRequest {
   readonly commands: readonly WorkerCommand[];
-  /** The incarnation that may execute them. */
+  /** The only incarnation that may execute the commands. */
   readonly incarnation: number;
-  /** Called once they are known to be executed, before the answer's heartbeat is taken up. */
+  /** Called once the commands are known to be executed, before the heartbeat in the response is applied. */
   readonly onExecuted?: () => void;
 }
 
-/** Commands to the machines of a shard, sent straight to them or with the answers to their heartbeats. */
+/** Sends commands to the machines of a shard, either directly or with the responses to their heartbeats. */
 export class WorkerCommands {
-  /** Tasks that are to stop and have not exited, as far as is known. */
+  /** Attempts that were ordered to stop and are not known to have exited. */
   private readonly stopping = new Set<TaskAttempt>();
 
   constructor(
-    private readonly parts: Pick<RegistryParts, 'clock' | 'http' | 'machines' | 'isStopped' | 'isActive'>,
-    private readonly heartbeats: HeartbeatIntake,
+    private readonly context: Pick<RegistryContext, 'clock' | 'http' | 'machines' | 'isStopped' | 'isActive'>,
+    private readonly heartbeats: HeartbeatProcessor,
   ) {}
 
   /**
-   * Sends commands under the machine's present token, and takes up the heartbeat in the answer. True when they were executed,
-   * false when the machine surely did not execute them. Throws `HttpRequestError` when there is no answer.
+   * Sends commands under the machine's current token, and applies the heartbeat in the response. Returns true if the
+   * commands were executed, false if they certainly were not. Throws `HttpRequestError` if there is no response.
    */
-  async send(m: Machine, { commands, incarnation, onExecuted }: CommandRequest): Promise<boolean> {
-    const { http, machines } = this.parts;
-    const body = writeCommands(m.fencingToken, incarnation, [...commands]);
-    const answer = await http.request(m.addr, 'POST', WORKER_PATHS.commands, body, COMMAND_TIMEOUT_MS);
-    const r = readHeartbeat(answer.body);
+  async send(machine: Machine, { commands, incarnation, onExecuted }: CommandRequest): Promise<boolean> {
+    const { http, machines } = this.context;
+    const body = writeCommands(machine.fencingToken, incarnation, [...commands]);
+    const answer = await http.request(machine.addr, 'POST', WORKER_PATHS.commands, body, COMMAND_TIMEOUT_MS);
+    const heartbeat = readHeartbeat(answer.body);
     if (answer.status === 200) onExecuted?.();
-    if (r && r.machine === m.id && machines.get(m.id) === m && !this.parts.isStopped())
-      this.heartbeats.apply(m, r, 'command');
+    if (
+      heartbeat &&
+      heartbeat.machine === machine.id &&
+      machines.get(machine.id) === machine &&
+      !this.context.isStopped()
+    )
+      this.heartbeats.apply(machine, heartbeat, 'command');
     return answer.status === 200;
   }
 
-  /** Stops a task with so many seconds to save its state; a later call can only shorten the grace. */
-  stopTask(h: TaskAttempt, graceS: number): void {
-    if (h.state === 'exited') return;
-    if (!h.stop || graceS < h.stop.graceS) h.stop = { graceS, sentAt: 0 };
-    this.stopping.add(h);
+  /**
+   * Stops a task, allowing it `graceS` seconds to save its state; a later call can only shorten that grace period.
+   */
+  stopTask(attempt: TaskAttempt, graceS: number): void {
+    if (attempt.state === 'exited') return;
+    if (!attempt.stop || graceS < attempt.stop.graceS) attempt.stop = { graceS, sentAt: 0 };
+    this.stopping.add(attempt);
   }
 
-  /** Sends stops that have not been sent, or long ago, straight to the machines. */
+  /** Sends stops directly to the machines if they have not been sent yet or were sent too long ago. */
   sendStops(): void {
-    const now = this.parts.clock.now();
-    for (const [m, stops] of this.dueStops(now)) {
-      if (!this.parts.isActive()) return;
-      for (const h of stops) h.stop!.sentAt = now;
-      void this.send(m, { commands: stops.map(stopCommand), incarnation: m.incarnation }).catch(
+    const now = this.context.clock.now();
+    for (const [machine, stops] of this.dueStops(now)) {
+      if (!this.context.isActive()) return;
+      for (const attempt of stops) attempt.stop!.sentAt = now;
+      void this.send(machine, { commands: stops.map(stopCommand), incarnation: machine.incarnation }).catch(
         () => undefined,
       );
     }
@@ -62,39 +69,56 @@
 
   private dueStops(now: number): Map<Machine, TaskAttempt[]> {
     const due = new Map<Machine, TaskAttempt[]>();
-    for (const h of this.stopping) {
-      const m = h.machine;
-      if (h.state === 'exited' || this.parts.machines.get(m.id) !== m || !m.attempts.has(keyOf(h))) {
-        this.stopping.delete(h);
+    for (const attempt of this.stopping) {
+      const machine = attempt.machine;
+      if (
+        attempt.state === 'exited' ||
+        this.context.machines.get(machine.id) !== machine ||
+        !machine.attempts.has(keyOfAttempt(attempt))
+      ) {
+        this.stopping.delete(attempt);
         continue;
       }
-      if (!h.stop || now - h.stop.sentAt <= STOP_RESEND_MS || !m.reconciled || !m.addr) continue;
-      const stops = due.get(m);
-      if (stops) stops.push(h);
-      else due.set(m, [h]);
+      if (
+        !attempt.stop ||
+        now - attempt.stop.sentAt <= STOP_RESEND_MS ||
+        !machine.reconciled ||
+        !machine.addr
+      )
+        continue;
+      const stops = due.get(machine);
+      if (stops) stops.push(attempt);
+      else due.set(machine, [attempt]);
     }
     return due;
   }
 
-  /** The commands that go with the answer to a machine's heartbeat. */
-  pending(m: Machine): WorkerCommand[] {
+  /** Returns the commands to include in the response to a machine's heartbeat. */
+  pending(machine: Machine): WorkerCommand[] {
     const commands: WorkerCommand[] = [];
-    for (const h of m.attempts.values()) {
-      if (h.state === 'exited') {
-        if (h.exitRecorded) commands.push({ op: 'forget', job: h.job, index: h.index, attempt: h.attempt });
-      } else if (h.stop) {
-        commands.push(stopCommand(h));
+    for (const attempt of machine.attempts.values()) {
+      if (attempt.state === 'exited') {
+        if (attempt.exitRecorded)
+          commands.push({ op: 'forget', job: attempt.job, index: attempt.index, attempt: attempt.attempt });
+      } else if (attempt.stop) {
+        commands.push(stopCommand(attempt));
       }
     }
     return commands;
   }
 }
 
-/** The key of an attempt among those of its machine. */
-export function keyOf(h: TaskAttempt): string {
-  return attemptKey(h.job, h.index, h.attempt);
+/** Returns the key of an attempt in `Machine.attempts`. */
+export function keyOfAttempt(attempt: TaskAttempt): string {
+  return attemptKey(attempt.job, attempt.index, attempt.attempt);
 }
 
-function stopCommand(h: TaskAttempt): WorkerCommand {
-  return { op: 'stop', job: h.job, index: h.index, attempt: h.attempt, graceS: h.stop?.graceS ?? 0 };
+function stopCommand(attempt: TaskAttempt): WorkerCommand {
+  return {
+    op: 'stop',
+    job: attempt.job,
+    index: attempt.index,
+    attempt: attempt.attempt,
+    graceS: attempt.stop?.graceS ?? 0,
+  };
 }
--- a/tests/changefeed/changefeed.test.ts
+++ b/tests/changefeed/changefeed.test.ts
@@ -4,7 +4,7 @@
 import type { ChangeSource } from '../../src/changefeed/changefeed.js';
 import { ChangeLog } from '../../src/changefeed/changelog.js';
 import { sourceOrder } from '../../src/changefeed/sourceorder.js';
-import { watchPaceMs } from '../../src/changefeed/watchpacing.js';
+import { minWatchIntervalMs } from '../../src/changefeed/watchpacing.js';
 import { ClusterStateCache } from '../../src/controller/clusterstatecache.js';
 import type { Change } from '../../src/wire/state.js';
 import { FakeClock } from '../support/clock.js';
@@ -268,23 +268,23 @@
   const present = ['c', 'a', 'b', 'x', 'y', 'z'].map((node, version) => ({ node, version: version + 1 }));
   const order = (self: string) => sourceOrder(self, present, regionOf);
   assert.deepEqual(
-    [order('c').position, order('c').source, order('c').candidates],
+    [order('c').position, order('c').isSource, order('c').candidates],
     [0, true, ['a', 'b', 'x', 'y']],
   );
   assert.deepEqual(
-    [order('b').position, order('b').source, order('b').candidates],
+    [order('b').position, order('b').isSource, order('b').candidates],
     [2, false, ['c', 'a', 'x', 'y']],
   );
   assert.deepEqual(order('z').candidates, ['x', 'y', 'c', 'a']);
-  assert.deepEqual(order('z').witnesses, ['c', 'a', 'x', 'y']);
-  assert.deepEqual(order('a').witnesses, ['c', 'b', 'x', 'y'], 'the second looks after its first');
-  assert.equal(order('c').firsts, 2);
+  assert.deepEqual(order('z').progressPeers, ['c', 'a', 'x', 'y']);
+  assert.deepEqual(order('a').progressPeers, ['c', 'b', 'x', 'y'], 'the second looks after its first');
+  assert.equal(order('c').regionCount, 2);
   // `c` comes back: what it wrote last is the newest.
   present[0]!.version = 9;
   assert.deepEqual([order('a').position, order('c').position], [0, 2]);
   // One that is not there by this node's own copy follows all that are.
   assert.equal(order('d').position, 3);
-  assert.equal(order('d').source, false);
+  assert.equal(order('d').isSource, false);
 });
 
 test('a log gives what follows a revision in whole revisions, and says when it does not reach back so far', () => {
@@ -324,14 +324,14 @@
 });
 
 test('the more nodes share the rate, the less often each source watches, and few nodes watch as often as is worth it', () => {
-  for (const nodes of [3, 5]) assert.equal(watchPaceMs(true, 1, 200 / nodes), 80, `${nodes} nodes`);
-  assert.equal(watchPaceMs(false, 1, 200 / 3), 80);
+  for (const nodes of [3, 5]) assert.equal(minWatchIntervalMs(true, 1, 200 / nodes), 80, `${nodes} nodes`);
+  assert.equal(minWatchIntervalMs(false, 1, 200 / 3), 80);
   for (const regions of [1, 2, 3]) {
-    const first = 1000 / watchPaceMs(true, regions, 200 / 17);
-    const second = 1000 / watchPaceMs(false, regions, 200 / 17);
+    const first = 1000 / minWatchIntervalMs(true, regions, 200 / 17);
+    const second = 1000 / minWatchIntervalMs(false, regions, 200 / 17);
     assert.ok(regions * (first + second) < 200 * 0.08, `${regions * (first + second)} a second of 200`);
   }
-  assert.ok(watchPaceMs(false, 1, 200 / 17) > watchPaceMs(true, 1, 200 / 17));
+  assert.ok(minWatchIntervalMs(false, 1, 200 / 17) > minWatchIntervalMs(true, 1, 200 / 17));
 });
 
 // Guards against followers that send work and machines to an owner that is none any more, for as long as their source is behind.
