--- a/tests/changefeed/changefeed.test.ts
+++ b/tests/changefeed/changefeed.test.ts
@@ -12,110 +12,113 @@
 import { FeedCluster } from '../support/feeds.js';
 
 const names = (n: number) => Array.from({ length: n }, (_, i) => `n${i}`);
-/** All that configuration is allowed, with room for what comes after. */
-const SOON_MS = 1000;
+/**
+ * Maximum time for a change to reach all nodes; it leaves time for the steps that follow within the limit for
+ * configuration changes.
+ */
+const MAX_PROPAGATION_MS = 1000;
 
-async function started(nodes: string[], regionOf?: (node: string) => string): Promise<FeedCluster> {
-  const c = new FeedCluster(nodes, regionOf);
-  c.change('c/first');
-  await c.clock.advance(3000);
-  c.requests.clear();
-  return c;
+async function startCluster(nodes: string[], regionOf?: (node: string) => string): Promise<FeedCluster> {
+  const cluster = new FeedCluster(nodes, regionOf);
+  cluster.change('c/first');
+  await cluster.clock.advance(3000);
+  cluster.requests.clear();
+  return cluster;
 }
 
-/** Changes a record every so often; fails when a node that is up does not know one of them in time. */
-async function everyoneKnows(
-  c: FeedCluster,
+/** Changes a record `times` times, `everyMs` apart; fails if a node that is up does not learn of a change in time. */
+async function assertChangesReachAll(
+  cluster: FeedCluster,
   times: number,
   everyMs: number,
-  but: string[] = [],
+  except: string[] = [],
 ): Promise<void> {
   for (let i = 0; i < times; i++) {
-    const version = c.change(`c/record/${i % 3}`);
+    const version = cluster.change(`c/record/${i % 3}`);
     assert.ok(
-      await c.knownWithin(`c/record/${i % 3}`, version, SOON_MS, but),
-      `change ${i} is not known: ${[...c.nodes].filter(([, n]) => n.stateCache.entries.get(`c/record/${i % 3}`)?.version !== version).map(([name, n]) => `${name} by ${n.feed.source}`)}`,
+      await cluster.knownWithin(`c/record/${i % 3}`, version, MAX_PROPAGATION_MS, except),
+      `change ${i} is not known: ${[...cluster.nodes].filter(([, n]) => n.stateCache.entries.get(`c/record/${i % 3}`)?.version !== version).map(([name, n]) => `${name} by ${n.feed.source}`)}`,
     );
-    await c.clock.advance(everyMs);
+    await cluster.clock.advance(everyMs);
   }
 }
 
-test('two nodes in each region watch the state service, and every change reaches the others by way of them', async () => {
-  const c = await started(names(9), (n) => (Number(n.slice(1)) < 5 ? 'one' : 'two'));
-  await everyoneKnows(c, 40, 500);
+test('two nodes in each region watch the key-value store, and the other nodes receive every change from them', async () => {
+  const cluster = await startCluster(names(9), (n) => (Number(n.slice(1)) < 5 ? 'one' : 'two'));
+  await assertChangesReachAll(cluster, 40, 500);
   for (const name of ['n0', 'n1', 'n5', 'n6']) {
-    assert.equal(c.nodes.get(name)!.feed.source, null, name);
-    assert.ok(c.watches(name) > 0, name);
+    assert.equal(cluster.nodes.get(name)!.feed.source, null, name);
+    assert.ok(cluster.watches(name) > 0, name);
   }
-  for (const name of ['n2', 'n3', 'n4']) assert.equal(c.nodes.get(name)!.feed.source, 'n0');
-  for (const name of ['n7', 'n8']) assert.equal(c.nodes.get(name)!.feed.source, 'n5');
-  for (const name of ['n2', 'n3', 'n4', 'n7', 'n8']) assert.equal(c.watches(name), 0, name);
+  for (const name of ['n2', 'n3', 'n4']) assert.equal(cluster.nodes.get(name)!.feed.source, 'n0');
+  for (const name of ['n7', 'n8']) assert.equal(cluster.nodes.get(name)!.feed.source, 'n5');
+  for (const name of ['n2', 'n3', 'n4', 'n7', 'n8']) assert.equal(cluster.watches(name), 0, name);
 });
 
-test('a source that dies in the middle of a stream is replaced at once, and nothing is read twice from the state service', async () => {
-  const c = await started(names(6));
-  await everyoneKnows(c, 5, 100);
-  c.nodes.get('n0')!.down = true;
-  c.cut.add('n0>n2').add('n0>n3').add('n0>n4').add('n0>n5').add('n0>n1');
-  await everyoneKnows(c, 20, 100);
+test('followers replace a source that dies during a stream at once, without listing the store again', async () => {
+  const cluster = await startCluster(names(6));
+  await assertChangesReachAll(cluster, 5, 100);
+  cluster.nodes.get('n0')!.down = true;
+  cluster.cut.add('n0>n2').add('n0>n3').add('n0>n4').add('n0>n5').add('n0>n1');
+  await assertChangesReachAll(cluster, 20, 100);
   for (const name of ['n2', 'n3', 'n4', 'n5']) {
-    assert.equal(c.nodes.get(name)!.feed.source, 'n1');
-    assert.equal(c.requests.get(`${name} list`) ?? 0, 0);
+    assert.equal(cluster.nodes.get(name)!.feed.source, 'n1');
+    assert.equal(cluster.requests.get(`${name} list`) ?? 0, 0);
   }
 });
 
-test('a source that stands still with its connections open is left for another', async () => {
-  const c = await started(names(6));
-  await everyoneKnows(c, 3, 100);
-  c.nodes.get('n0')!.down = true;
-  const version = c.change('c/late');
-  assert.ok(await c.knownWithin('c/late', version, 1500));
-  await everyoneKnows(c, 10, 200);
+test('followers switch to another source when theirs is frozen with its connections open', async () => {
+  const cluster = await startCluster(names(6));
+  await assertChangesReachAll(cluster, 3, 100);
+  cluster.nodes.get('n0')!.down = true;
+  const version = cluster.change('c/late');
+  assert.ok(await cluster.knownWithin('c/late', version, 1500));
+  await assertChangesReachAll(cluster, 10, 200);
 });
 
 for (const regions of [1, 2]) {
-  test(`a source that the state service refuses is left within a second, and follows another one itself (regions: ${regions})`, async () => {
-    const c = await started(names(8), (n) => `${Number(n.slice(1)) % regions}`);
-    await everyoneKnows(c, 3, 300);
-    c.state.refusing.add('n0');
-    await everyoneKnows(c, 12, 300);
-    assert.notEqual(c.nodes.get('n0')!.feed.source, null);
-    for (const name of ['n4', 'n5', 'n6', 'n7']) assert.equal(c.watches(name), 0, name);
-    c.state.refusing.delete('n0');
-    await c.clock.advance(15_000);
-    await everyoneKnows(c, 5, 300);
-    assert.equal(c.nodes.get('n0')!.feed.source, null, 'it watches again');
+  test(`a source that the key-value store refuses is left within a second and becomes a follower (regions: ${regions})`, async () => {
+    const cluster = await startCluster(names(8), (n) => `${Number(n.slice(1)) % regions}`);
+    await assertChangesReachAll(cluster, 3, 300);
+    cluster.state.refusing.add('n0');
+    await assertChangesReachAll(cluster, 12, 300);
+    assert.notEqual(cluster.nodes.get('n0')!.feed.source, null);
+    for (const name of ['n4', 'n5', 'n6', 'n7']) assert.equal(cluster.watches(name), 0, name);
+    cluster.state.refusing.delete('n0');
+    await cluster.clock.advance(15_000);
+    await assertChangesReachAll(cluster, 5, 300);
+    assert.equal(cluster.nodes.get('n0')!.feed.source, null, 'the former source watches again');
   });
 }
 
-test('two sources that are cut off from the state service together keep nobody where they are', async () => {
-  const c = await started(names(6));
-  await everyoneKnows(c, 3, 300);
+test('two sources that are both cut off from the key-value store do not hold back their followers', async () => {
+  const cluster = await startCluster(names(6));
+  await assertChangesReachAll(cluster, 3, 300);
   for (const name of ['n0', 'n1']) {
-    c.state.refusing.add(name);
-    c.nodes.get(name)!.served = false;
+    cluster.state.refusing.add(name);
+    cluster.nodes.get(name)!.served = false;
   }
-  await c.clock.advance(1500);
-  await everyoneKnows(c, 10, 300);
-  const watching = [...c.nodes].filter(([, n]) => n.feed.source === null).map(([name]) => name);
-  assert.deepEqual(watching, ['n2'], 'the others follow it, the two sources as well');
+  await cluster.clock.advance(1500);
+  await assertChangesReachAll(cluster, 10, 300);
+  const watching = [...cluster.nodes].filter(([, n]) => n.feed.source === null).map(([name]) => name);
+  assert.deepEqual(watching, ['n2'], 'all other nodes follow n2, including the two sources');
 });
 
-test('a source whose watches fail follows the other one, and watches again when they are served', async () => {
-  const c = await started(names(5));
-  c.net.fate = (from, _addr, _method, path) =>
+test('a source whose watches fail follows the other source, and watches again once its watches succeed', async () => {
+  const cluster = await startCluster(names(5));
+  cluster.net.fate = (from, _addr, _method, path) =>
     from === 'n0' && path.startsWith('/watch') ? 'refuse' : 'deliver';
-  await everyoneKnows(c, 20, 150);
-  assert.equal(c.nodes.get('n0')!.feed.source, 'n1');
-  c.net.fate = () => 'deliver';
-  await c.clock.advance(12_000);
-  await everyoneKnows(c, 3, 150);
-  assert.equal(c.nodes.get('n0')!.feed.source, null);
+  await assertChangesReachAll(cluster, 20, 150);
+  assert.equal(cluster.nodes.get('n0')!.feed.source, 'n1');
+  cluster.net.fate = () => 'deliver';
+  await cluster.clock.advance(12_000);
+  await assertChangesReachAll(cluster, 3, 150);
+  assert.equal(cluster.nodes.get('n0')!.feed.source, null);
 });
 
-test('a copy of the keys takes no change from before its own revision, whoever tells it', async () => {
+test('a cache of the keys ignores changes older than its own revision, whatever their source', async () => {
   const clock = new FakeClock();
-  const told = [
+  const answers = [
     {
       revision: 20,
       changes: [
@@ -133,7 +136,7 @@
   ];
   const source: ChangeSource = {
     list: async () => ({ entries: [{ key: 'c/old', value: 0, version: 5 }], revision: 10 }),
-    watch: async () => told.shift() ?? new Promise(() => undefined),
+    watch: async () => answers.shift() ?? new Promise(() => undefined),
   };
   const stateCache = new ClusterStateCache(clock, source, 'c/', pino({ level: 'silent' }), () => undefined);
   void stateCache.run();
@@ -142,128 +145,132 @@
   assert.deepEqual([stateCache.entries.get('c/new')?.version, stateCache.revision], [24, 25]);
 });
 
-test('followers that are cut off from their source go to the other one, and to the state service without either', async () => {
-  const c = await started(names(6));
-  c.cut.add('n0>n3');
-  await everyoneKnows(c, 10, 100);
-  assert.equal(c.nodes.get('n3')!.feed.source, 'n1');
-  for (const other of ['n1', 'n2', 'n4', 'n5']) c.cut.add(`${other}>n3`);
-  const version = c.change('c/alone');
-  assert.ok(await c.knownWithin('c/alone', version, SOON_MS + 500));
-  await everyoneKnows(c, 5, 600);
-  assert.equal(c.nodes.get('n3')!.feed.source, null);
-  // At a rate of its own: it never watches as often as a first source does.
-  c.requests.clear();
+test('followers cut off from their source switch to the other source, and without either to the store', async () => {
+  const cluster = await startCluster(names(6));
+  cluster.cut.add('n0>n3');
+  await assertChangesReachAll(cluster, 10, 100);
+  assert.equal(cluster.nodes.get('n3')!.feed.source, 'n1');
+  for (const other of ['n1', 'n2', 'n4', 'n5']) cluster.cut.add(`${other}>n3`);
+  const version = cluster.change('c/alone');
+  assert.ok(await cluster.knownWithin('c/alone', version, MAX_PROPAGATION_MS + 500));
+  await assertChangesReachAll(cluster, 5, 600);
+  assert.equal(cluster.nodes.get('n3')!.feed.source, null);
+  // A follower without a source has its own rate limit: it never watches as often as a first source does.
+  cluster.requests.clear();
   for (let i = 0; i < 100; i++) {
-    c.change('c/quick');
-    await c.clock.advance(50);
+    cluster.change('c/quick');
+    await cluster.clock.advance(50);
   }
-  assert.ok(c.watches('n3') <= 15, `${c.watches('n3')} watches in 5 s`);
-  assert.ok(c.watches('n3') >= 8);
+  assert.ok(cluster.watches('n3') <= 15, `${cluster.watches('n3')} watches in 5 s`);
+  assert.ok(cluster.watches('n3') >= 8);
 });
 
-test('an answer that does not follow what is known is dropped, and what a source does not keep is read elsewhere', async () => {
-  const c = await started(names(5));
-  // From now on the first source's answers to n2 leave a change out: they follow a later revision.
-  c.tamper = (answer, from, to) => {
+test('drops an answer that does not follow the known revision, and reads changes a source lacks elsewhere', async () => {
+  const cluster = await startCluster(names(5));
+  // From now on the first source's answers to n2 omit a change: they follow a later revision.
+  cluster.tamper = (answer, from, to) => {
     const batch = answer as { since?: number; changes?: unknown[] };
     if (from !== 'n2' || to !== 'n0' || !batch.changes) return answer;
     return { ...batch, since: batch.since! + 1, changes: batch.changes.slice(1) };
   };
-  await everyoneKnows(c, 20, 100);
-  for (const [key, item] of c.state.items)
-    assert.equal(c.nodes.get('n2')!.stateCache.entries.get(key)?.version, item.version);
-  // Neither source keeps what n3 lacks: one watch at the state service brings all of it, and no list.
-  c.tamper = (answer, from) =>
+  await assertChangesReachAll(cluster, 20, 100);
+  for (const [key, item] of cluster.state.items)
+    assert.equal(cluster.nodes.get('n2')!.stateCache.entries.get(key)?.version, item.version);
+  // Neither source keeps the changes that n3 lacks: one watch of the key-value store returns them all, without a
+  // list.
+  cluster.tamper = (answer, from) =>
     from === 'n3' && 'changes' in (answer as object) ? { refused: 'gap' } : answer;
-  await everyoneKnows(c, 3, 700);
-  assert.ok(c.watches('n3') > 0);
-  assert.equal(c.requests.get('n3 list') ?? 0, 0);
+  await assertChangesReachAll(cluster, 3, 700);
+  assert.ok(cluster.watches('n3') > 0);
+  assert.equal(cluster.requests.get('n3 list') ?? 0, 0);
 });
 
-test('nodes never follow in a circle, whatever they take the order to be', async () => {
-  const c = await started(names(4));
-  // Each takes the two after it for the sources.
-  c.seenBy.set('n0', ['n1', 'n2', 'n0', 'n3']);
-  c.seenBy.set('n1', ['n2', 'n3', 'n1', 'n0']);
-  c.seenBy.set('n2', ['n3', 'n0', 'n2', 'n1']);
-  c.seenBy.set('n3', ['n0', 'n1', 'n3', 'n2']);
-  await c.clock.advance(1500);
-  await everyoneKnows(c, 20, 400);
-  for (const [name, node] of c.nodes) {
+test('nodes never follow each other in a circle, even if their views of the order differ', async () => {
+  const cluster = await startCluster(names(4));
+  // Each node considers the two nodes after it to be the sources.
+  cluster.seenBy.set('n0', ['n1', 'n2', 'n0', 'n3']);
+  cluster.seenBy.set('n1', ['n2', 'n3', 'n1', 'n0']);
+  cluster.seenBy.set('n2', ['n3', 'n0', 'n2', 'n1']);
+  cluster.seenBy.set('n3', ['n0', 'n1', 'n3', 'n2']);
+  await cluster.clock.advance(1500);
+  await assertChangesReachAll(cluster, 20, 400);
+  for (const [name, node] of cluster.nodes) {
     const { source } = node.feed;
-    if (source !== null) assert.equal(c.nodes.get(source)!.feed.source, null, `${name} follows ${source}`);
+    if (source !== null)
+      assert.equal(cluster.nodes.get(source)!.feed.source, null, `${name} follows ${source}`);
   }
 });
 
-test('when all sources are lost at once, one of the others watches and the rest follow it', async () => {
-  const c = await started(names(12));
-  await everyoneKnows(c, 3, 100);
+test('when all sources are lost at once, one other node watches and the rest follow it', async () => {
+  const cluster = await startCluster(names(12));
+  await assertChangesReachAll(cluster, 3, 100);
   for (const lost of ['n0', 'n1']) {
-    c.nodes.get(lost)!.down = true;
-    for (const other of c.nodes.keys()) c.cut.add(`${lost}>${other}`);
+    cluster.nodes.get(lost)!.down = true;
+    for (const other of cluster.nodes.keys()) cluster.cut.add(`${lost}>${other}`);
   }
-  c.requests.clear();
-  const version = c.change('c/after');
-  assert.ok(await c.knownWithin('c/after', version, SOON_MS));
-  await everyoneKnows(c, 5, 200);
-  const watching = [...c.nodes].filter(([name, n]) => !n.down && c.watches(name) > 0).map(([name]) => name);
+  cluster.requests.clear();
+  const version = cluster.change('c/after');
+  assert.ok(await cluster.knownWithin('c/after', version, MAX_PROPAGATION_MS));
+  await assertChangesReachAll(cluster, 5, 200);
+  const watching = [...cluster.nodes]
+    .filter(([name, n]) => !n.down && cluster.watches(name) > 0)
+    .map(([name]) => name);
   assert.deepEqual(watching, ['n2']);
 });
 
-test('a node that missed more changes than the state service keeps reads the keys anew; the others notice nothing', async () => {
-  const c = await started(names(4));
-  const gone = c.change('c/gone');
-  assert.ok(await c.knownWithin('c/gone', gone, SOON_MS));
-  c.nodes.get('n3')!.down = true;
-  c.drop('c/gone');
+test('a node that missed more changes than the store keeps lists the keys again, without effect on others', async () => {
+  const cluster = await startCluster(names(4));
+  const gone = cluster.change('c/gone');
+  assert.ok(await cluster.knownWithin('c/gone', gone, MAX_PROPAGATION_MS));
+  cluster.nodes.get('n3')!.down = true;
+  cluster.drop('c/gone');
   for (let i = 0; i < 11_500; i++) {
-    c.change(`c/many/${i % 50}`);
-    if (i % 100 === 0) await c.clock.advance(300);
+    cluster.change(`c/many/${i % 50}`);
+    if (i % 100 === 0) await cluster.clock.advance(300);
   }
-  await c.clock.advance(1000);
-  const node = c.nodes.get('n3')!;
+  await cluster.clock.advance(1000);
+  const node = cluster.nodes.get('n3')!;
   node.down = false;
   void node.stateCache.run();
-  const version = c.change('c/last');
-  assert.ok(await c.knownWithin('c/last', version, 5000));
+  const version = cluster.change('c/last');
+  assert.ok(await cluster.knownWithin('c/last', version, 5000));
   assert.ok(!node.stateCache.entries.has('c/gone'));
-  assert.equal(c.requests.get('n3 list'), 1);
-  for (const name of ['n0', 'n1', 'n2']) assert.equal(c.requests.get(`${name} list`) ?? 0, 0);
+  assert.equal(cluster.requests.get('n3 list'), 1);
+  for (const name of ['n0', 'n1', 'n2']) assert.equal(cluster.requests.get(`${name} list`) ?? 0, 0);
 });
 
-test('what a former source sends after its follower has gone to another one changes nothing', async () => {
-  const c = await started(names(4));
-  const n3 = c.nodes.get('n3')!;
-  // Its answers to n3 are under way for two seconds, so that n3 has long gone to n1 when they come.
-  c.answerMs = (from, to, op) => (from === 'n3' && to === 'n0' && op === 'changes' ? 2000 : 0);
-  const old = c.change('c/deleted');
-  assert.ok(await c.knownWithin('c/deleted', old, 2000));
+test('ignores a late answer from a source that the follower has left', async () => {
+  const cluster = await startCluster(names(4));
+  const n3 = cluster.nodes.get('n3')!;
+  // Answers from n0 to n3 take two seconds, so that n3 has switched to n1 long before they arrive.
+  cluster.answerMs = (from, to, op) => (from === 'n3' && to === 'n0' && op === 'changes' ? 2000 : 0);
+  const old = cluster.change('c/deleted');
+  assert.ok(await cluster.knownWithin('c/deleted', old, 2000));
   assert.equal(n3.feed.source, 'n1');
-  const dropped = c.drop('c/deleted');
-  assert.ok(await c.clock.until(() => !n3.stateCache.entries.has('c/deleted'), SOON_MS));
+  const dropped = cluster.drop('c/deleted');
+  assert.ok(await cluster.clock.until(() => !n3.stateCache.entries.has('c/deleted'), MAX_PROPAGATION_MS));
   assert.ok(n3.stateCache.revision >= dropped);
   for (let i = 0; i < 40; i++) {
-    await c.clock.advance(100);
-    assert.ok(!n3.stateCache.entries.has('c/deleted'), 'it came back');
+    await cluster.clock.advance(100);
+    assert.ok(!n3.stateCache.entries.has('c/deleted'), 'the deleted key reappeared');
     assert.ok(n3.stateCache.revision >= dropped);
   }
 });
 
-test('a follower that is back within a fraction of a second goes on where it was, without the state service', async () => {
-  const c = await started(names(5));
-  await everyoneKnows(c, 3, 100);
-  c.requests.clear();
-  for (const source of ['n0', 'n1']) c.cut.add(`${source}>n4`);
-  const missed = [c.change('c/one'), c.change('c/two')];
-  await c.clock.advance(100);
-  c.cut.clear();
-  assert.ok(await c.knownWithin('c/two', missed[1]!, SOON_MS));
-  assert.equal(c.nodes.get('n4')!.stateCache.entries.get('c/one')?.version, missed[0]);
-  assert.equal(c.watches('n4') + (c.requests.get('n4 list') ?? 0), 0);
+test('a follower that reconnects within a fraction of a second resumes without using the key-value store', async () => {
+  const cluster = await startCluster(names(5));
+  await assertChangesReachAll(cluster, 3, 100);
+  cluster.requests.clear();
+  for (const source of ['n0', 'n1']) cluster.cut.add(`${source}>n4`);
+  const missed = [cluster.change('c/one'), cluster.change('c/two')];
+  await cluster.clock.advance(100);
+  cluster.cut.clear();
+  assert.ok(await cluster.knownWithin('c/two', missed[1]!, MAX_PROPAGATION_MS));
+  assert.equal(cluster.nodes.get('n4')!.stateCache.entries.get('c/one')?.version, missed[0]);
+  assert.equal(cluster.watches('n4') + (cluster.requests.get('n4 list') ?? 0), 0);
 });
 
-test('the order of presence decides alone, a restarted node comes last, and regions have their own sources', () => {
+test('only the order of presence determines the sources: restarted nodes come last, regions have their own', () => {
   const regionOf = (node: string) => (node < 'm' ? 'one' : 'two');
   const present = ['c', 'a', 'b', 'x', 'y', 'z'].map((node, version) => ({ node, version: version + 1 }));
   const order = (self: string) => sourceOrder(self, present, regionOf);
@@ -277,17 +284,21 @@
   );
   assert.deepEqual(order('z').candidates, ['x', 'y', 'c', 'a']);
   assert.deepEqual(order('z').progressPeers, ['c', 'a', 'x', 'y']);
-  assert.deepEqual(order('a').progressPeers, ['c', 'b', 'x', 'y'], 'the second looks after its first');
+  assert.deepEqual(
+    order('a').progressPeers,
+    ['c', 'b', 'x', 'y'],
+    'the second source checks its first source',
+  );
   assert.equal(order('c').regionCount, 2);
-  // `c` comes back: what it wrote last is the newest.
+  // Node `c` restarts: its presence now has the highest revision.
   present[0]!.version = 9;
   assert.deepEqual([order('a').position, order('c').position], [0, 2]);
-  // One that is not there by this node's own copy follows all that are.
+  // A node that is missing from its own cache is placed after all present nodes.
   assert.equal(order('d').position, 3);
   assert.equal(order('d').isSource, false);
 });
 
-test('a log gives what follows a revision in whole revisions, and says when it does not reach back so far', () => {
+test('a change log returns changes in whole revisions, and reports when it does not reach back far enough', () => {
   const log = new ChangeLog();
   const change = (version: number, key = `c/${version}`): Change => ({
     key,
@@ -302,28 +313,28 @@
   );
   assert.equal(log.after(9), null);
   assert.deepEqual(log.after(14), { since: 14, revision: 14, changes: [] });
-  assert.equal(log.after(99)!.revision, 99, 'whoever is further has nothing to learn');
-  // Many changes of one revision stay together.
+  assert.equal(log.after(99)!.revision, 99, 'a follower that is ahead gets no changes');
+  // The changes of one revision are never split.
   const wide = Array.from({ length: 450 }, (_, i) => change(20 + Math.floor(i / 150), `c/wide/${i}`));
   log.append({ since: 14, revision: 30, changes: wide });
   const first = log.after(14)!;
   assert.deepEqual([first.changes.length, first.revision], [300, 21]);
   const rest = log.after(first.revision)!;
   assert.deepEqual([rest.changes.length, rest.revision], [150, 30]);
-  // Large values make shorter answers.
+  // Large values make shorter batches.
   const big = Array.from(
     { length: 100 },
     (_, i): Change => ({ key: 'c/big', value: 'y'.repeat(16_000), version: 40 + i }),
   );
   log.append({ since: 30, revision: 200, changes: big });
   assert.ok(log.after(30)!.changes.length < 20);
-  // What does not follow begins anew.
+  // A batch that does not follow the end of the log restarts it.
   log.append({ since: 500, revision: 501, changes: [change(501)] });
   assert.equal(log.after(200), null);
   assert.equal(log.lastChange, 501);
 });
 
-test('the more nodes share the rate, the less often each source watches, and few nodes watch as often as is worth it', () => {
+test('sources watch less often the more nodes share the rate, and at the maximum useful rate with few nodes', () => {
   for (const nodes of [3, 5]) assert.equal(minWatchIntervalMs(true, 1, 200 / nodes), 80, `${nodes} nodes`);
   assert.equal(minWatchIntervalMs(false, 1, 200 / 3), 80);
   for (const regions of [1, 2, 3]) {
@@ -334,75 +345,86 @@
   assert.ok(minWatchIntervalMs(false, 1, 200 / 17) > minWatchIntervalMs(true, 1, 200 / 17));
 });
 
-// Guards against followers that send work and machines to an owner that is none any more, for as long as their source is behind.
-test('while the source of the others is refused and its shards change hands, jobs are accepted and run once', async () => {
-  for (const trouble of ['refused', 'frozen'] as const) {
+// Guards against followers that, while their source is behind, keep sending work and machines to an owner that has
+// lost its shard.
+test('jobs are accepted and run once while the followers’ source is refused and its shard changes owner', async () => {
+  for (const fault of ['refused', 'frozen'] as const) {
     const nodes = names(5);
-    const c = new FakeCluster(nodes);
-    c.standby = true;
-    c.teams = nodes.map((_, i) => ({ name: `team-${i}`, cpus: 8, cpusMax: 64, gpus: 0, gpusMax: 0 }));
-    for (let i = 0; i < 10; i++) c.addWorker('c8', 'a');
-    for (const n of nodes) c.startNode(n);
-    await c.clock.advance(15_000);
-    const source = c.nodes.get('n4')!.node.membership.changeFeed.source;
+    const cluster = new FakeCluster(nodes);
+    cluster.standby = true;
+    cluster.teams = nodes.map((_, i) => ({ name: `team-${i}`, cpus: 8, cpusMax: 64, gpus: 0, gpusMax: 0 }));
+    for (let i = 0; i < 10; i++) cluster.addWorker('c8', 'a');
+    for (const n of nodes) cluster.startNode(n);
+    await cluster.clock.advance(15_000);
+    const source = cluster.nodes.get('n4')!.node.membership.changeFeed.source;
     assert.ok(source !== null, 'n4 follows');
-    const behind = nodes.findIndex((n) => c.owner(nodes.indexOf(n)) === source);
-    const awake = trouble === 'frozen' ? c.freeze(source) : null;
-    if (trouble === 'refused') c.state.refusing.add(source);
+    const behind = nodes.findIndex((n) => cluster.owner(nodes.indexOf(n)) === source);
+    const unfreeze = fault === 'frozen' ? cluster.freeze(source) : null;
+    if (fault === 'refused') cluster.state.refusing.add(source);
     const ids: string[] = [];
-    const asked = nodes.filter((n) => n !== source);
+    const otherNodes = nodes.filter((n) => n !== source);
     for (let i = 0; i < 15; i++) {
       const id = `wk-${i}`;
-      assert.ok(await c.submit(asked[i % asked.length]!, job(id, { owner: `team-${i % 5}`, cpus: 4 })), id);
+      assert.ok(
+        await cluster.submit(
+          otherNodes[i % otherNodes.length]!,
+          job(id, { owner: `team-${i % 5}`, cpus: 4 }),
+        ),
+        id,
+      );
       ids.push(id);
-      await c.clock.advance(400);
+      await cluster.clock.advance(400);
     }
-    assert.notEqual(c.owner(behind), source, 'its shard is another node’s');
-    awake?.();
-    c.state.refusing.clear();
-    await c.clock.advance(30_000);
+    assert.notEqual(cluster.owner(behind), source, 'another node has taken over its shard');
+    unfreeze?.();
+    cluster.state.refusing.clear();
+    await cluster.clock.advance(30_000);
     for (const id of ids) {
-      const starts = c.workers.flatMap((w) => w.started).filter((task) => task === `${id}/0`);
-      assert.equal(starts.length, 1, `${id} after its source was ${trouble}`);
+      const starts = cluster.workers.flatMap((w) => w.started).filter((task) => task === `${id}/0`);
+      assert.equal(starts.length, 1, `${id} after the fault of its source: ${fault}`);
     }
-    const at = c.state.items.get('c/lead')!.version;
+    const leaderVersion = cluster.state.items.get('c/lead')!.version;
     for (const n of nodes)
-      assert.equal(c.nodes.get(n)!.node.membership.stateCache.entries.get('c/lead')?.version, at, n);
+      assert.equal(
+        cluster.nodes.get(n)!.node.membership.stateCache.entries.get('c/lead')?.version,
+        leaderVersion,
+        n,
+      );
   }
 });
 
-test('beside nodes of the production version changes reach all, and none of these is asked what it does not know', async () => {
+test('changes reach nodes of the production version too, and these are never sent requests they do not know', async () => {
   const nodes = names(6);
-  const c = new FakeCluster(nodes);
-  for (const n of ['n0', 'n2']) c.former.add(n);
-  for (let i = 0; i < 6; i++) c.addWorker('c8', 'a');
-  for (const n of nodes) c.startNode(n);
-  await c.clock.advance(15_000);
-  c.sent.length = 0;
+  const cluster = new FakeCluster(nodes);
+  for (const n of ['n0', 'n2']) cluster.former.add(n);
+  for (let i = 0; i < 6; i++) cluster.addWorker('c8', 'a');
+  for (const n of nodes) cluster.startNode(n);
+  await cluster.clock.advance(15_000);
+  cluster.sent.length = 0;
   for (let i = 0; i < 6; i++) {
-    assert.ok(await c.submit(nodes[i]!, job(`wk-${i}`)), nodes[i]);
-    void c.state.serve('POST', '/txn', { when: [], writes: [{ set: 'c/record', value: i }] });
-    await c.clock.advance(1000);
+    assert.ok(await cluster.submit(nodes[i]!, job(`wk-${i}`)), nodes[i]);
+    void cluster.state.serve('POST', '/txn', { when: [], writes: [{ set: 'c/record', value: i }] });
+    await cluster.clock.advance(1000);
     for (const n of nodes)
-      assert.equal(c.nodes.get(n)!.node.membership.stateCache.entries.get('c/record')?.value, i, n);
+      assert.equal(cluster.nodes.get(n)!.node.membership.stateCache.entries.get('c/record')?.value, i, n);
   }
-  const fresh = ['n1', 'n3', 'n4', 'n5'];
-  const asked = c.sent.filter(
-    (m) => ['changes', 'changesHead', 'rates'].includes(m.op) && fresh.includes(m.from),
+  const currentNodes = ['n1', 'n3', 'n4', 'n5'];
+  const requests = cluster.sent.filter(
+    (m) => ['changes', 'changesHead', 'rates'].includes(m.op) && currentNodes.includes(m.from),
   );
-  assert.ok(asked.some((m) => m.op === 'changes'));
+  assert.ok(requests.some((m) => m.op === 'changes'));
   assert.deepEqual(
-    [...new Set(asked.map((m) => m.to))].filter((to) => c.former.has(to)),
+    [...new Set(requests.map((m) => m.to))].filter((to) => cluster.former.has(to)),
     [],
   );
-  // The last of them is replaced, and all are of this version.
+  // The remaining nodes of the production version are replaced, so that all nodes run this version.
   for (const n of ['n0', 'n2']) {
-    c.killNode(n);
-    c.former.delete(n);
-    await c.clock.advance(2000);
-    c.startNode(n);
-    await c.clock.advance(15_000);
+    cluster.killNode(n);
+    cluster.former.delete(n);
+    await cluster.clock.advance(2000);
+    cluster.startNode(n);
+    await cluster.clock.advance(15_000);
   }
-  const watching = nodes.filter((n) => c.nodes.get(n)!.node.membership.changeFeed.source === null);
+  const watching = nodes.filter((n) => cluster.nodes.get(n)!.node.membership.changeFeed.source === null);
   assert.equal(watching.length, 2, `${watching} watch`);
 });
