--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -29,7 +29,7 @@
    * (monotonic milliseconds, 0 if not yet). Null if the task is not to stop.
    */
   stop: { graceS: number; sentAt: number } | null;
-  /** Whether the exit is recorded as far as necessary, so that the machine may forget the attempt. */
+  /** Whether all required records of the exit are written, so that the machine may forget the attempt. */
   exitRecorded: boolean;
 }
 
--- a/src/workers/machinereconciliation.ts
+++ b/src/workers/machinereconciliation.ts
@@ -71,7 +71,7 @@
   /**
    * Requests the heartbeats of machines that were taken over, in the given order and at most `maxConcurrent` at once.
    * If the incarnation known to the previous owner still holds, one request is enough; otherwise the response carries
-   * the current one.
+   * the current one, and a second request uses it.
    */
   async reconcileAll(
     machines: readonly Machine[],
--- a/src/workers/machineregistry.ts
+++ b/src/workers/machineregistry.ts
@@ -95,7 +95,7 @@
   /**
    * Handles a heartbeat that a machine of this shard sent to another node, which redirected it here. Until the
    * machine reports here or answers a request it is given no new tasks: it may not be receiving responses, which is a
-   * fault of the machine.
+   * fault in its own right.
    */
   onHeartbeatElsewhere(id: string): void {
     const machine = this.machines.get(id);
@@ -109,7 +109,7 @@
     void this.reconciliation.reconcile(machine, null);
   }
 
-  /** Starts tasks on a machine that has reported under the present token. */
+  /** Starts tasks on a machine that has reported under the current token. */
   startTasks(machine: Machine, starts: readonly TaskStart[]): TaskAttempt[] {
     return this.starts.start(machine, starts);
   }
