--- a/src/jobs/completionchunks.ts
+++ b/src/jobs/completionchunks.ts
@@ -5,13 +5,13 @@
 import type { StoredChunk } from './storedjob.js';
 import { chunkTasks } from './taskset.js';
 
-/** Before the first task of a chunk in the explicit layout, as its name. */
+/** Prefix of chunk names in the explicit layout, followed by the chunk's first task. */
 const EXPLICIT_PREFIX = 'at';
 
 /**
- * The done tasks of one shard's jobs, stored in chunks. In the legacy layout a chunk is named by its number, and its first task
- * follows from that and the limit of values in the settings, which may change; in the explicit layout it is named by its
- * first task, and its record states it.
+ * Stores the done tasks of one shard's jobs in chunks. In the legacy layout a chunk is named by its number; its
+ * first task is derived from that number and the value size limit in the settings, which may change. In the
+ * explicit layout a chunk is named by its first task, and its record contains that task.
  */
 export class CompletionChunks {
   private readonly tasksPerChunk: number;
@@ -25,64 +25,68 @@
     this.legacyTasksPerChunk = chunkTasks(options.limits.layoutKb);
   }
 
-  /** The chunk that a task is in, by its name. */
+  /** Returns the name of the chunk that contains a task. */
   chunkOf(job: Job, task: number): string {
-    // One chunk holds them all: both layouts are the same.
+    // A single chunk holds all tasks, and both layouts are the same.
     if (job.spec.tasks <= this.tasksPerChunk) return '0';
     if (this.options.allSupportLatest())
       return `${EXPLICIT_PREFIX}${Math.floor(task / this.tasksPerChunk) * this.tasksPerChunk}`;
     return String(Math.floor(task / this.legacyTasksPerChunk));
   }
 
-  /** Takes over what was stored of a job's done tasks, in either layout. */
+  /** Restores the done tasks of a job from its stored chunks, in either layout. */
   restore(job: Job, chunks: readonly StoredChunk[]): void {
-    for (const c of chunks) {
-      job.done.load(c.from ?? Number(c.name) * this.legacyTasksPerChunk, c.bits);
-      job.chunkVersions.set(c.name, c.version);
+    for (const chunk of chunks) {
+      job.done.load(chunk.from ?? Number(chunk.name) * this.legacyTasksPerChunk, chunk.bits);
+      job.chunkVersions.set(chunk.name, chunk.version);
     }
     job.storedCount = job.done.count;
-    // What is in the legacy layout is stored in the explicit one, as soon as everybody reads that: the legacy one is
-    // readable only as long as the key-value store's limit in the settings stays.
+    // Done tasks in the legacy layout are stored again in the explicit layout as soon as all nodes can read
+    // that layout. The legacy layout stays readable only as long as the key-value store's limit in the settings
+    // is unchanged.
     if (!this.options.allSupportLatest() || !this.legacyChunks(job).length) return;
     this.markDirty(job, 0, job.spec.tasks);
     job.storedCount = 0;
   }
 
-  /** Stores the tasks that are done; false when it has to be tried again. Throws `StateStoreError` when it failed. */
+  /**
+   * Stores the tasks that are done. Returns false if the caller has to retry. Throws `StateStoreError` if the
+   * write failed.
+   */
   async store(job: Job): Promise<boolean> {
     this.moveDirtyToExplicit(job);
     const chunks = [...job.dirtyChunks].slice(0, Math.max(1, this.options.limits.txnOps));
     const count = job.done.count;
-    for (const n of chunks) job.dirtyChunks.delete(n);
-    const keys = chunks.map((n) => KEYS.completionChunk(job.spec.id, n));
+    for (const chunk of chunks) job.dirtyChunks.delete(chunk);
+    const keys = chunks.map((chunk) => KEYS.completionChunk(job.spec.id, chunk));
     try {
       const result = await this.writes.write(
         [
-          // One that comes late, after the job's end, would leave a chunk behind that nobody ever drops.
+          // A write delivered after the end of the job would leave a chunk behind that no node ever deletes.
           { key: KEYS.activeJob(job.spec.id), version: job.version },
-          ...chunks.map((n, i) => ({ key: keys[i]!, version: job.chunkVersions.get(n) ?? 0 })),
+          ...chunks.map((chunk, i) => ({ key: keys[i]!, version: job.chunkVersions.get(chunk) ?? 0 })),
         ],
-        chunks.map((n, i) => ({ put: keys[i]!, value: this.chunkValue(job, n) })),
+        chunks.map((chunk, i) => ({ put: keys[i]!, value: this.chunkValue(job, chunk) })),
       );
       if (result.ok) {
-        for (const n of chunks) job.chunkVersions.set(n, result.revision);
+        for (const chunk of chunks) job.chunkVersions.set(chunk, result.revision);
         if (job.dirtyChunks.size === 0) {
           job.storedCount = count;
-          await this.dropLegacy(job);
+          await this.deleteLegacy(job);
         }
         return true;
       }
       await this.refreshVersions(job, chunks);
     } catch (error) {
-      for (const n of chunks) job.dirtyChunks.add(n);
+      for (const chunk of chunks) job.dirtyChunks.add(chunk);
       if (error instanceof StateStoreError && error.mayHaveApplied) await this.refreshVersions(job, chunks);
       else throw error;
     }
-    for (const n of chunks) job.dirtyChunks.add(n);
+    for (const chunk of chunks) job.dirtyChunks.add(chunk);
     return false;
   }
 
-  /** The done tasks of a chunk as they are stored, in the layout that its name tells. */
+  /** Returns the stored value of a chunk of done tasks, in the layout given by the chunk's name. */
   private chunkValue(job: Job, name: string): object {
     if (!isExplicit(name)) {
       const count = this.legacyTasksPerChunk;
@@ -92,18 +96,21 @@
     return { from, bits: job.done.chunk(from, this.tasksPerChunk) };
   }
 
-  /** Names of the stored chunks of a job in the legacy layout; none where both layouts are the same. */
+  /** Returns the names of a job's stored chunks in the legacy layout; empty if both layouts are the same. */
   private legacyChunks(job: Job): string[] {
     if (job.spec.tasks <= this.tasksPerChunk) return [];
     return [...job.chunkVersions.keys()].filter((name) => !isExplicit(name));
   }
 
-  /** The chunks of the done tasks from `from` up to `end` are to be stored. */
+  /** Marks the chunks of the done tasks from `from` up to `end` to be stored. */
   private markDirty(job: Job, from: number, end: number): void {
     for (let i = from; i < end; i++) if (job.done.has(i)) job.dirtyChunks.add(this.chunkOf(job, i));
   }
 
-  /** What was to be stored in the legacy layout goes into the explicit one, once everybody reads that. */
+  /**
+   * Marks chunks that were to be stored in the legacy layout for the explicit layout, once all nodes can read
+   * that layout.
+   */
   private moveDirtyToExplicit(job: Job): void {
     if (job.spec.tasks <= this.tasksPerChunk || !this.options.allSupportLatest()) return;
     for (const name of [...job.dirtyChunks]) {
@@ -114,8 +121,8 @@
     }
   }
 
-  /** Drops chunks of the legacy layout once all that they held is stored in the explicit one. */
-  private async dropLegacy(job: Job): Promise<void> {
+  /** Deletes the chunks in the legacy layout once all of their tasks are stored in the explicit layout. */
+  private async deleteLegacy(job: Job): Promise<void> {
     if (!this.options.allSupportLatest()) return;
     const legacy = this.legacyChunks(job);
     if (legacy.length === 0 || ![...job.chunkVersions.keys()].some(isExplicit)) return;
@@ -130,9 +137,9 @@
   }
 
   private async refreshVersions(job: Job, chunks: readonly string[]): Promise<void> {
-    for (const n of chunks) {
-      const stored = await this.options.store.get(KEYS.completionChunk(job.spec.id, n));
-      if (stored) job.chunkVersions.set(n, stored.version);
+    for (const chunk of chunks) {
+      const stored = await this.options.store.get(KEYS.completionChunk(job.spec.id, chunk));
+      if (stored) job.chunkVersions.set(chunk, stored.version);
     }
   }
 }
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -1,4 +1,5 @@
-// This package: jobs, their tasks and their records, as their owner and the key-value store have them.
+// This package contains jobs, their tasks and their records, as held by the owner of their shard and by the
+// key-value store.
 
 import type { Amounts } from '../plan/capacityprofile.js';
 import type { Match } from '../plan/model.js';
@@ -6,121 +7,142 @@
 import type { TaskAttempt } from '../workers/machine.js';
 import { TaskSet } from './taskset.js';
 
-/** How a job ended. */
+/** Final state of a job. */
 export type FinalState = 'done' | 'cancelled';
 
-/** An accepted job as its owner holds it. Fields that end in `Wall` are times of day in milliseconds. */
+/** An accepted job as held by its owner. Fields that end in `Wall` are wall-clock times in milliseconds. */
 export interface Job {
   spec: JobSpec;
   /** Position in the order of acceptance. */
   order: number;
-  /** Index of its team; -1 for one that the settings do not name. */
+  /** Index of the team; -1 if the settings do not contain the team. */
   team: number;
-  /** What one task takes. */
+  /** Resources required by one task. */
   need: Amounts;
-  /** Indices of the machine types that it may use; null: all. */
+  /** Indices of the allowed machine types; null allows all. */
   types: Set<number> | null;
-  /** Index of the zone that it is bound to; null: any. */
+  /** Index of the required zone; null allows any. */
   zone: number | null;
-  /** Index of its image. */
+  /** Index of the container image. */
   image: number;
-  /** What it demands of machines by an expression; null: nothing. */
+  /** Requirements on machines given by an expression; null without one. */
   match: Match | null;
   acceptedWall: number;
-  /** Its own deadline, or the one that it was given on acceptance. */
+  /** Deadline of the job, or the default assigned on acceptance. */
   deadlineWall: number;
-  /** Accepted under the present ownership, so that no task of it can be on a machine without this owner's knowledge. */
+  /**
+   * Whether the job was accepted under the current ownership, so that none of its tasks can be on a machine
+   * without the knowledge of this owner.
+   */
   acceptedUnderThisTerm: boolean;
   /** Tasks known to be done. */
   done: TaskSet;
-  /** How many of them the key-value store knows of. */
+  /** Number of done tasks that are stored in the key-value store. */
   storedCount: number;
   /** Tasks that are, or may be, on a machine. */
   placements: Map<number, TaskAttempt>;
-  /** Further attempts of tasks that have a placement already; they are being stopped. */
+  /** Additional attempts of tasks that already have a placement; they are being stopped. */
   duplicateAttempts: Set<TaskAttempt>;
   /** Completed attempts that their machines may forget once the completion is stored. */
   unacknowledgedExits: TaskAttempt[];
-  /** Versions of its chunks of done tasks, by their names in the key-value store. */
+  /** Versions of the chunks of done tasks, by their names in the key-value store. */
   chunkVersions: Map<string, number>;
-  /** Chunks that have changed since they were stored, by name. */
+  /** Names of the chunks that have changed since they were last stored. */
   dirtyChunks: Set<string>;
-  /** The prefix of the parts of its description, when that is too long for one value; else null. */
+  /** Key prefix of the parts of the description if it is too long for one value; otherwise null. */
   partsUnder: string | null;
-  /** Jobs that are not known to be done yet and have to be before any task of this one starts. */
+  /** Jobs that must be done before any task of this job starts, and that are not known to be done yet. */
   pendingDependencies: Set<string>;
-  /** A job that it needs was cancelled: it is cancelled as well, as soon as that can be stored. */
+  /** A dependency of the job was cancelled. The job is cancelled as well, as soon as that can be stored. */
   cancelledByDependency: boolean;
-  /** Its user has asked to cancel it: nothing of it is wanted any more, and its end is stored as soon as that can be. */
+  /**
+   * The user has requested cancellation. No task is needed any more, and the end is stored as soon as possible.
+   */
   cancelRequested: boolean;
-  /** A write of its end was sent and may have been made: others may have read it there, and told its user. */
+  /**
+   * A write of the job's end was sent and may have been applied, so other nodes may have read the end from the
+   * key-value store and reported it to the user.
+   */
   endWriteSent: boolean;
-  /** Its own priority, or that of the most urgent job that needs it. */
+  /** Priority of the job, or of the most urgent job that depends on it. */
   priority: number;
-  /** A task of it has run under this owner; logged once. */
+  /** Whether a task of the job has run under this owner; logged once. */
   hasStarted: boolean;
-  /** Goes with more urgent work for now, since its last service-level objective is near; it stops nothing. */
+  /**
+   * The job is scheduled together with more urgent work for now, because its last service-level objective is
+   * near. It does not preempt other tasks.
+   */
   aged: boolean;
-  /** Of one that has aged, only its first task goes before: it has not begun, and there is no capacity for more of it before urgent work. */
+  /**
+   * For an aged job, only the first task is scheduled ahead: the job has not started, and there is no capacity
+   * to place more of it ahead of urgent work.
+   */
   onlyFirstTaskAged: boolean;
-  /** Its own deadline, or that of the most urgent job that needs it, or an earlier one since it has aged. */
+  /**
+   * Deadline of the job, or that of the most urgent job that depends on it, or an earlier one once the job has
+   * aged.
+   */
   dueWall: number;
-  /** Version of its record among the unfinished jobs. */
+  /** Version of the job's record among the unfinished jobs. */
   version: number;
   state: 'active' | FinalState;
-  /** Its completions are being stored. */
+  /** Whether completions of the job are being stored. */
   storing: boolean;
-  /** Completed tasks are stored from then on (steady milliseconds), unless they are the last ones. */
+  /** Completed tasks are stored from this monotonic time on, in milliseconds, unless they are the last ones. */
   storeAfter: number;
-  /** Rounds of retries that have failed while it is quarantined. */
+  /** Number of failed rounds of retries while the job is quarantined. */
   failures: number;
-  /** It fails on every machine: submitted with a mistake, as it seems. */
+  /** The job fails on every machine, so the submission is presumably faulty. */
   quarantined: boolean;
-  /** Ids of machines on which tasks of it have failed. */
+  /** Ids of the machines on which tasks of the job have failed. */
   failedOn: Set<string>;
-  /** No task of it is started before then, in steady milliseconds. */
+  /** No task of the job is started before this monotonic time, in milliseconds. */
   notBefore: number;
-  /** The largest attempt number that was used for a task of it. */
+  /** Largest attempt number used for a task of the job. */
   attempt: number;
 }
 
-/** What is stored of an accepted job. Times of day in milliseconds. */
+/** Stored record of an accepted job. Times are wall-clock times in milliseconds. */
 export interface JobRecord {
   readonly spec: JobSpec;
   readonly accepted: number;
   readonly deadline: number;
 }
 
-/** What stays of a job for as long as anybody may ask. */
+/** Information about a job that is kept for as long as a user may query it. */
 export interface JobEntry {
-  /** The shard that accepted it. */
+  /** Shard that accepted the job. */
   shard: number;
-  /** How it ended; absent while it is unfinished. */
+  /** Final state; absent while the job is unfinished. */
   final?: FinalState;
-  /** How many tasks it had; of one that has ended. */
+  /** Number of tasks; present once the job has ended. */
   tasks?: number;
-  /** Of an unfinished job: the jobs that it depends on. */
+  /** Dependencies of an unfinished job. */
   after?: string[];
-  /** Of an unfinished job whose description is stored in parts: their prefix, in place of `after`. */
+  /**
+   * Key prefix of the parts of an unfinished job's description; present in place of `after` if the description
+   * is stored in parts.
+   */
   partsUnder?: string;
 }
 
-/** Whether a kind of machine may take tasks of a job. */
+/** Whether tasks of a job may run on machines of this type, zone and price model. */
 export function kindAllowed(job: Job, type: number, zone: number, spot: boolean): boolean {
   if ((job.types && !job.types.has(type)) || (spot && !job.spec.spot)) return false;
   if (job.zone !== null && job.zone !== zone) return false;
   return !job.match || job.match.kind(type, zone, spot);
 }
 
-/** What its owner tells of a job: how many of its tasks are done and how many run. */
+/** Returns the status of a job as known by its owner, with the numbers of done and running tasks. */
 export function jobStatus(job: Job): { status: JobStatus; done: number; running: number } {
   let running = 0;
-  for (const h of job.placements.values()) if (h.state === 'running' || h.state === 'saving') running++;
+  for (const attempt of job.placements.values())
+    if (attempt.state === 'running' || attempt.state === 'saving') running++;
   const status = job.state === 'active' ? (running > 0 ? 'running' : 'queued') : job.state;
   return { status, done: job.done.count, running };
 }
 
-/** A job that nothing has been done of yet. */
+/** Creates a job without any progress. */
 export function makeJob(
   spec: JobSpec,
   record: { accepted: number; deadline: number; order: number; fresh: boolean; version: number },
@@ -167,31 +189,32 @@
   };
 }
 
-/** Indices of tasks that are neither done nor on a machine, at most `max` of them. */
+/** Returns the indices of at most `max` tasks that are neither done nor on a machine. */
 export function unplacedTasks(job: Job, max: number): number[] {
-  const out: number[] = [];
-  for (let i = 0; i < job.spec.tasks && out.length < max; i++) {
-    if (!job.done.has(i) && !job.placements.has(i)) out.push(i);
+  const unplaced: number[] = [];
+  for (let i = 0; i < job.spec.tasks && unplaced.length < max; i++) {
+    if (!job.done.has(i) && !job.placements.has(i)) unplaced.push(i);
   }
-  return out;
+  return unplaced;
 }
 
-/** How many tasks are neither done nor on a machine. */
+/** Returns the number of tasks that are neither done nor on a machine. */
 export function unplacedCount(job: Job): number {
   let placed = 0;
   for (const i of job.placements.keys()) if (!job.done.has(i)) placed++;
   return job.spec.tasks - job.done.count - placed;
 }
 
-/** A team that is guaranteed nothing and may use as much as there is. */
+/** Whether a team has no guaranteed resources and no limit. */
 export function hasNoQuota(team: { cpus: number; gpus: number; cpusMax: number; gpusMax: number }): boolean {
   return team.cpus <= 0 && team.gpus <= 0 && team.cpusMax <= 0 && team.gpusMax <= 0;
 }
 
 /**
- * Of jobs in the order of acceptance, those that fit into what their team is guaranteed together with the team's earlier
- * unfinished ones (`whole`), and those of which a part does (`partly`, the former included). While they do, they need
- * not wait for other teams.
+ * Determines which of the jobs, given in the order of acceptance, fit into the guaranteed resources of their
+ * team together with the team's earlier unfinished jobs: `whole` contains the jobs that fit completely,
+ * `partly` those of which at least one task fits, including all of `whole`. Such jobs need not wait for other
+ * teams.
  */
 export function withinGuarantee(
   jobs: readonly Job[],
@@ -203,32 +226,33 @@
   for (const job of jobs) {
     const team = teams[job.team];
     const sum = used[job.team];
-    // A job that fails everywhere holds no guarantee that others wait for.
+    // A job that fails on every machine must not use up a guarantee that other jobs wait for.
     if (!team || !sum || job.quarantined) continue;
-    // A team with a guarantee of GPUs alone counts GPUs alone, for work that needs them.
-    const measured = team.cpus > 0 || (team.gpus > 0 && job.need.gpus > 0);
+    // For a team that is guaranteed GPUs only, only GPUs are counted, and only for jobs that need them.
+    const counted = team.cpus > 0 || (team.gpus > 0 && job.need.gpus > 0);
     const fits = () => (team.cpus <= 0 || sum.cpus <= team.cpus) && (team.gpus <= 0 || sum.gpus <= team.gpus);
     sum.cpus += job.need.cpus;
     sum.gpus += job.need.gpus;
-    if (measured && fits()) partly.add(job);
-    const more = job.spec.tasks - job.done.count - 1;
-    sum.cpus += more * job.need.cpus;
-    sum.gpus += more * job.need.gpus;
-    if (measured && fits()) whole.add(job);
+    if (counted && fits()) partly.add(job);
+    const remaining = job.spec.tasks - job.done.count - 1;
+    sum.cpus += remaining * job.need.cpus;
+    sum.gpus += remaining * job.need.gpus;
+    if (counted && fits()) whole.add(job);
   }
   return { whole, partly };
 }
 
-/** How many further tasks of a job may start in a zone. */
+/** Number of further tasks of a job that may start in a zone. */
 export interface ZoneCapacity {
-  /** The zone's index. */
+  /** Index of the zone. */
   readonly zone: number;
   readonly tasks: number;
 }
 
 /**
- * In which zones further tasks of a job may start beside those on machines, and how many in each; null when that is any number
- * anywhere. `zones` are those that it may use at all, the best first.
+ * Returns the zones in which further tasks of a job may start, in addition to the tasks already on machines,
+ * with the number of tasks for each; null if there is no restriction. `zones` contains the zones that the job
+ * may use, the best first.
  */
 export function zoneCapacity(job: Job, zones: readonly number[]): ZoneCapacity[] | null {
   const { oneZone, spread, tasks } = job.spec;
@@ -244,7 +268,10 @@
     .filter((capacity) => capacity.tasks > 0);
 }
 
-/** The priority of a job's tasks, without the one that goes before more urgent work since the job has not begun in time. */
+/**
+ * Returns the priority of a job's tasks other than the first task of an aged job, which is scheduled ahead of
+ * more urgent work because the job has not started in time.
+ */
 export function remainingTasksPriority(job: Job): number {
   return job.aged && job.onlyFirstTaskAged ? job.spec.priority : job.priority;
 }
--- a/src/jobs/jobacceptance.ts
+++ b/src/jobs/jobacceptance.ts
@@ -6,17 +6,20 @@
 import { type OwnerWrites, type OwnerWritesOptions, valueBytes } from './ownerwrites.js';
 import { findJob, readActive } from './storedjob.js';
 
-/** What became of an acceptance. */
+/** Result of accepting a job. */
 export type AcceptResult =
-  /** It is stored, at this version; `partsUnder` is the prefix of its description's parts, null without any. */
+  /**
+   * The job is stored at this version. `partsUnder` is the key prefix of its description's parts; null without
+   * parts.
+   */
   | { readonly kind: 'accepted'; readonly version: number; readonly partsUnder: string | null }
-  /** A job of this id was accepted before. */
+  /** A job with this id was accepted before. */
   | { readonly kind: 'known'; readonly entry: JobEntry };
 
-/** Writes of one transaction stay well below the largest request. */
+/** Keeps the writes of one transaction well below the maximum request size. */
 const MAX_TXN_BYTES = 40 * 1024;
 
-/** A job's record as it is put, and where the rest of it is. */
+/** Value of a job's record, and the key prefix of the description's parts. */
 interface AcceptanceValue {
   readonly value: object;
   readonly partsUnder: string | null;
@@ -30,9 +33,10 @@
   ) {}
 
   /**
-   * Stores a job that is accepted. It is one change, since a swarm of small jobs needs as many acceptances a second as
-   * the key-value store takes changes; that nobody else has accepted it, or it is over, are conditions. `tag` is unique to this
-   * acceptance. Throws `StateStoreError` when it failed or is not decided.
+   * Stores an accepted job. This takes a single change: with many small jobs, the number of acceptances per
+   * second is as high as the number of changes that the key-value store executes. The conditions of the change
+   * ensure that no other node has accepted the job and that it has not ended. `tag` is unique to this
+   * acceptance. Throws `StateStoreError` if the write failed or its result is unknown.
    */
   async accept(record: JobRecord, tag: string): Promise<AcceptResult> {
     const id = record.spec.id;
@@ -48,7 +52,7 @@
       );
       if (result.ok) return { kind: 'accepted', version: result.revision, partsUnder };
     } catch (error) {
-      // Nobody knows whether a write without an answer was made: only reading it back tells.
+      // A write without a response may or may not have been applied; only reading it back decides.
       if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
     }
     const { store } = this.options;
@@ -57,11 +61,11 @@
       return { kind: 'accepted', version: stored.version, partsUnder };
     const entry = await findJob((k) => store.get(k), id);
     if (!entry) throw new StateStoreError(`acceptance of ${id} is not decided`, true);
-    if (partsUnder !== null) void this.writes.sweepParts(partsUnder);
+    if (partsUnder !== null) void this.writes.deleteParts(partsUnder);
     return { kind: 'known', entry };
   }
 
-  /** The value to put; stores the description beside it where that is too long. */
+  /** Returns the value to store; stores the description separately if it is too long for the value. */
   private async prepare(record: JobRecord, tag: string): Promise<AcceptanceValue> {
     const { shard, limits, allSupportLatest } = this.options;
     const { id } = record.spec;
@@ -72,14 +76,17 @@
         const value = { accepted: record.accepted, deadline: record.deadline, shard, tag, parts };
         return { value, partsUnder: KEYS.specParts(id, tag) };
       }
-      // Once all nodes run this version it is stored in parts.
+      // The description is stored in parts once all nodes run this version.
       if (jsonBytes(whole) > valueBytes(limits.layoutKb))
         throw new StateStoreError(`the description of ${id} is too long for now`, false);
     }
     return { value: whole, partsUnder: null };
   }
 
-  /** Stores a description that is too long for one value, before the job is accepted; returns in how many parts. */
+  /**
+   * Stores a description that is too long for one value, before the job is accepted. Returns the number of
+   * parts.
+   */
   private async storeParts(spec: JobSpec, tag: string): Promise<number> {
     const { limits } = this.options;
     const bytes = Buffer.from(JSON.stringify(spec));
@@ -89,8 +96,8 @@
       const value = bytes.subarray(from, from + partBytes).toString('base64');
       writes.push({ put: KEYS.specPart(spec.id, tag, writes.length), value });
     }
-    const fitting = Math.floor(MAX_TXN_BYTES / (partBytes * 1.4));
-    const perTransaction = Math.max(1, Math.min(limits.txnOps, fitting));
+    const partsPerRequest = Math.floor(MAX_TXN_BYTES / (partBytes * 1.4));
+    const perTransaction = Math.max(1, Math.min(limits.txnOps, partsPerRequest));
     for (let i = 0; i < writes.length; i += perTransaction)
       await this.writes.write([], writes.slice(i, i + perTransaction));
     return writes.length;
--- a/src/jobs/jobend.ts
+++ b/src/jobs/jobend.ts
@@ -13,9 +13,10 @@
   ) {}
 
   /**
-   * Makes a job's end durable; returns how it stands. A try that surely came to nothing leaves it undecided whether one before
-   * it did: `endWriteSent` stays until a try has found out, also by a write that the network delivers late. Throws
-   * `StateStoreError` when it failed or is not decided.
+   * Makes a job's end durable and returns the stored final state. An attempt that has certainly failed does not
+   * decide whether an earlier attempt succeeded: `endWriteSent` stays set until an attempt has determined that,
+   * including writes that the network delivers late. Throws `StateStoreError` if the write failed or its result
+   * is unknown.
    */
   async finish(job: Job, final: FinalState): Promise<FinalState> {
     const { store, limits } = this.options;
@@ -24,13 +25,14 @@
     const sentBefore = job.endWriteSent;
     job.endWriteSent = true;
     try {
-      // Condition on the active record: a late copy of this write finds it gone.
+      // The condition on the active record makes a late copy of this write fail, because the record is then
+      // deleted.
       const result = await this.writes.write(
         [{ key: KEYS.activeJob(id), version: job.version }],
         writes.slice(0, Math.max(2, limits.txnOps)),
       );
       if (result.ok) {
-        this.sweepRest(job, writes);
+        this.deleteRemaining(job, writes);
         return final;
       }
     } catch (error) {
@@ -40,23 +42,28 @@
       }
     }
     const stored = await store.get(KEYS.job(id));
-    const known = stored && readJobEntry(stored.value);
-    if (!known?.final) throw new StateStoreError(`end of ${id} is not decided`, true);
-    this.sweepRest(job, writes);
-    return known.final;
+    const entry = stored && readJobEntry(stored.value);
+    if (!entry?.final) throw new StateStoreError(`end of ${id} is not decided`, true);
+    this.deleteRemaining(job, writes);
+    return entry.final;
   }
 
-  /** The end, the record that it takes away, and the chunks of done tasks, which a transaction may not hold all. */
+  /**
+   * Returns the writes that store the end and delete the active record and the chunks of done tasks. The chunks
+   * may be too many for one transaction.
+   */
   private endWrites(job: Job, final: FinalState): Write[] {
     const id = job.spec.id;
     const entry: JobEntry = { shard: this.options.shard, final, tasks: job.spec.tasks };
-    const drops = [...job.chunkVersions.keys()].map((n) => ({ delete: KEYS.completionChunk(id, n) }));
-    return [{ put: KEYS.job(id), value: entry }, { delete: KEYS.activeJob(id) }, ...drops];
+    const deletions = [...job.chunkVersions.keys()].map((chunk) => ({
+      delete: KEYS.completionChunk(id, chunk),
+    }));
+    return [{ put: KEYS.job(id), value: entry }, { delete: KEYS.activeJob(id) }, ...deletions];
   }
 
-  private sweepRest(job: Job, writes: readonly Write[]): void {
+  private deleteRemaining(job: Job, writes: readonly Write[]): void {
     const { txnOps } = this.options.limits;
-    if (writes.length > txnOps) void this.writes.sweep(writes.slice(txnOps));
-    if (job.partsUnder !== null) void this.writes.sweepParts(job.partsUnder);
+    if (writes.length > txnOps) void this.writes.deleteUnconditionally(writes.slice(txnOps));
+    if (job.partsUnder !== null) void this.writes.deleteParts(job.partsUnder);
   }
 }
--- a/src/jobs/jobstatus.ts
+++ b/src/jobs/jobstatus.ts
@@ -2,21 +2,23 @@
 import type { FinalState, JobEntry } from './job.js';
 import { findJob, readParts } from './storedjob.js';
 
-/** The most jobs that are read for one answer; of what needs more nothing is said for now. */
+/**
+ * Maximum number of jobs read for one answer. For a job that would need more, the status is reported as unsure.
+ */
 const MAX_JOBS_READ = 24;
 
-/** Whether an unfinished job names others, as far as its record says without reading more. */
+/** Whether an unfinished job has dependencies, as far as its record shows without further reads. */
 export function hasDependencies(entry: JobEntry): boolean {
   return entry.partsUnder !== undefined || (entry.after?.length ?? 0) > 0;
 }
 
-/** How a job stands as far as the key-value store knows. */
+/** Status of a job according to the key-value store. */
 export type StoredJobStatus = 'active' | FinalState | 'unsure';
 
 /**
- * How a job stands by the key-value store alone: for when its owner cannot be asked. A job of which one that it needs, directly
- * or through others, is cancelled will be cancelled as well, but is not yet: of such a job, and where too much would have
- * to be read, the answer is `unsure`.
+ * Determines the status of a job from the key-value store alone, for use when the owner does not answer. A job
+ * with a cancelled direct or indirect dependency will be cancelled as well, but is not yet. For such a job, and
+ * if too many records would have to be read, the result is `unsure`.
  */
 export async function jobStatusFromStore(
   store: Pick<StateStore, 'getCoalesced' | 'list'>,
--- a/src/jobs/ownerwrites.ts
+++ b/src/jobs/ownerwrites.ts
@@ -3,32 +3,32 @@
 import { type CompareAndSwapResult, type StateStore, StateStoreError } from '../state/statestore.js';
 import type { Condition, Write } from '../wire/state.js';
 
-/** What the key-value store takes in one value and one transaction. */
+/** Limits of the key-value store on values and transactions. */
 export interface RecordLimits {
-  /** Size of one value, in kilobytes. */
+  /** Maximum size of one value, in kilobytes. */
   readonly valueKb: number;
-  /** Writes of one transaction. */
+  /** Maximum number of writes in one transaction. */
   readonly txnOps: number;
-  /** The size of values, in kilobytes, that the legacy layout of completion chunks follows from. */
+  /** Value size, in kilobytes, from which the legacy layout of completion chunks is derived. */
   readonly layoutKb: number;
 }
 
-/** What `OwnerWrites` works with. */
+/** Dependencies of `OwnerWrites`. */
 export interface OwnerWritesOptions {
   readonly store: StateStore;
   readonly shard: number;
-  /** Revision of the shard's owner key under which is written. */
+  /** Revision of the shard's owner key that the writes are conditional on. */
   readonly term: number;
   readonly limits: RecordLimits;
-  /** Whether every node reads what the first version did not know. */
+  /** Whether all nodes can read formats that the first version did not support. */
   readonly allSupportLatest: () => boolean;
-  /** A record of a job has been changed. */
+  /** Called when a job record has been changed. */
   readonly onChanged: () => void;
 }
 
 /**
- * Writes to the jobs of one shard. Each holds only while the shard's owner key has this term, so a write that the network
- * delivers late cannot undo what a newer owner wrote.
+ * Writes job records of one shard. Each write is conditional on the shard's owner key having this term, so a
+ * write that the network delivers late cannot overwrite what a newer owner wrote.
  */
 export class OwnerWrites {
   private readonly ownerCondition: Condition;
@@ -37,38 +37,47 @@
     this.ownerCondition = { key: KEYS.owner(options.shard), version: options.term };
   }
 
-  /** Carries out all writes under the owner's term and `when`. Throws `NotOwnerError` once somebody else has the shard. */
-  async write(when: Condition[], writes: Write[]): Promise<CompareAndSwapResult> {
-    const result = await this.options.store.compareAndSwap([this.ownerCondition, ...when], writes);
+  /**
+   * Executes all writes in one transaction, conditional on the owner's term and `conditions`. Throws `NotOwnerError`
+   * once another node owns the shard.
+   */
+  async write(conditions: Condition[], writes: Write[]): Promise<CompareAndSwapResult> {
+    const result = await this.options.store.compareAndSwap([this.ownerCondition, ...conditions], writes);
     if (!result.ok && result.failed.includes(this.ownerCondition.key)) throw new NotOwnerError();
     if (result.ok) this.options.onChanged();
     return result;
   }
 
-  /** Drops what is of no more use, without a condition. What is left over when that fails is read by nobody. */
-  async sweep(drops: readonly Write[]): Promise<void> {
+  /**
+   * Deletes entries that are no longer needed, without a condition. Entries left behind by a failure are never
+   * read.
+   */
+  async deleteUnconditionally(deletions: readonly Write[]): Promise<void> {
     const { store, limits } = this.options;
     const perTransaction = Math.max(1, limits.txnOps);
     try {
-      for (let i = 0; i < drops.length; i += perTransaction)
-        await store.compareAndSwap([], drops.slice(i, i + perTransaction));
+      for (let i = 0; i < deletions.length; i += perTransaction)
+        await store.compareAndSwap([], deletions.slice(i, i + perTransaction));
     } catch (error) {
       if (!(error instanceof StateStoreError)) throw error;
     }
   }
 
-  /** Drops all parts of a description. */
-  async sweepParts(under: string): Promise<void> {
+  /** Deletes all parts of a description. */
+  async deleteParts(prefix: string): Promise<void> {
     try {
-      const { entries } = await this.options.store.list(under);
-      await this.sweep(entries.map((e) => ({ delete: e.key })));
+      const { entries } = await this.options.store.list(prefix);
+      await this.deleteUnconditionally(entries.map((e) => ({ delete: e.key })));
     } catch (error) {
       if (!(error instanceof StateStoreError)) throw error;
     }
   }
 }
 
-/** Bytes that a value may have, with some to spare for what the service counts beside. */
+/**
+ * Returns the maximum number of bytes in a value, with a reserve for overhead that the key-value store counts
+ * as well.
+ */
 export function valueBytes(valueKb: number): number {
   return valueKb * 1000;
 }
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -20,9 +20,10 @@
 } from './storedjob.js';
 
 /**
- * The jobs of one shard in the key-value store. Every write holds only while the shard's owner key has this term, so a
- * write that the network delivers late cannot undo what a newer owner wrote; and only for the version that it was
- * made from, so a late one cannot undo what came after it here.
+ * Job records of one shard in the key-value store. Every write is conditional on the shard's owner key having
+ * this term, so a write that the network delivers late cannot overwrite what a newer owner wrote. It is also
+ * conditional on the version it was derived from, so a late write cannot overwrite a later change by this
+ * owner.
  */
 export class JobRecords {
   private readonly acceptance: JobAcceptance;
@@ -34,9 +35,9 @@
     private readonly shard: number,
     term: number,
     limits: RecordLimits,
-    /** Whether every node reads what the first version did not know. */
+    /** Whether all nodes can read formats that the first version did not support. */
     allSupportLatest: () => boolean,
-    /** A record of a job has been changed. */
+    /** Called when a job record has been changed. */
     onChanged: () => void = () => undefined,
   ) {
     const options: OwnerWritesOptions = { store, shard, term, limits, allSupportLatest, onChanged };
@@ -46,42 +47,42 @@
     this.end = new JobEnd(writes, options);
   }
 
-  /** A job that was accepted once, by this shard or another; null when there is none. */
+  /** Returns the entry of a job that any shard has accepted, or null if there is none. */
   entry(id: string): Promise<JobEntry | null> {
     return findJob((key) => this.store.get(key), id);
   }
 
-  /** Stores a job that is accepted (`JobAcceptance.accept`). */
+  /** Stores an accepted job (`JobAcceptance.accept`). */
   accept(record: JobRecord, tag: string): Promise<AcceptResult> {
     return this.acceptance.accept(record, tag);
   }
 
-  /** The chunk that a task is in, by its name. */
+  /** Returns the name of the chunk that contains a task. */
   chunkOf(job: Job, task: number): string {
     return this.completions.chunkOf(job, task);
   }
 
-  /** Takes over what was stored of a job's done tasks. */
+  /** Restores the done tasks of a job from its stored chunks. */
   restore(job: Job, chunks: readonly StoredChunk[]): void {
     this.completions.restore(job, chunks);
   }
 
-  /** Stores the tasks that are done; false when it has to be tried again (`CompletionChunks.store`). */
+  /** Stores the tasks that are done. Returns false if the caller has to retry (`CompletionChunks.store`). */
   storeDone(job: Job): Promise<boolean> {
     return this.completions.store(job);
   }
 
-  /** Makes a job's end durable; returns how it stands (`JobEnd.finish`). */
+  /** Makes a job's end durable and returns the stored final state (`JobEnd.finish`). */
   finish(job: Job, final: FinalState): Promise<FinalState> {
     return this.end.finish(job, final);
   }
 
-  /** All unfinished jobs of the shard with their done tasks, as the key-value store has them. */
+  /** Loads all unfinished jobs of the shard with their done tasks from the key-value store. */
   load(prefix = KEYS.active): Promise<LoadedJob[]> {
     return loadJobs(this.store, this.shard, prefix);
   }
 
-  /** One unfinished job, when it is stored. */
+  /** Loads one unfinished job; returns null if it is not stored. */
   async loadOne(id: string): Promise<LoadedJob | null> {
     const all = await this.load(KEYS.activeJob(id));
     return all.find((l) => l.record.spec.id === id) ?? null;
--- a/src/jobs/storedjob.ts
+++ b/src/jobs/storedjob.ts
@@ -5,7 +5,7 @@
 import type { JobSpec } from '../wire/users.js';
 import type { JobEntry, JobRecord } from './job.js';
 
-/** Reading of jobs as they are stored; who writes them is in `jobacceptance.ts`, `completionchunks.ts` and `jobend.ts`. */
+/** Reads stored jobs. They are written by `jobacceptance.ts`, `completionchunks.ts` and `jobend.ts`. */
 
 const specValue = v.object({
   id: v.string(),
@@ -34,17 +34,20 @@
 const activeValue = v.object({
   shard: v.number(),
   tag: v.string(),
-  /** How many parts the description has that is stored beside, since it is too long for this value. */
+  /** Number of parts of the description if it is stored separately because it is too long for this value. */
   parts: v.optional(v.number()),
   spec: v.optional(v.object({ after: v.optional(v.array(v.string())) })),
 });
 const times = { accepted: v.number(), deadline: v.number() };
-const owned = { shard: v.number(), tag: v.string() };
-const wholeValue = v.object({ ...owned, ...times, spec: specValue });
-const inPartsValue = v.object({ ...owned, ...times, parts: v.number() });
-/** The legacy layout: done tasks in chunks of a size that follows from the key-value store's limit, as the first version stored them. */
+const ownership = { shard: v.number(), tag: v.string() };
+const singleValue = v.object({ ...ownership, ...times, spec: specValue });
+const inPartsValue = v.object({ ...ownership, ...times, parts: v.number() });
+/**
+ * Legacy layout of the first version: done tasks in chunks whose size is derived from the key-value store's
+ * limit.
+ */
 const legacyChunkValue = v.object({ done: v.string() });
-/** The explicit layout: done tasks from one on, whatever the limit is or was. */
+/** Explicit layout: done tasks starting at `from`, independent of the current or a former limit. */
 const explicitChunkValue = v.object({ from: v.number(), bits: v.string() });
 const entryValue = v.object({
   shard: v.number(),
@@ -52,52 +55,61 @@
   tasks: v.optional(v.number()),
 });
 
-/** A chunk of a job's done tasks as it is stored. */
+/** Stored chunk of a job's done tasks. */
 export interface StoredChunk {
-  /** Its name in the key-value store: its first task in the explicit layout, its number in the legacy one. */
+  /**
+   * Name in the key-value store: the prefixed first task in the explicit layout, the chunk number in the legacy
+   * layout.
+   */
   readonly name: string;
-  /** Its first task; null in the legacy layout: it follows from the chunk's name and the limit of values. */
+  /**
+   * First task of the chunk; null in the legacy layout, where it is derived from the chunk's name and the value
+   * size limit.
+   */
   readonly from: number | null;
-  /** The done tasks, as `TaskSet.chunk` writes them. */
+  /** Done tasks as encoded by `TaskSet.chunk`. */
   readonly bits: string;
   readonly version: number;
 }
 
-/** An unfinished job as it is stored, with its done tasks. */
+/** Stored unfinished job with its done tasks. */
 export interface LoadedJob {
   readonly record: JobRecord;
   readonly version: number;
   chunks: StoredChunk[];
-  /** The prefix of the parts of its description; null when it is stored in one value. */
+  /** Key prefix of the description's parts; null if the description is stored in one value. */
   readonly partsUnder: string | null;
 }
 
-/** How a job ended by its record; null when it is none. */
+/** Validates the entry of a job; returns null if it is invalid. */
 export function readJobEntry(value: unknown): JobEntry | null {
-  const p = v.safeParse(entryValue, value);
-  return p.success ? p.output : null;
+  const parsed = v.safeParse(entryValue, value);
+  return parsed.success ? parsed.output : null;
 }
 
-/** Whose an unfinished job is, and by which acceptance; null when it is no record of one. */
+/**
+ * Reads the shard and the acceptance tag from the record of an unfinished job; returns null if it is invalid.
+ */
 export function readActive(value: unknown): v.InferOutput<typeof activeValue> | null {
-  const p = v.safeParse(activeValue, value);
-  return p.success ? p.output : null;
+  const parsed = v.safeParse(activeValue, value);
+  return parsed.success ? parsed.output : null;
 }
 
-/** A job's description as it is stored; null when it is none. */
+/** Validates a stored job description; returns null if it is invalid. */
 export function readSpec(value: unknown): JobSpec | null {
-  const p = v.safeParse(specValue, value);
-  return p.success ? p.output : null;
+  const parsed = v.safeParse(specValue, value);
+  return parsed.success ? parsed.output : null;
 }
 
-/** The shard of an unfinished job by its record; null when that is none. */
+/** Returns the shard of an unfinished job's record, or null if the record is invalid. */
 export function shardOfRecord(value: unknown): number | null {
   return readActive(value)?.shard ?? null;
 }
 
 /**
- * Where a job is, or how it ended, as far as the key-value store knows; null when it was never accepted. A job that ends
- * leaves the unfinished ones and enters the ended ones in one transaction, so it is found in this order at any moment.
+ * Finds the shard or the final state of a job in the key-value store; returns null if the job was never
+ * accepted. An ending job is moved from the unfinished jobs to the ended jobs in one transaction, so reading in
+ * this order finds it at any time.
  */
 export async function findJob(
   read: (key: string) => Promise<Entry | null>,
@@ -113,39 +125,42 @@
   return ended && readJobEntry(ended.value);
 }
 
-/** An unfinished job by its record, without its done tasks; null when it cannot be read. */
+/** Reads the record of an unfinished job, without its done tasks; returns null if it cannot be read. */
 export async function readLoaded(
   store: Pick<StateStore, 'list'>,
   id: string,
-  e: Entry,
+  entry: Entry,
 ): Promise<LoadedJob | null> {
-  const whole = v.safeParse(wholeValue, e.value);
-  if (whole.success) return { record: whole.output, version: e.version, chunks: [], partsUnder: null };
-  const inParts = v.safeParse(inPartsValue, e.value);
+  const single = v.safeParse(singleValue, entry.value);
+  if (single.success) return { record: single.output, version: entry.version, chunks: [], partsUnder: null };
+  const inParts = v.safeParse(inPartsValue, entry.value);
   if (!inParts.success) return null;
   const { accepted, deadline, tag, parts } = inParts.output;
   const partsUnder = KEYS.specParts(id, tag);
   const spec = await readParts(store, partsUnder, parts);
-  return spec && { record: { spec, accepted, deadline }, version: e.version, chunks: [], partsUnder };
+  return spec && { record: { spec, accepted, deadline }, version: entry.version, chunks: [], partsUnder };
 }
 
-/** A chunk of done tasks, in either layout; null when it cannot be read. */
-export function readChunk(name: string, e: Entry): StoredChunk | null {
-  const explicit = v.safeParse(explicitChunkValue, e.value);
-  if (explicit.success) return { name, version: e.version, ...explicit.output };
-  const legacy = v.safeParse(legacyChunkValue, e.value);
-  return legacy.success ? { name, version: e.version, from: null, bits: legacy.output.done } : null;
+/** Reads a chunk of done tasks in either layout; returns null if it cannot be read. */
+export function readChunk(name: string, entry: Entry): StoredChunk | null {
+  const explicit = v.safeParse(explicitChunkValue, entry.value);
+  if (explicit.success) return { name, version: entry.version, ...explicit.output };
+  const legacy = v.safeParse(legacyChunkValue, entry.value);
+  return legacy.success ? { name, version: entry.version, from: null, bits: legacy.output.done } : null;
 }
 
-/** A description that was stored in parts; null when one of them, or how many there are (`count`), is not right. */
+/**
+ * Reads a description that is stored in parts. Returns null if a part is invalid or the number of parts differs
+ * from `count`.
+ */
 export async function readParts(
   store: Pick<StateStore, 'list'>,
-  under: string,
+  prefix: string,
   count: number | null,
 ): Promise<JobSpec | null> {
-  const { entries } = await store.list(under);
+  const { entries } = await store.list(prefix);
   const parts: string[] = [];
-  for (const e of entries) parts[Number(e.key.slice(under.length))] = String(e.value);
+  for (const entry of entries) parts[Number(entry.key.slice(prefix.length))] = String(entry.value);
   if (count !== null && entries.length !== count) return null;
   const bytes = Buffer.concat(parts.map((p) => Buffer.from(p, 'base64')));
   try {
@@ -155,21 +170,21 @@
   }
 }
 
-/** The unfinished jobs of a shard under a prefix with their done tasks, as the key-value store has them. */
+/** Loads the unfinished jobs of a shard under a key prefix, with their done tasks. */
 export async function loadJobs(store: StateStore, shard: number, prefix: string): Promise<LoadedJob[]> {
   const { entries } = await store.list(prefix);
   const byId = new Map<string, LoadedJob>();
-  for (const e of entries) {
-    const [id, chunk] = e.key.slice(KEYS.active.length).split('/');
+  for (const entry of entries) {
+    const [id, chunk] = entry.key.slice(KEYS.active.length).split('/');
     if (id === undefined) continue;
     if (chunk === undefined) {
-      if (shardOfRecord(e.value) !== shard) continue;
-      const loaded = await readLoaded(store, id, e);
+      if (shardOfRecord(entry.value) !== shard) continue;
+      const loaded = await readLoaded(store, id, entry);
       if (loaded) byId.set(id, loaded);
       continue;
     }
-    const read = readChunk(chunk, e);
-    if (read) byId.get(id)?.chunks.push(read);
+    const storedChunk = readChunk(chunk, entry);
+    if (storedChunk) byId.get(id)?.chunks.push(storedChunk);
   }
   return [...byId.values()];
 }
--- a/src/modelcheck/explore.ts
+++ b/src/modelcheck/explore.ts
@@ -1,101 +1,117 @@
-// This package: model checking: all that can happen to a small model, step by step; it drives the code that runs in production.
+// This package contains model checking: it explores all possible step sequences of a small model that drives
+// the code used in production.
 
-/** A model with states `S`: what can happen, and what must never be. */
+/** Model with states `S`: its possible transitions and its invariants. */
 export interface Model<S> {
   initial: S;
-  /** All that can happen next. */
-  next(state: S): Iterable<{ what: string; state: S }>;
-  /** What is wrong in a state that must never be; null when nothing is. */
+  /** Returns all transitions that are possible in a state. */
+  next(state: S): Iterable<{ action: string; state: S }>;
+  /** Returns a description of the invariant that a state violates, or null if it violates none. */
   violationIn(state: S): string | null;
-  /** States that mean the same have the same key. */
+  /** Returns a key that is equal for equivalent states. */
   key(state: S): string;
-  /** Whether this is a good end, for `deadEnds`. */
+  /** Whether a state is an acceptable end state, for `deadEnds`. */
   isGoodEnd(state: S): boolean;
 }
 
-/** What was found by `explore`. */
+/** Result of `explore`. */
 export interface ExplorationResult {
-  /** How many states were visited. */
+  /** Number of visited states. */
   states: number;
-  /** What is wrong, or null, and the steps that lead there; the shortest ones. */
-  violation: { what: string; steps: string[] } | null;
-  /** States from which no good end can be reached, with the steps to one of them. */
+  /** The violated invariant with the shortest sequence of steps that leads to it, or null. */
+  violation: { message: string; steps: string[] } | null;
+  /** States from which no acceptable end state can be reached, with the steps to one of them. */
   deadEnds: { count: number; steps: string[] } | null;
-  /** Whether the bound was met before everything was seen. */
+  /** Whether the limit on the number of states was reached before all states were visited. */
   truncated: boolean;
 }
 
 interface VisitedState<S> {
   state: S;
-  from: number;
-  what: string;
-  /** By which states it is reached. */
+  parent: number;
+  action: string;
+  /** Indices of the states from which this state is reached in one step. */
   predecessors: number[];
 }
 
-/** Visits all states up to a number, the nearest first. */
+/** Visits the reachable states in breadth-first order, up to a maximum number. */
 export function explore<S>(model: Model<S>, maxStates: number): ExplorationResult {
-  const seen: VisitedState<S>[] = [{ state: model.initial, from: -1, what: '', predecessors: [] }];
-  const index = new Map([[model.key(model.initial), 0]]);
-  const steps = (at: number) => {
+  const visited: VisitedState<S>[] = [{ state: model.initial, parent: -1, action: '', predecessors: [] }];
+  const indexByKey = new Map([[model.key(model.initial), 0]]);
+  const stepsTo = (target: number) => {
     const list: string[] = [];
-    for (let i = at; i > 0; i = seen[i]!.from) list.unshift(seen[i]!.what);
+    for (let i = target; i > 0; i = visited[i]!.parent) list.unshift(visited[i]!.action);
     return list;
   };
   let truncated = false;
-  for (let at = 0; at < seen.length; at++) {
-    const { state } = seen[at]!;
-    const what = model.violationIn(state);
-    if (what !== null)
-      return { states: seen.length, violation: { what, steps: steps(at) }, deadEnds: null, truncated: true };
-    for (const n of model.next(state)) {
-      const key = model.key(n.state);
-      const known = index.get(key);
-      if (known !== undefined) {
-        seen[known]!.predecessors.push(at);
+  for (let current = 0; current < visited.length; current++) {
+    const { state } = visited[current]!;
+    const message = model.violationIn(state);
+    if (message !== null)
+      return {
+        states: visited.length,
+        violation: { message, steps: stepsTo(current) },
+        deadEnds: null,
+        truncated: true,
+      };
+    for (const transition of model.next(state)) {
+      const key = model.key(transition.state);
+      const knownIndex = indexByKey.get(key);
+      if (knownIndex !== undefined) {
+        visited[knownIndex]!.predecessors.push(current);
         continue;
       }
-      if (seen.length >= maxStates) {
+      if (visited.length >= maxStates) {
         truncated = true;
         continue;
       }
-      index.set(key, seen.length);
-      seen.push({ state: n.state, from: at, what: n.what, predecessors: [at] });
+      indexByKey.set(key, visited.length);
+      visited.push({
+        state: transition.state,
+        parent: current,
+        action: transition.action,
+        predecessors: [current],
+      });
     }
   }
   return {
-    states: seen.length,
+    states: visited.length,
     violation: null,
-    deadEnds: truncated ? null : findDeadEnds(model, seen, steps),
+    deadEnds: truncated ? null : findDeadEnds(model, visited, stepsTo),
     truncated,
   };
 }
 
-/** The visited states from which no good end can be reached; null when there is none. */
+/**
+ * Finds the visited states from which no acceptable end state can be reached; returns null if there are none.
+ */
 function findDeadEnds<S>(
   model: Model<S>,
-  seen: VisitedState<S>[],
-  steps: (at: number) => string[],
+  visited: VisitedState<S>[],
+  stepsTo: (target: number) => string[],
 ): ExplorationResult['deadEnds'] {
-  const good = new Uint8Array(seen.length);
-  const open: number[] = [];
-  seen.forEach((s, i) => {
+  const reachesGoodEnd = new Uint8Array(visited.length);
+  const pending: number[] = [];
+  visited.forEach((s, i) => {
     if (!model.isGoodEnd(s.state)) return;
-    good[i] = 1;
-    open.push(i);
+    reachesGoodEnd[i] = 1;
+    pending.push(i);
   });
-  for (let i = open.pop(); i !== undefined; i = open.pop())
-    for (const b of seen[i]!.predecessors)
-      if (!good[b]) {
-        good[b] = 1;
-        open.push(b);
+  for (let i = pending.pop(); i !== undefined; i = pending.pop())
+    for (const predecessor of visited[i]!.predecessors)
+      if (!reachesGoodEnd[predecessor]) {
+        reachesGoodEnd[predecessor] = 1;
+        pending.push(predecessor);
       }
-  const first = good.indexOf(0);
+  const first = reachesGoodEnd.indexOf(0);
   if (first < 0) return null;
-  return { count: good.reduce((n, g) => n + (g ? 0 : 1), 0), steps: steps(first) };
+  return { count: reachesGoodEnd.reduce((n, reached) => n + (reached ? 0 : 1), 0), steps: stepsTo(first) };
 }
 
-/** Walks at random, far beyond what all states can be visited of; `draw` gives numbers from 0 up to 1. */
+/**
+ * Walks the model at random, far beyond the depth that can be explored exhaustively. `draw` returns random
+ * numbers from 0 up to, but not including, 1.
+ */
 export function randomWalk<S>(
   model: Model<S>,
   draw: () => number,
@@ -104,13 +120,13 @@
   let state = model.initial;
   const steps: string[] = [];
   for (let i = 0; i < length; i++) {
-    const all = [...model.next(state)];
-    if (all.length === 0) return null;
-    const step = all[Math.floor(draw() * all.length)]!;
-    steps.push(step.what);
+    const transitions = [...model.next(state)];
+    if (transitions.length === 0) return null;
+    const step = transitions[Math.floor(draw() * transitions.length)]!;
+    steps.push(step.action);
     state = step.state;
-    const what = model.violationIn(state);
-    if (what !== null) return { what, steps };
+    const message = model.violationIn(state);
+    if (message !== null) return { message, steps };
   }
   return null;
 }
--- a/src/modelcheck/lending.ts
+++ b/src/modelcheck/lending.ts
@@ -8,7 +8,7 @@
 import * as lending from '../federation/lending.js';
 import type { Model } from './explore.js';
 
-/** The transitions that are looked at: those of production, or with one of them broken. */
+/** Transitions under test: those of production, or a copy in which one of them is broken. */
 export type Transitions = Pick<
   typeof lending,
   | 'mayRunHome'
@@ -28,26 +28,29 @@
   | 'giveBack'
   | 'drop'
 >;
-/** The transitions of production. */
+/** Transitions of production. */
 export const PRODUCTION: Transitions = lending;
 
-/** How far the model goes. */
+/** Limits of the explored model. */
 export interface Bounds {
-  /** A job is lent no more from this epoch on. */
+  /** A job is not lent any more from this epoch on. */
   epochs: number;
-  /** Messages under way at once; more are lost. */
+  /** Maximum number of messages in flight; further messages are lost. */
   messages: number;
-  /** Writes to either store that wait for being applied. */
+  /** Maximum number of writes waiting to be applied to either store. */
   writes: number;
   cancels: boolean;
   limits: LendingLimits;
-  /** Answers and messages go out before it is stored, to see that this is found: production stores first. */
+  /**
+   * Whether answers and messages are sent before the state is stored. Production stores first; this checks that
+   * the model detects the fault.
+   */
   answersBeforeStoring?: boolean;
 }
 
 type Side = 'home' | 'partner';
 
-/** A conditional change of one side's record, which may be applied late, or after whoever sent it has died. */
+/** A conditional change of one side's record, which may be applied late, or after its sender has crashed. */
 interface PendingWrite {
   side: Side;
   version: number;
@@ -55,7 +58,7 @@
   say: LendingMessage | null;
 }
 
-/** A state of the model. */
+/** State of the model. */
 export interface State {
   t: number;
   home: HomeRecord;
@@ -63,213 +66,279 @@
   partner: PartnerRecord | null;
   partnerVersion: number;
   pendingWrites: PendingWrite[];
-  /** To home and to the partner. */
-  messages: { to: Side; m: LendingMessage }[];
-  /** Whether tasks are on machines. */
+  /** Messages in flight to the home cluster and to the partner. */
+  messages: { to: Side; message: LendingMessage }[];
+  /** Whether tasks are on machines of the home cluster and of the partner. */
   runsHome: boolean;
   runsPartner: boolean;
-  /** When the partner's controllers began to stop its tasks, or all died. */
+  /** Times at which the partner's controllers began to stop its tasks, and at which they all failed. */
   stoppingAt: number | null;
   partnerDown: number | null;
-  /** What the user has been answered, and when; of a cancellation, for how long it may run on. */
+  /**
+   * The answer given to the user, and its time, from which the maximum running time after a cancellation is
+   * measured.
+   */
   answered: lending.Final | null;
   answeredAt: number;
-  /** The user was answered something else than before. */
+  /** Whether the user received an answer that differs from an earlier one. */
   answerChanged: boolean;
-  /** Tasks ran to their end, under these epochs. */
+  /** Epochs under which tasks ran to completion. */
   finished: number[];
 }
 
 /**
- * One job, its home and a partner. Clocks show anything within the skew at each look; messages are lost, doubled,
- * delayed and reordered; stores apply writes late; controllers end at any moment, and tasks run on without them.
+ * Models one job, its home cluster and a partner. Each clock reading may be off by up to the skew. Messages are
+ * lost, duplicated, delayed and reordered; stores apply writes late; controllers fail at any time, and tasks
+ * continue without them.
  */
-export function lendingModel(f: Transitions, b: Bounds): Model<State> {
-  const { limits } = b;
-  // What is decided by a clock is decided by one of the two ends for all that lies between.
-  const clocks = (t: number) => [t - limits.skewMs, t + limits.skewMs];
+export function lendingModel(transitions: Transitions, bounds: Bounds): Model<State> {
+  const { limits } = bounds;
+  // A decision that depends on a clock is made with one of the two extreme readings, which cover all readings
+  // in between.
+  const clockReadings = (t: number) => [t - limits.skewMs, t + limits.skewMs];
 
-  const copy = (s: State): State => ({
-    ...s,
-    pendingWrites: [...s.pendingWrites],
-    messages: [...s.messages],
-    finished: [...s.finished],
+  const copy = (state: State): State => ({
+    ...state,
+    pendingWrites: [...state.pendingWrites],
+    messages: [...state.messages],
+    finished: [...state.finished],
   });
-  const send = (s: State, from: Side, m: LendingMessage | null) => {
-    if (m && s.messages.length < b.messages) s.messages.push({ to: from === 'home' ? 'partner' : 'home', m });
+  const send = (state: State, from: Side, message: LendingMessage | null) => {
+    if (message && state.messages.length < bounds.messages)
+      state.messages.push({ to: from === 'home' ? 'partner' : 'home', message });
   };
-  const answerUser = (s: State, final: lending.Final | null) => {
+  const answerUser = (state: State, final: lending.Final | null) => {
     if (final === null) return;
-    if (s.answered !== null && s.answered !== final) s.answerChanged = true;
-    if (s.answered === null) s.answeredAt = s.t;
-    s.answered ??= final;
+    if (state.answered !== null && state.answered !== final) state.answerChanged = true;
+    if (state.answered === null) state.answeredAt = state.t;
+    state.answered ??= final;
   };
-  /** Stores what a step says, at some later moment, and says it after that. */
-  const write = (s: State, side: Side, step: Step<HomeRecord | PartnerRecord>): State | null => {
+  /**
+   * Queues the write of a step's record, to be applied at some later time, after which the step's message is
+   * sent.
+   */
+  const write = (state: State, side: Side, step: Step<HomeRecord | PartnerRecord>): State | null => {
     if (step.record === null) {
       if (step.say === null) return null;
-      const n = copy(s);
-      send(n, side, step.say);
-      return n;
+      const changed = copy(state);
+      send(changed, side, step.say);
+      return changed;
     }
-    if (s.pendingWrites.length >= b.writes) return null;
-    const n = copy(s);
-    const version = side === 'home' ? s.homeVersion : s.partnerVersion;
-    n.pendingWrites.push({ side, version, record: step.record, say: step.say });
-    if (b.answersBeforeStoring) {
-      send(n, side, step.say);
-      if (side === 'home') answerUser(n, (step.record as HomeRecord).final);
+    if (state.pendingWrites.length >= bounds.writes) return null;
+    const changed = copy(state);
+    const version = side === 'home' ? state.homeVersion : state.partnerVersion;
+    changed.pendingWrites.push({ side, version, record: step.record, say: step.say });
+    if (bounds.answersBeforeStoring) {
+      send(changed, side, step.say);
+      if (side === 'home') answerUser(changed, (step.record as HomeRecord).final);
     }
-    return n;
+    return changed;
   };
-  const apply = (s: State, p: PendingWrite, answered: boolean): State => {
-    const n = copy(s);
-    n.pendingWrites.splice(n.pendingWrites.indexOf(p), 1);
-    if (p.side === 'home') {
-      if (p.version !== s.homeVersion) return n;
-      n.home = p.record as HomeRecord;
-      n.homeVersion++;
-      if (answered) answerUser(n, n.home.final);
+  const apply = (state: State, pending: PendingWrite, answered: boolean): State => {
+    const changed = copy(state);
+    changed.pendingWrites.splice(changed.pendingWrites.indexOf(pending), 1);
+    if (pending.side === 'home') {
+      if (pending.version !== state.homeVersion) return changed;
+      changed.home = pending.record as HomeRecord;
+      changed.homeVersion++;
+      if (answered) answerUser(changed, changed.home.final);
     } else {
-      if (p.version !== s.partnerVersion) return n;
-      n.partner = p.record as PartnerRecord;
-      n.partnerVersion++;
+      if (pending.version !== state.partnerVersion) return changed;
+      changed.partner = pending.record as PartnerRecord;
+      changed.partnerVersion++;
     }
-    if (answered) send(n, p.side, p.say);
-    return n;
+    if (answered) send(changed, pending.side, pending.say);
+    return changed;
   };
 
-  /** The steps of one side on one job go one after the other, under a lock. */
-  const locked = (s: State, side: Side) => s.pendingWrites.some((p) => p.side === side);
+  /** The steps of one side on a job are serialized by a lock. */
+  const hasPendingWrite = (state: State, side: Side) =>
+    state.pendingWrites.some((pending) => pending.side === side);
 
-  function* atHome(s: State): Generator<{ what: string; state: State | null }> {
-    if (locked(s, 'home')) {
-      // Another owner has a later term: what the one before had not stored by then is never applied.
+  function* atHome(state: State): Generator<{ action: string; state: State | null }> {
+    if (hasPendingWrite(state, 'home')) {
+      // The new owner has a later term, so writes of the previous owner that are not stored yet are never
+      // applied.
       yield {
-        what: 'home has a new owner',
-        state: { ...copy(s), pendingWrites: s.pendingWrites.filter((p) => p.side !== 'home') },
+        action: 'home has a new owner',
+        state: {
+          ...copy(state),
+          pendingWrites: state.pendingWrites.filter((pending) => pending.side !== 'home'),
+        },
       };
       return;
     }
-    if (f.mayRunHome(s.home) && !s.runsHome)
-      yield { what: 'home starts', state: { ...copy(s), runsHome: true } };
-    if (s.runsHome) {
-      const done = copy(s);
+    if (transitions.mayRunHome(state.home) && !state.runsHome)
+      yield { action: 'home starts', state: { ...copy(state), runsHome: true } };
+    if (state.runsHome) {
+      const done = copy(state);
       done.runsHome = false;
-      done.finished.push(s.home.epoch);
-      yield { what: 'done at home', state: write(done, 'home', f.doneHome(s.home)) };
-      if (!f.mayRunHome(s.home)) yield { what: 'home stops', state: { ...copy(s), runsHome: false } };
+      done.finished.push(state.home.epoch);
+      yield {
+        action: 'home completes the job',
+        state: write(done, 'home', transitions.doneHome(state.home)),
+      };
+      if (!transitions.mayRunHome(state.home))
+        yield { action: 'home stops', state: { ...copy(state), runsHome: false } };
     }
-    if (b.cancels) yield { what: 'cancel', state: write(s, 'home', f.cancel(s.home)) };
-    if (s.home.final !== null) {
-      const asked = copy(s);
-      answerUser(asked, s.home.final);
-      yield { what: 'user asks', state: asked };
+    if (bounds.cancels)
+      yield { action: 'user cancels', state: write(state, 'home', transitions.cancel(state.home)) };
+    if (state.home.final !== null) {
+      const queried = copy(state);
+      answerUser(queried, state.home.final);
+      yield { action: 'user queries the status', state: queried };
     }
-    for (const now of clocks(s.t)) {
-      if (!s.runsHome && s.home.epoch < b.epochs)
-        yield { what: `lend at ${now}`, state: write(s, 'home', f.lend(s.home, 'p', now, limits)) };
-      yield { what: `take back at ${now}`, state: write(s, 'home', f.takeBack(s.home, now, limits)) };
+    for (const now of clockReadings(state.t)) {
+      if (!state.runsHome && state.home.epoch < bounds.epochs)
+        yield {
+          action: `home lends at ${now}`,
+          state: write(state, 'home', transitions.lend(state.home, 'p', now, limits)),
+        };
+      yield {
+        action: `home takes back at ${now}`,
+        state: write(state, 'home', transitions.takeBack(state.home, now, limits)),
+      };
     }
-    if (s.home.lent && s.home.final === null) {
-      const recalled = copy(s);
-      send(recalled, 'home', { kind: 'recall', epoch: s.home.epoch });
-      yield { what: 'recall', state: recalled };
+    if (state.home.lent && state.home.final === null) {
+      const recalled = copy(state);
+      send(recalled, 'home', { kind: 'recall', epoch: state.home.epoch });
+      yield { action: 'home sends a recall', state: recalled };
     }
   }
 
-  function* atPartner(s: State): Generator<{ what: string; state: State | null }> {
-    if (s.partnerDown !== null) {
-      yield { what: 'partner is back', state: { ...copy(s), partnerDown: null } };
+  function* atPartner(state: State): Generator<{ action: string; state: State | null }> {
+    if (state.partnerDown !== null) {
+      yield { action: 'partner recovers', state: { ...copy(state), partnerDown: null } };
       return;
     }
-    const kept = s.pendingWrites.filter((p) => p.side !== 'partner');
-    yield { what: 'partner ends', state: { ...copy(s), partnerDown: s.t, pendingWrites: kept } };
-    if (locked(s, 'partner')) return;
-    const r = s.partner;
-    if (!r) return;
-    for (const now of clocks(s.t)) {
-      yield { what: `partner stores a start at ${now}`, state: write(s, 'partner', f.start(r, now, limits)) };
-      if (!s.runsPartner && s.stoppingAt === null && f.mayRunBorrowed(r, now, limits))
-        yield { what: `partner starts at ${now}`, state: { ...copy(s), runsPartner: true } };
+    const remainingWrites = state.pendingWrites.filter((pending) => pending.side !== 'partner');
+    yield {
+      action: 'partner fails',
+      state: { ...copy(state), partnerDown: state.t, pendingWrites: remainingWrites },
+    };
+    if (hasPendingWrite(state, 'partner')) return;
+    const record = state.partner;
+    if (!record) return;
+    for (const now of clockReadings(state.t)) {
+      yield {
+        action: `partner stores a start at ${now}`,
+        state: write(state, 'partner', transitions.start(record, now, limits)),
+      };
+      if (!state.runsPartner && state.stoppingAt === null && transitions.mayRunBorrowed(record, now, limits))
+        yield { action: `partner starts at ${now}`, state: { ...copy(state), runsPartner: true } };
     }
-    if (s.runsPartner && s.stoppingAt === null) {
-      const done = copy(s);
+    if (state.runsPartner && state.stoppingAt === null) {
+      const done = copy(state);
       done.runsPartner = false;
-      done.finished.push(r.epoch);
-      yield { what: 'done at the partner', state: write(done, 'partner', f.doneBorrowed(r)) };
+      done.finished.push(record.epoch);
+      yield {
+        action: 'partner completes the job',
+        state: write(done, 'partner', transitions.doneBorrowed(record)),
+      };
     }
-    if (r.state === 'started' || r.state === 'held') {
-      const asked = copy(s);
-      send(asked, 'partner', { kind: 'renew', epoch: r.epoch });
-      yield { what: 'partner asks to renew', state: asked };
+    if (record.state === 'started' || record.state === 'held') {
+      const requested = copy(state);
+      send(requested, 'partner', { kind: 'renew', epoch: record.epoch });
+      yield { action: 'partner requests a renewal', state: requested };
     }
-    if (r.state === 'done') {
-      const said = copy(s);
-      send(said, 'partner', { kind: 'done', epoch: r.epoch });
-      yield { what: 'partner says done', state: said };
+    if (record.state === 'done') {
+      const completed = copy(state);
+      send(completed, 'partner', { kind: 'done', epoch: record.epoch });
+      yield { action: 'partner reports completion', state: completed };
     }
   }
 
-  function* deliver(s: State, to: Side, m: LendingMessage): Generator<{ what: string; state: State | null }> {
-    const label = `${m.kind} ${m.epoch} reaches ${to}`;
-    if (locked(s, to)) return;
+  function* deliver(
+    state: State,
+    to: Side,
+    message: LendingMessage,
+  ): Generator<{ action: string; state: State | null }> {
+    const label = `${message.kind} ${message.epoch} reaches ${to}`;
+    if (hasPendingWrite(state, to)) return;
     if (to === 'partner') {
-      if (s.partnerDown !== null) return;
-      const r = s.partner;
-      if (m.kind === 'lend')
-        for (const now of clocks(s.t))
+      if (state.partnerDown !== null) return;
+      const record = state.partner;
+      if (message.kind === 'lend')
+        for (const now of clockReadings(state.t))
           yield {
-            what: `${label} at ${now}`,
-            state: write(s, 'partner', f.borrow(r, m.epoch, m.until, now, limits)),
+            action: `${label} at ${now}`,
+            state: write(
+              state,
+              'partner',
+              transitions.borrow(record, message.epoch, message.until, now, limits),
+            ),
           };
-      if (!r) return;
-      if (m.kind === 'granted')
-        yield { what: label, state: write(s, 'partner', f.extend(r, m.epoch, m.until)) };
-      if (m.kind === 'recall') yield { what: label, state: write(s, 'partner', f.giveBack(r, m.epoch)) };
-      if (m.kind === 'stop') yield { what: label, state: write(s, 'partner', f.drop(r, m.epoch)) };
+      if (!record) return;
+      if (message.kind === 'granted')
+        yield {
+          action: label,
+          state: write(state, 'partner', transitions.extend(record, message.epoch, message.until)),
+        };
+      if (message.kind === 'recall')
+        yield { action: label, state: write(state, 'partner', transitions.giveBack(record, message.epoch)) };
+      if (message.kind === 'stop')
+        yield { action: label, state: write(state, 'partner', transitions.drop(record, message.epoch)) };
       return;
     }
-    if (m.kind === 'renew')
-      for (const now of clocks(s.t))
-        yield { what: `${label} at ${now}`, state: write(s, 'home', f.renew(s.home, m.epoch, now, limits)) };
-    if (m.kind === 'returned')
-      yield { what: label, state: write(s, 'home', f.takeReturned(s.home, m.epoch)) };
-    if (m.kind === 'done') yield { what: label, state: write(s, 'home', f.takeDone(s.home, m.epoch)) };
+    if (message.kind === 'renew')
+      for (const now of clockReadings(state.t))
+        yield {
+          action: `${label} at ${now}`,
+          state: write(state, 'home', transitions.renew(state.home, message.epoch, now, limits)),
+        };
+    if (message.kind === 'returned')
+      yield {
+        action: label,
+        state: write(state, 'home', transitions.takeReturned(state.home, message.epoch)),
+      };
+    if (message.kind === 'done')
+      yield { action: label, state: write(state, 'home', transitions.takeDone(state.home, message.epoch)) };
   }
 
-  /** Time goes on; whoever is up looks at its clock, at the latest by the slowest one that there can be. */
-  function tick(s: State): State {
-    const n = copy(s);
-    n.t++;
-    if (!n.runsPartner) n.stoppingAt = null;
-    else if (n.partnerDown !== null) {
-      // Nobody answers its machines any more: their leases run out.
-      if (n.t - n.partnerDown >= limits.stopMs) n.runsPartner = false;
+  /**
+   * Advances the time. Controllers that are up check their clocks, at the latest when the slowest possible
+   * clock reaches the limit.
+   */
+  function tick(state: State): State {
+    const changed = copy(state);
+    changed.t++;
+    if (!changed.runsPartner) changed.stoppingAt = null;
+    else if (changed.partnerDown !== null) {
+      // No controller answers the partner's machines any more, so their leases expire.
+      if (changed.t - changed.partnerDown >= limits.stopMs) changed.runsPartner = false;
     } else {
-      if (n.stoppingAt === null && n.partner && f.mustStop(n.partner, n.t - limits.skewMs, limits))
-        n.stoppingAt = n.t;
-      if (n.stoppingAt !== null && n.t - n.stoppingAt >= limits.stopMs) n.runsPartner = false;
+      if (
+        changed.stoppingAt === null &&
+        changed.partner &&
+        transitions.mustStop(changed.partner, changed.t - limits.skewMs, limits)
+      )
+        changed.stoppingAt = changed.t;
+      if (changed.stoppingAt !== null && changed.t - changed.stoppingAt >= limits.stopMs)
+        changed.runsPartner = false;
     }
-    if (!n.runsPartner) n.stoppingAt = null;
-    return n;
+    if (!changed.runsPartner) changed.stoppingAt = null;
+    return changed;
   }
 
-  function* next(s: State): Generator<{ what: string; state: State }> {
-    yield { what: 'time', state: tick(s) };
-    for (const p of s.pendingWrites) {
-      yield { what: `${p.side} stores`, state: apply(s, p, true) };
-      yield { what: `${p.side} stores, and its answer is lost`, state: apply(s, p, false) };
+  function* next(state: State): Generator<{ action: string; state: State }> {
+    yield { action: 'time passes', state: tick(state) };
+    for (const pending of state.pendingWrites) {
+      yield { action: `${pending.side} stores`, state: apply(state, pending, true) };
+      yield {
+        action: `${pending.side} stores, and the response is lost`,
+        state: apply(state, pending, false),
+      };
     }
-    for (const step of [...atHome(s), ...atPartner(s)])
-      if (step.state) yield { what: step.what, state: step.state };
-    for (const [i, { to, m }] of s.messages.entries()) {
-      const gone = copy(s);
-      gone.messages.splice(i, 1);
-      yield { what: `${m.kind} is lost`, state: gone };
-      for (const step of deliver(gone, to, m)) if (step.state) yield { what: step.what, state: step.state };
-      for (const step of deliver(s, to, m))
-        if (step.state) yield { what: `${step.what}, and again later`, state: step.state };
+    for (const step of [...atHome(state), ...atPartner(state)])
+      if (step.state) yield { action: step.action, state: step.state };
+    for (const [i, { to, message }] of state.messages.entries()) {
+      const withoutMessage = copy(state);
+      withoutMessage.messages.splice(i, 1);
+      yield { action: `${message.kind} is lost`, state: withoutMessage };
+      for (const step of deliver(withoutMessage, to, message))
+        if (step.state) yield { action: step.action, state: step.state };
+      for (const step of deliver(state, to, message))
+        if (step.state) yield { action: `${step.action}, and will arrive again`, state: step.state };
     }
   }
 
@@ -292,47 +361,56 @@
       finished: [],
     },
     next,
-    violationIn(s) {
-      if (s.runsHome && s.runsPartner) return 'runs in two clusters';
-      if (s.answerChanged) return 'an answer changed';
-      if (s.answered !== null && s.home.final !== null && s.answered !== s.home.final)
-        return 'told what is not stored';
-      if (s.home.final === 'done' && !s.finished.includes(s.home.epoch)) return 'done by what counts no more';
-      const over =
-        s.answered === 'cancelled'
-          ? s.answeredAt + limits.leaseMs + 2 * limits.skewMs
+    violationIn(state) {
+      if (state.runsHome && state.runsPartner) return 'runs in two clusters';
+      if (state.answerChanged) return 'an answer changed';
+      if (state.answered !== null && state.home.final !== null && state.answered !== state.home.final)
+        return 'reported a result that is not stored';
+      if (state.home.final === 'done' && !state.finished.includes(state.home.epoch))
+        return 'done under an epoch that is no longer valid';
+      const latestEnd =
+        state.answered === 'cancelled'
+          ? state.answeredAt + limits.leaseMs + 2 * limits.skewMs
           : Number.POSITIVE_INFINITY;
-      if (s.runsPartner && s.t > over) return 'runs long after its cancellation was told';
+      if (state.runsPartner && state.t > latestEnd) return 'runs long after its cancellation was reported';
       return null;
     },
-    // Only what is left of times counts, and whether a write still fits: so all of time is seen, not a part of it.
-    key: (s) => {
-      const left = (until: number) => Math.max(until - s.t, -2 * limits.skewMs - limits.stopMs - 1);
-      const since = (at: number | null, most: number) => (at === null ? '-' : Math.min(s.t - at, most));
-      const home = (r: HomeRecord) => `${r.epoch}${r.lent ? `l${left(r.lent.until)}` : ''}${r.final ?? ''}`;
-      const partner = (r: PartnerRecord) => `${r.epoch}${r.state}${left(r.until)}`;
-      const said = (m: LendingMessage | null) =>
-        m && `${m.kind}${m.epoch}${'until' in m ? `l${left(m.until)}` : ''}`;
-      const writes = s.pendingWrites.map((p) => {
-        const fits = p.version === (p.side === 'home' ? s.homeVersion : s.partnerVersion);
-        const r = p.side === 'home' ? home(p.record as HomeRecord) : partner(p.record as PartnerRecord);
-        return `${p.side}${fits}${r}${said(p.say)}`;
+    // The key contains only remaining times, and whether a pending write's version still matches. The number of
+    // distinct keys is therefore bounded, so the exploration covers unlimited time.
+    key: (state) => {
+      const remaining = (until: number) => Math.max(until - state.t, -2 * limits.skewMs - limits.stopMs - 1);
+      const since = (at: number | null, maximum: number) =>
+        at === null ? '-' : Math.min(state.t - at, maximum);
+      const home = (record: HomeRecord) =>
+        `${record.epoch}${record.lent ? `l${remaining(record.lent.until)}` : ''}${record.final ?? ''}`;
+      const partner = (record: PartnerRecord) => `${record.epoch}${record.state}${remaining(record.until)}`;
+      const messageKey = (message: LendingMessage | null) =>
+        message &&
+        `${message.kind}${message.epoch}${'until' in message ? `l${remaining(message.until)}` : ''}`;
+      const writes = state.pendingWrites.map((pending) => {
+        const versionMatches =
+          pending.version === (pending.side === 'home' ? state.homeVersion : state.partnerVersion);
+        const record =
+          pending.side === 'home'
+            ? home(pending.record as HomeRecord)
+            : partner(pending.record as PartnerRecord);
+        return `${pending.side}${versionMatches}${record}${messageKey(pending.say)}`;
       });
-      const net = s.messages.map(({ to, m }) => `${to}${said(m)}`);
+      const messages = state.messages.map(({ to, message }) => `${to}${messageKey(message)}`);
       const sinceAnswer =
-        s.answered === 'cancelled' ? since(s.answeredAt, limits.leaseMs + 2 * limits.skewMs + 1) : '';
-      const runs = `${s.runsHome}${s.runsPartner}${since(s.stoppingAt, limits.stopMs)}${since(s.partnerDown, limits.stopMs)}`;
+        state.answered === 'cancelled' ? since(state.answeredAt, limits.leaseMs + 2 * limits.skewMs + 1) : '';
+      const running = `${state.runsHome}${state.runsPartner}${since(state.stoppingAt, limits.stopMs)}${since(state.partnerDown, limits.stopMs)}`;
       const parts = [
-        home(s.home),
-        s.partner ? partner(s.partner) : '',
-        runs,
-        s.answered,
+        home(state.home),
+        state.partner ? partner(state.partner) : '',
+        running,
+        state.answered,
         sinceAnswer,
-        s.answerChanged,
-        [...new Set(s.finished)].sort(),
+        state.answerChanged,
+        [...new Set(state.finished)].sort(),
       ];
-      return `${parts.join()};${net.sort().join()};${writes.sort().join()}`;
+      return `${parts.join()};${messages.sort().join()};${writes.sort().join()}`;
     },
-    isGoodEnd: (s) => s.home.final !== null,
+    isGoodEnd: (state) => state.home.final !== null,
   };
 }
--- a/src/modelcheck/standbylease.ts
+++ b/src/modelcheck/standbylease.ts
@@ -1,13 +1,13 @@
 import { MAX_CLOCK_DRIFT } from '../clock/clock.js';
-import * as promise from '../standby/standbylease.js';
-import * as checks from '../standby/takeoverchecks.js';
+import * as standbyLease from '../standby/standbylease.js';
+import * as takeoverChecks from '../standby/takeoverchecks.js';
 import * as machine from '../workers/machine.js';
 import type { Model } from './explore.js';
 import type { Message, State, Write } from './standbyleasestate.js';
 
-/** The transitions that are looked at: those of production, or with one of them broken. */
+/** Transitions under test: those of production, or a copy in which one of them is broken. */
 export type Transitions = Pick<
-  typeof promise,
+  typeof standbyLease,
   | 'onSend'
   | 'onAcknowledged'
   | 'onEvicted'
@@ -17,261 +17,300 @@
   | 'mayClaim'
   | 'onClaim'
 > &
-  Pick<typeof checks, 'surelyNotRunning'> &
+  Pick<typeof takeoverChecks, 'surelyNotRunning'> &
   Pick<typeof machine, 'classifyHeartbeat'>;
-/** The transitions of production. */
+/** Transitions of production. */
 export const PRODUCTION: Transitions = {
-  ...promise,
-  ...checks,
+  ...standbyLease,
+  ...takeoverChecks,
   classifyHeartbeat: machine.classifyHeartbeat,
 };
 
-/** How far the model goes. */
+/** Limits of the explored model. */
 export interface Bounds {
-  /** Steps of time, each a quarter of the standby's lease. */
+  /** Number of time steps, each a quarter of the standby lease. */
   ticks: number;
   messages: number;
   writes: number;
-  /** How often a standby is named, and how often it starts anew. */
+  /** Maximum number of times a standby is named, and maximum number of incarnations of the standby. */
   namings: number;
-  runs: number;
-  /** The owner may be back at any moment as a new run; what is left of the former one goes on. */
-  returns: boolean;
-  /** Reports of the machine; each may come at any later time, and again. */
+  incarnations: number;
+  /**
+   * Whether the owner may return at any time as a new incarnation, while writes and messages of the former
+   * incarnation are still in flight.
+   */
+  ownerRestarts: boolean;
+  /** Number of reports made by the machine; each may arrive at any later time, and repeatedly. */
   reports: number;
-  /** Whether the task and its machine are looked at too, or the lease alone. */
+  /** Whether the task and its machine are modelled in addition to the lease. */
   task: boolean;
-  /** Guards that are no function of their own; production has them all. */
+  /** Guards that are not functions of their own; production has all of them. */
   guards: {
-    /** A standby answers only what is meant for its run. */
-    run: boolean;
-    /** A claim holds only while the key that names the standby is as it was. */
-    named: boolean;
-    /** An eviction without an answer is looked up before it counts. */
-    lookedUp: boolean;
-    /** A start is announced, and that acknowledged, before its order is sent. */
-    announced: boolean;
-    /** An owner that hands over stops before it says so. */
-    stopsFirst: boolean;
-    /** A new run of the owner ends what hangs on the lease of the one before it, and takes up nothing of it. */
-    fresh: boolean;
-    /** Orders under a token older than one that the machine has seen do nothing. */
+    /** A standby answers only messages addressed to its incarnation. */
+    incarnation: boolean;
+    /** A claim is applied only while the key that names the standby is unchanged. */
+    namedClaim: boolean;
+    /** An eviction whose write was not answered is confirmed by a read before it takes effect. */
+    confirmedEviction: boolean;
+    /** A start is announced, and the announcement acknowledged, before its order is sent. */
+    announcedStarts: boolean;
+    /** An owner stops acting before it sends the handover message. */
+    stopsBeforeHandover: boolean;
+    /**
+     * A new incarnation of the owner ends everything that depends on the previous incarnation's lease, and
+     * resumes none of its state.
+     */
+    freshIncarnation: boolean;
+    /** A machine ignores orders under a token older than one it has seen. */
     token: boolean;
   };
 }
 
-/** All guards, as in production. */
+/** All guards enabled, as in production. */
 export const GUARDED: Bounds['guards'] = {
-  run: true,
-  named: true,
-  lookedUp: true,
-  announced: true,
-  stopsFirst: true,
-  fresh: true,
+  incarnation: true,
+  namedClaim: true,
+  confirmedEviction: true,
+  announcedStarts: true,
+  stopsBeforeHandover: true,
+  freshIncarnation: true,
   token: true,
 };
 
-const TICK_MS = promise.STANDBY_LEASE_MS / 4;
+const TICK_MS = standbyLease.STANDBY_LEASE_MS / 4;
 const TERM = 1;
 
 /**
- * One shard, its owner, its standby, one machine with one task, and the key-value store. Messages are lost, doubled, delayed and
- * reordered, writes applied late and without an answer, the standby starts anew, either side stands still at any point, and the
- * clocks drift apart as far as they may: the owner's is slow, the standby's fast.
+ * Models one shard, its owner, its standby, one machine with one task, and the key-value store. Messages are
+ * lost, duplicated, delayed and reordered; writes are applied late and without a response; the standby
+ * restarts; either side pauses at any point. The clocks drift apart by the maximum allowed: the owner's clock
+ * is slow, the standby's is fast.
  */
-export function standbyLeaseModel(f: Transitions, b: Bounds): Model<State> {
-  const ownerClock = (s: State) => s.t * TICK_MS * (1 - MAX_CLOCK_DRIFT);
-  const standbyClock = (s: State) => s.t * TICK_MS * (1 + MAX_CLOCK_DRIFT);
-  const acts = (s: State) => !s.stopped && f.leaseCovers(s.ownerLease, ownerClock(s));
-  const copy = (s: State, change: Partial<State>): State => ({
-    ...s,
-    messages: [...s.messages],
-    writes: [...s.writes],
+export function standbyLeaseModel(transitions: Transitions, bounds: Bounds): Model<State> {
+  const ownerClock = (state: State) => state.t * TICK_MS * (1 - MAX_CLOCK_DRIFT);
+  const standbyClock = (state: State) => state.t * TICK_MS * (1 + MAX_CLOCK_DRIFT);
+  const mayOwnerAct = (state: State) =>
+    !state.stopped && transitions.leaseCovers(state.ownerLease, ownerClock(state));
+  const copy = (state: State, change: Partial<State>): State => ({
+    ...state,
+    messages: [...state.messages],
+    writes: [...state.writes],
     ...change,
   });
-  const send = (s: State, m: Message): State => {
-    if (s.messages.length < b.messages) s.messages.push(m);
-    return s;
+  const send = (state: State, message: Message): State => {
+    if (state.messages.length < bounds.messages) state.messages.push(message);
+    return state;
   };
-  const write = (s: State, w: Write): State => {
-    if (!s.writes.some((x) => x.kind === w.kind && x.revision === w.revision)) s.writes.push(w);
-    return s;
+  const write = (state: State, pending: Write): State => {
+    if (!state.writes.some((x) => x.kind === pending.kind && x.revision === pending.revision))
+      state.writes.push(pending);
+    return state;
   };
-  const evicted = (s: State, revision: number) => {
-    s.ownerLease = f.onEvicted(s.ownerLease, revision);
-    if (s.namedRevision === revision) s.namedRevision = 0;
+  const applyEviction = (state: State, revision: number) => {
+    state.ownerLease = transitions.onEvicted(state.ownerLease, revision);
+    if (state.namedRevision === revision) state.namedRevision = 0;
   };
 
-  function* byOwner(s: State): Generator<{ what: string; state: State }> {
-    if (s.stopped) return;
-    const now = ownerClock(s);
-    if (b.returns && s.shardOwner === 'owner')
+  function* byOwner(state: State): Generator<{ action: string; state: State }> {
+    if (state.stopped) return;
+    const now = ownerClock(state);
+    if (bounds.ownerRestarts && state.shardOwner === 'owner')
       yield {
-        what: 'owner is back as a new run',
+        action: 'owner restarts with a new incarnation',
         state: copy(
-          s,
-          b.guards.fresh
+          state,
+          bounds.guards.freshIncarnation
             ? { stopped: true, shardOwner: 'nobody', standbyRevision: 0 }
-            : { ownerLease: promise.NO_STANDBY, namedRevision: 0, startAcknowledged: false },
+            : { ownerLease: standbyLease.NO_STANDBY, namedRevision: 0, startAcknowledged: false },
         ),
       };
-    if (s.namedRevision === 0 && s.shardOwner === 'owner' && s.namings < b.namings) {
-      const revision = s.namings + 1;
-      const again = s.order === 'announced' ? false : s.startAcknowledged;
+    if (state.namedRevision === 0 && state.shardOwner === 'owner' && state.namings < bounds.namings) {
+      const revision = state.namings + 1;
+      const remainsAcknowledged = state.order === 'announced' ? false : state.startAcknowledged;
       yield {
-        what: 'owner names its standby',
-        state: copy(s, {
+        action: 'owner names its standby',
+        state: copy(state, {
           namedRevision: revision,
           namings: revision,
           standbyRevision: revision,
-          namedIncarnation: s.incarnation,
-          startAcknowledged: again,
+          namedIncarnation: state.incarnation,
+          startAcknowledged: remainsAcknowledged,
           snapshotSent: false,
         }),
       };
     }
-    if (s.namedRevision > 0) {
-      const ask = { kind: 'ask' as const, revision: s.namedRevision, run: s.namedIncarnation, sentAt: now };
-      const ownerLease = f.onSend(s.ownerLease, s.namedRevision, now);
-      const started = s.order !== 'none';
-      if (b.task && !s.snapshotSent)
+    if (state.namedRevision > 0) {
+      const message = {
+        kind: 'ask' as const,
+        revision: state.namedRevision,
+        incarnation: state.namedIncarnation,
+        sentAt: now,
+      };
+      const ownerLease = transitions.onSend(state.ownerLease, state.namedRevision, now);
+      const started = state.order !== 'none';
+      if (bounds.task && !state.snapshotSent)
         yield {
-          what: 'owner asks, with a piece of the snapshot',
-          state: send(copy(s, { ownerLease }), { ...ask, complete: false, started: false }),
+          action: 'owner sends a message with part of the snapshot',
+          state: send(copy(state, { ownerLease }), { ...message, complete: false, started: false }),
         };
       yield {
-        what: 'owner asks',
-        state: send(copy(s, { ownerLease, snapshotSent: true }), { ...ask, complete: true, started }),
+        action: 'owner sends a message',
+        state: send(copy(state, { ownerLease, snapshotSent: true }), { ...message, complete: true, started }),
       };
-      if (s.writes.length < b.writes)
+      if (state.writes.length < bounds.writes)
         yield {
-          what: 'owner evicts its standby',
-          state: write(copy(s, {}), { kind: 'evict', revision: s.namedRevision }),
+          action: 'owner evicts its standby',
+          state: write(copy(state, {}), { kind: 'evict', revision: state.namedRevision }),
         };
-      if (s.shardOwner === 'owner' && (s.standbyRevision === 0 || !b.guards.lookedUp)) {
-        const known = copy(s, {});
-        evicted(known, s.namedRevision);
-        yield { what: 'owner finds it evicted', state: known };
+      if (state.shardOwner === 'owner' && (state.standbyRevision === 0 || !bounds.guards.confirmedEviction)) {
+        const changed = copy(state, {});
+        applyEviction(changed, state.namedRevision);
+        yield { action: 'owner finds its standby evicted', state: changed };
       }
       yield {
-        what: 'owner hands over',
-        state: send(copy(s, { stopped: b.guards.stopsFirst }), {
+        action: 'owner sends the handover',
+        state: send(copy(state, { stopped: bounds.guards.stopsBeforeHandover }), {
           kind: 'release',
-          revision: s.namedRevision,
+          revision: state.namedRevision,
         }),
       };
     }
-    if (b.task && s.order === 'none' && acts(s))
-      yield { what: 'owner announces', state: copy(s, { order: 'announced' }) };
-    const free = !s.snapshotSent || (s.ownerLease.boundRevision === null && s.namedRevision === 0);
-    if (s.order === 'announced' && acts(s) && (free || s.startAcknowledged || !b.guards.announced))
-      yield { what: 'owner sends the order', state: copy(s, { order: 'sent' }) };
+    if (bounds.task && state.order === 'none' && mayOwnerAct(state))
+      yield { action: 'owner announces the start', state: copy(state, { order: 'announced' }) };
+    const needsNoAnnouncement =
+      !state.snapshotSent || (state.ownerLease.boundRevision === null && state.namedRevision === 0);
+    if (
+      state.order === 'announced' &&
+      mayOwnerAct(state) &&
+      (needsNoAnnouncement || state.startAcknowledged || !bounds.guards.announcedStarts)
+    )
+      yield { action: 'owner sends the order', state: copy(state, { order: 'sent' }) };
   }
 
-  function* byStandby(s: State): Generator<{ what: string; state: State }> {
-    if (s.incarnation < b.runs)
+  function* byStandby(state: State): Generator<{ action: string; state: State }> {
+    if (state.incarnation < bounds.incarnations)
       yield {
-        what: 'standby starts anew',
-        state: copy(s, {
-          incarnation: s.incarnation + 1,
+        action: 'standby restarts',
+        state: copy(state, {
+          incarnation: state.incarnation + 1,
           replicaState: null,
           inSync: false,
           knowsStart: false,
         }),
       };
-    const { replicaState } = s;
+    const { replicaState } = state;
     if (
       replicaState &&
-      (replicaState.claimed || f.mayClaim(replicaState, standbyClock(s))) &&
-      s.writes.length < b.writes
+      (replicaState.claimed || transitions.mayClaim(replicaState, standbyClock(state))) &&
+      state.writes.length < bounds.writes
     )
       yield {
-        what: 'standby claims',
-        state: write(copy(s, { replicaState: f.onClaim(replicaState) }), {
+        action: 'standby claims',
+        state: write(copy(state, { replicaState: transitions.onClaim(replicaState) }), {
           kind: 'claim',
           revision: replicaState.revision,
         }),
       };
-    if (!b.task || s.shardOwner !== 'standby') return;
-    if (!s.tokenSeen) yield { what: 'machine sees the new token', state: copy(s, { tokenSeen: true }) };
-    const on = new Set(s.knowsStart ? ['m'] : []);
-    const snapshot = { machinesOf: () => (s.inSync ? on : null) } as unknown as Parameters<
+    if (!bounds.task || state.shardOwner !== 'standby') return;
+    if (!state.tokenSeen)
+      yield { action: 'machine sees the new token', state: copy(state, { tokenSeen: true }) };
+    const announcedMachines = new Set(state.knowsStart ? ['m'] : []);
+    const snapshot = { machinesOf: () => (state.inSync ? announcedMachines : null) } as unknown as Parameters<
       Transitions['surelyNotRunning']
     >[1];
-    const notRunning = f.surelyNotRunning(
+    const notRunning = transitions.surelyNotRunning(
       { fresh: false, id: 'j' },
       snapshot,
-      s.reportedUnderToken,
-      () => !s.reportedUnderToken,
+      state.reportedUnderToken,
+      () => !state.reportedUnderToken,
     );
-    if (!s.startedAgain && notRunning && !s.taskReported)
-      yield { what: 'standby starts the task', state: copy(s, { startedAgain: true }) };
+    if (!state.startedAgain && notRunning && !state.taskReported)
+      yield { action: 'standby starts the task', state: copy(state, { startedAgain: true }) };
   }
 
-  /** A report reaches the standby as owner, now or as a copy. */
-  function onReport(s: State, r: State['reports'][number]): State | null {
-    if (s.shardOwner !== 'standby') return null;
-    const known = { incarnation: 1, minIncarnation: 0, heartbeatSequence: s.latestReport, fencingToken: 2 };
-    const weight = f.classifyHeartbeat(known, {
+  /** Delivers a report to the standby that has become the owner; the report may be delivered again later. */
+  function onReport(state: State, report: State['reports'][number]): State | null {
+    if (state.shardOwner !== 'standby') return null;
+    const knownMachine = {
       incarnation: 1,
-      sequence: r.seq,
-      fencingToken: r.tokened ? 2 : 1,
+      minIncarnation: 0,
+      heartbeatSequence: state.latestReport,
+      fencingToken: 2,
+    };
+    const classification = transitions.classifyHeartbeat(knownMachine, {
+      incarnation: 1,
+      sequence: report.seq,
+      fencingToken: report.underToken ? 2 : 1,
+    });
+    if (classification === 'late' || classification === 'foreign') return null;
+    if (classification === 'untokened') return copy(state, { latestReport: report.seq });
+    return copy(state, {
+      latestReport: report.seq,
+      reportedUnderToken: true,
+      taskReported: report.holdsTask,
     });
-    if (weight === 'late' || weight === 'foreign') return null;
-    if (weight === 'untokened') return copy(s, { latestReport: r.seq });
-    return copy(s, { latestReport: r.seq, reportedUnderToken: true, taskReported: r.there });
   }
 
-  function* byMachine(s: State): Generator<{ what: string; state: State }> {
-    if (s.reportsMade < b.reports && s.order !== 'none') {
-      const made = s.reportsMade + 1;
-      const report = { seq: made, tokened: s.tokenSeen, there: s.order === 'runs' };
+  function* byMachine(state: State): Generator<{ action: string; state: State }> {
+    if (state.reportsMade < bounds.reports && state.order !== 'none') {
+      const sequence = state.reportsMade + 1;
+      const report = { seq: sequence, underToken: state.tokenSeen, holdsTask: state.order === 'runs' };
       yield {
-        what: 'machine reports',
-        state: copy(s, { reportsMade: made, reports: [...s.reports, report] }),
+        action: 'machine reports',
+        state: copy(state, { reportsMade: sequence, reports: [...state.reports, report] }),
       };
     }
-    // One that is lost is one that never arrives.
-    for (const r of s.reports) {
-      const arrived = onReport(s, r);
-      if (arrived) yield { what: `report ${r.seq} arrives, and may again`, state: arrived };
+    // A lost report is modelled as one that never arrives.
+    for (const report of state.reports) {
+      const arrived = onReport(state, report);
+      if (arrived) yield { action: `report ${report.seq} arrives, and may arrive again`, state: arrived };
     }
   }
 
-  function deliver(s: State, m: Message): State | null {
-    if (m.kind === 'answer') {
-      if (s.stopped || s.namedRevision !== m.revision) return null;
-      const ownerLease = f.onAcknowledged(s.ownerLease, m.revision, m.sentAt);
-      return copy(s, { ownerLease, startAcknowledged: s.startAcknowledged || m.started });
+  function deliver(state: State, message: Message): State | null {
+    if (message.kind === 'answer') {
+      if (state.stopped || state.namedRevision !== message.revision) return null;
+      const ownerLease = transitions.onAcknowledged(state.ownerLease, message.revision, message.sentAt);
+      return copy(state, { ownerLease, startAcknowledged: state.startAcknowledged || message.started });
     }
-    if (m.kind === 'release') {
-      const replicaState = f.onRelease(s.replicaState, TERM, m.revision);
-      return replicaState && copy(s, { replicaState });
+    if (message.kind === 'release') {
+      const replicaState = transitions.onRelease(state.replicaState, TERM, message.revision);
+      return replicaState && copy(state, { replicaState });
     }
-    if (b.guards.run && m.run !== s.incarnation) return null;
-    const replicaState = f.onMessage(s.replicaState, TERM, m.revision, standbyClock(s));
+    if (bounds.guards.incarnation && message.incarnation !== state.incarnation) return null;
+    const replicaState = transitions.onMessage(
+      state.replicaState,
+      TERM,
+      message.revision,
+      standbyClock(state),
+    );
     if (!replicaState) return null;
-    const fresh = s.replicaState?.revision !== replicaState.revision;
-    const knows = (fresh ? false : s.knowsStart) || m.started;
-    const inSync = (fresh ? false : s.inSync) || m.complete;
-    const answer: Message = { kind: 'answer', revision: m.revision, sentAt: m.sentAt, started: knows };
-    return send(copy(s, { replicaState, inSync, knowsStart: knows }), answer);
+    const isNewRevision = state.replicaState?.revision !== replicaState.revision;
+    const startKnown = (isNewRevision ? false : state.knowsStart) || message.started;
+    const inSync = (isNewRevision ? false : state.inSync) || message.complete;
+    const answer: Message = {
+      kind: 'answer',
+      revision: message.revision,
+      sentAt: message.sentAt,
+      started: startKnown,
+    };
+    return send(copy(state, { replicaState, inSync, knowsStart: startKnown }), answer);
   }
 
-  function apply(s: State, w: Write): State {
-    const holds =
-      s.shardOwner === 'owner' &&
-      (s.standbyRevision === w.revision || (w.kind === 'claim' && !b.guards.named));
-    if (!holds) return s;
-    return w.kind === 'claim'
-      ? { ...s, shardOwner: 'standby', standbyRevision: 0 }
-      : { ...s, standbyRevision: 0 };
+  function apply(state: State, pending: Write): State {
+    const conditionHolds =
+      state.shardOwner === 'owner' &&
+      (state.standbyRevision === pending.revision || (pending.kind === 'claim' && !bounds.guards.namedClaim));
+    if (!conditionHolds) return state;
+    return pending.kind === 'claim'
+      ? { ...state, shardOwner: 'standby', standbyRevision: 0 }
+      : { ...state, standbyRevision: 0 };
   }
 
   return {
     initial: {
       t: 0,
-      ownerLease: promise.NO_STANDBY,
+      ownerLease: standbyLease.NO_STANDBY,
       namedRevision: 0,
       stopped: false,
       replicaState: null,
@@ -295,38 +334,43 @@
       taskReported: false,
       startedAgain: false,
     },
-    *next(s) {
-      if (s.t < b.ticks) yield { what: 'time passes', state: copy(s, { t: s.t + 1 }) };
-      yield* byOwner(s);
-      yield* byStandby(s);
-      if (b.task) yield* byMachine(s);
-      for (const [i, m] of s.messages.entries()) {
-        const without = copy(s, { messages: s.messages.filter((_, j) => j !== i) });
-        yield { what: `${m.kind} is lost`, state: without };
-        const once = deliver(without, m);
-        if (once) yield { what: `${m.kind} arrives`, state: once };
-        const twice = deliver(s, m);
-        if (twice) yield { what: `${m.kind} arrives, and will again`, state: twice };
+    *next(state) {
+      if (state.t < bounds.ticks) yield { action: 'time passes', state: copy(state, { t: state.t + 1 }) };
+      yield* byOwner(state);
+      yield* byStandby(state);
+      if (bounds.task) yield* byMachine(state);
+      for (const [i, message] of state.messages.entries()) {
+        const without = copy(state, { messages: state.messages.filter((_, j) => j !== i) });
+        yield { action: `${message.kind} is lost`, state: without };
+        const once = deliver(without, message);
+        if (once) yield { action: `${message.kind} arrives`, state: once };
+        const twice = deliver(state, message);
+        if (twice) yield { action: `${message.kind} arrives, and will arrive again`, state: twice };
       }
-      for (const [i, w] of s.writes.entries()) {
-        const applied = apply(copy(s, { writes: s.writes.filter((_, j) => j !== i) }), w);
-        yield { what: `${w.kind} is applied, unanswered`, state: applied };
-        if (w.kind === 'evict' && applied.shardOwner === 'owner' && s.standbyRevision === w.revision) {
+      for (const [i, pending] of state.writes.entries()) {
+        const applied = apply(copy(state, { writes: state.writes.filter((_, j) => j !== i) }), pending);
+        yield { action: `${pending.kind} is applied, response lost`, state: applied };
+        if (
+          pending.kind === 'evict' &&
+          applied.shardOwner === 'owner' &&
+          state.standbyRevision === pending.revision
+        ) {
           const answered = copy(applied, {});
-          evicted(answered, w.revision);
-          yield { what: 'eviction is applied', state: answered };
+          applyEviction(answered, pending.revision);
+          yield { action: 'eviction is applied and answered', state: answered };
         }
       }
-      if (s.order === 'sent' && (!s.tokenSeen || !b.guards.token))
-        yield { what: 'the order is executed', state: copy(s, { order: 'runs' }) };
+      if (state.order === 'sent' && (!state.tokenSeen || !bounds.guards.token))
+        yield { action: 'the order is executed', state: copy(state, { order: 'runs' }) };
     },
-    violationIn(s) {
-      if (s.shardOwner === 'standby' && acts(s)) return 'two may act';
-      const there = s.order === 'runs' || (s.order === 'sent' && (!s.tokenSeen || !b.guards.token));
-      if (s.startedAgain && there) return 'the task may run twice';
+    violationIn(state) {
+      if (state.shardOwner === 'standby' && mayOwnerAct(state)) return 'two owners may act';
+      const taskOnMachine =
+        state.order === 'runs' || (state.order === 'sent' && (!state.tokenSeen || !bounds.guards.token));
+      if (state.startedAgain && taskOnMachine) return 'the task may run twice';
       return null;
     },
-    key: (s) => JSON.stringify(s),
-    isGoodEnd: (s) => s.shardOwner === 'standby' || s.t === b.ticks,
+    key: (state) => JSON.stringify(state),
+    isGoodEnd: (state) => state.shardOwner === 'standby' || state.t === bounds.ticks,
   };
 }
--- a/src/modelcheck/standbyleasestate.ts
+++ b/src/modelcheck/standbyleasestate.ts
@@ -1,48 +1,60 @@
 import type { OwnerLease, ReplicaState } from '../standby/standbylease.js';
 
-/** A message under way between the owner and its standby. */
+/** Message in flight between the owner and its standby. */
 export type Message =
-  | { kind: 'ask'; revision: number; run: number; sentAt: number; complete: boolean; started: boolean }
+  | {
+      kind: 'ask';
+      revision: number;
+      incarnation: number;
+      sentAt: number;
+      complete: boolean;
+      started: boolean;
+    }
   | { kind: 'answer'; revision: number; sentAt: number; started: boolean }
   | { kind: 'release'; revision: number };
 
-/** A conditional write on its way to the key-value store. */
+/** Conditional write in flight to the key-value store. */
 export type Write = { kind: 'claim' | 'evict'; revision: number };
 
-/** A state of the model. */
+/** State of the model. */
 export interface State {
   t: number;
   ownerLease: OwnerLease;
-  /** Revision under which the owner has named its standby; 0: it has none. */
+  /** Revision under which the owner has named its standby; 0 without a standby. */
   namedRevision: number;
-  /** The owner acts no more, for good. */
+  /** Whether the owner has permanently ceased to act. */
   stopped: boolean;
   replicaState: ReplicaState | null;
   incarnation: number;
   namedIncarnation: number;
-  /** The mark that ends the snapshot has been sent to the standby that is named. */
+  /** Whether the record that ends the snapshot has been sent to the named standby. */
   snapshotSent: boolean;
-  /** Whether the standby's replica is in sync, and whether it knows of the one task's start. */
+  /** Whether the standby's replica is in sync, and whether it contains the start of the task. */
   inSync: boolean;
   knowsStart: boolean;
   messages: Message[];
   writes: Write[];
-  /** The key-value store: whose the shard is, and the revision of the key that names the standby. */
+  /** Key-value store: the owner of the shard, and the revision of the key that names the standby. */
   shardOwner: 'owner' | 'standby' | 'nobody';
   standbyRevision: number;
   namings: number;
-  /** The task's start by the owner: announced, its order under way, running on the machine. */
+  /** Start of the task by the owner: announced, order in flight, or running on the machine. */
   order: 'none' | 'announced' | 'sent' | 'runs';
   startAcknowledged: boolean;
-  /** The machine has seen the token of the standby's term; it reports it from then on. */
+  /**
+   * Whether the machine has seen the token of the standby's term; its reports contain the token from then on.
+   */
   tokenSeen: boolean;
-  /** Reports of the machine under way: what each shows, in the order in which they were made. */
-  reports: { seq: number; tokened: boolean; there: boolean }[];
+  /** Reports of the machine in flight, in the order in which they were made. */
+  reports: { seq: number; underToken: boolean; holdsTask: boolean }[];
   reportsMade: number;
-  /** Sequence number of the newest report that the standby knows, and whether one under the new token was among them. */
+  /**
+   * Sequence number of the newest report that the standby has received, and whether it has received a report
+   * under the new token.
+   */
   latestReport: number;
   reportedUnderToken: boolean;
-  /** That report showed the task. */
+  /** Whether that report contained the task. */
   taskReported: boolean;
   startedAgain: boolean;
 }
--- a/src/standby/jobrecordreplica.ts
+++ b/src/standby/jobrecordreplica.ts
@@ -6,36 +6,37 @@
 import type { Entry } from '../wire/state.js';
 import { recordsComplete } from './takeoverchecks.js';
 
-/** Changes are read no more often than this while there are some, and not at all while there are none. */
+/** Minimum interval between reads of changes. Nothing is read while there are no changes. */
 const MIN_READ_INTERVAL_MS = 5000;
 
-/** The unfinished jobs of a shard with all changes up to a revision. */
+/** Unfinished jobs of a shard, with all changes up to a revision. */
 export interface ReplicatedJobs {
   readonly jobs: LoadedJob[];
-  /** How many changes had to be read for it. */
+  /** Number of changes that had to be read to reach the revision. */
   readonly changes: number;
 }
 
-/** An unfinished job, and the shard whose it is. */
+/** An unfinished job and its shard. */
 interface ShardJob {
   readonly shard: number;
   readonly loaded: LoadedJob;
 }
 
 /**
- * The unfinished jobs of the shards that this node stands by for, as the key-value store has them: read once, and from then on
- * the changes since, all with one request. Nothing depends on how old it is: whoever takes a shard reads on to the revision of its claim.
+ * Replica of the unfinished job records of the shards that this node stands by for. Records are listed once;
+ * after that only changes are read, one request for all shards. Correctness does not depend on the age of the
+ * replica: a node that takes over a shard first reads up to the revision of its claim.
  */
 export class JobRecordReplica {
   private readonly jobs = new Map<string, ShardJob>();
   private readonly shards = new Set<number>();
-  /** All changes up to this revision are in the replica; 0 when all has to be read. */
+  /** The replica contains all changes up to this revision; 0 if all records have to be listed. */
   private revision = 0;
-  /** When something was last read, in steady milliseconds. */
+  /** Time of the last read, in milliseconds of the monotonic clock. */
   private readAt = Number.NEGATIVE_INFINITY;
   /**
-   * Reads go one after the other: of two at once the older could put back a job that had ended, and a new owner would
-   * call it queued.
+   * Serializes reads. Of two concurrent reads, the older one could restore a job that has ended, and a new
+   * owner would report the job as queued.
    */
   private readonly mutex = new Mutex();
 
@@ -44,12 +45,12 @@
     private readonly log: Log,
   ) {}
 
-  /** How many jobs are kept. */
+  /** Number of jobs in the replica. */
   get size(): number {
     return this.jobs.size;
   }
 
-  /** From now on the shard is followed. */
+  /** Starts to follow a shard. */
   follow(shard: number): void {
     if (this.shards.has(shard)) return;
     this.shards.add(shard);
@@ -58,47 +59,57 @@
         this.revision = 0;
         await this.read();
       })
-      .catch((error) => this.log.debug({ err: error }, 'job records not read yet'));
+      .catch((error) =>
+        this.log.debug(
+          { err: error },
+          'failed to read job records; retried when their owner reports a change',
+        ),
+      );
   }
 
-  /** The shard is no longer followed; its jobs are dropped. */
+  /** Stops following a shard and drops its jobs. */
   unfollow(shard: number): void {
     if (!this.shards.delete(shard)) return;
-    for (const [id, j] of this.jobs) if (j.shard === shard) this.jobs.delete(id);
+    for (const [id, job] of this.jobs) if (job.shard === shard) this.jobs.delete(id);
   }
 
-  /** An owner has changed something since: it is read, unless that was done just now. */
+  /** Reads the changes after an owner has reported some, unless a read is running or has just been made. */
   onRecordsChanged(): void {
     if (this.mutex.isLocked() || this.context.clock.now() - this.readAt < MIN_READ_INTERVAL_MS) return;
     void this.mutex
       .runExclusive(() => this.read())
-      .catch((error) => this.log.debug({ err: error }, 'job record changes not read yet'));
+      .catch((error) =>
+        this.log.debug(
+          { err: error },
+          'failed to read job record changes; retried when their owner reports a change',
+        ),
+      );
   }
 
   /**
-   * All unfinished jobs of a shard with all changes up to a revision; null when they have to be read anew. Throws when the
-   * key-value store does not answer.
+   * Returns all unfinished jobs of a shard with all changes up to a revision, or null if the caller has to list
+   * them itself. Throws if the key-value store does not answer.
    */
   upTo(revision: number, shard: number): Promise<ReplicatedJobs | null> {
     return this.mutex.runExclusive(async () => {
       if (!this.shards.has(shard) || this.revision === 0) return null;
       const changes = recordsComplete(this.revision, revision) ? 0 : await this.read();
       if (!recordsComplete(this.revision, revision)) return null;
-      const jobs = [...this.jobs.values()].filter((j) => j.shard === shard).map((j) => j.loaded);
+      const jobs = [...this.jobs.values()].filter((job) => job.shard === shard).map((job) => job.loaded);
       return { jobs, changes };
     });
   }
 
-  /** Reads what has changed, or all of it; returns how many changes or records that were. */
+  /** Reads the changes, or all records. Returns the number of changes or records read. */
   private async read(): Promise<number> {
     const { store, clock } = this.context;
     this.readAt = clock.now();
     if (this.revision > 0) {
       const result = await store.watch(KEYS.active, this.revision, 0);
       if (result) {
-        for (const c of result.changes) {
-          if ('gone' in c) this.remove(c.key);
-          else await this.apply({ key: c.key, value: c.value, version: c.version });
+        for (const change of result.changes) {
+          if ('gone' in change) this.remove(change.key);
+          else await this.apply({ key: change.key, value: change.value, version: change.version });
         }
         this.revision = Math.max(this.revision, result.revision);
         return result.changes.length;
@@ -107,26 +118,27 @@
     this.revision = 0;
     const { entries, revision } = await store.list(KEYS.active);
     this.jobs.clear();
-    for (const e of entries) await this.apply(e);
-    // A listing of several pages may show later changes too; those are read once more, and are the same.
+    for (const entry of entries) await this.apply(entry);
+    // A listing of several pages may already contain later changes. They are read a second time, with the same
+    // result.
     this.revision = revision;
     return entries.length;
   }
 
-  private async apply(e: Entry): Promise<void> {
-    const [id, chunk] = e.key.slice(KEYS.active.length).split('/');
+  private async apply(entry: Entry): Promise<void> {
+    const [id, chunk] = entry.key.slice(KEYS.active.length).split('/');
     if (id === undefined) return;
     const known = this.jobs.get(id);
     if (chunk !== undefined) {
-      const read = readChunk(chunk, e);
-      if (!known || !read) return;
+      const storedChunk = readChunk(chunk, entry);
+      if (!known || !storedChunk) return;
       known.loaded.chunks = known.loaded.chunks.filter((c) => c.name !== chunk);
-      known.loaded.chunks.push(read);
+      known.loaded.chunks.push(storedChunk);
       return;
     }
-    const shard = shardOfRecord(e.value);
+    const shard = shardOfRecord(entry.value);
     if (shard === null || !this.shards.has(shard)) return;
-    const loaded = await readLoaded(this.context.store, id, e);
+    const loaded = await readLoaded(this.context.store, id, entry);
     if (!loaded) {
       this.jobs.delete(id);
       return;
--- a/src/standby/messages.ts
+++ b/src/standby/messages.ts
@@ -7,40 +7,46 @@
 } from './replicationrecord.js';
 
 /**
- * The messages between an owner and its standby. `read…` checks what has come and returns it by the names of the code,
- * null when it is none; `write…` returns what is sent.
+ * Messages between an owner and its standby. The `read…` functions validate a received message and convert it
+ * to the field names used in the code, returning null for an invalid one. The `write…` functions convert a
+ * message to its wire form.
  */
 
-/** Names of the messages between an owner and its standby: to replicate, and to hand the shard over. */
+/** Wire names of the requests between an owner and its standby: replication and handover of the shard. */
 export const STANDBY_OPS = { replicate: 'stand', handOver: 'assume' } as const;
 
-/** The most records of one message. */
+/** Maximum number of records in one message. */
 export const MAX_BATCH_RECORDS = 300;
 
 const term = v.pipe(v.number(), v.integer(), v.minValue(1));
 const shard = v.pipe(v.number(), v.integer(), v.minValue(0));
 
-/** Which owner speaks to which standby. */
+/** Identifies the owner and the standby of an exchange. */
 export interface StandbyAddress {
   readonly shard: number;
   /** Revision of the owner's key. */
   readonly term: number;
   /** Revision of the key that names the standby. */
   readonly revision: number;
-  /** The incarnation of the node that this key names: another one of the same node is not meant. */
+  /**
+   * Incarnation of the node named by the standby key. Another incarnation of the same node is not addressed.
+   */
   readonly incarnation: string;
 }
 
-/** Some records of the stream, in order. */
+/** Consecutive records of the replication stream. */
 export interface ReplicationBatch {
   /** Sequence number of the first record. */
   readonly from: number;
   readonly records: readonly ReplicationRecord[];
 }
 
-/** What an owner sends its standby at least each heartbeat interval: the records that are not acknowledged yet. */
+/**
+ * Message that an owner sends its standby at least once per heartbeat interval, with the records that have not
+ * been acknowledged yet.
+ */
 export interface ReplicationMessage extends StandbyAddress, ReplicationBatch {
-  /** Changes of job records that the owner has made, counted. */
+  /** Number of changes that the owner has made to job records. */
   readonly recordChanges: number;
 }
 
@@ -54,11 +60,11 @@
   changes: v.number(),
 });
 
-/** A replication message that has come; null when it is none. */
+/** Validates a received replication message; returns null if it is invalid. */
 export function readReplicationMessage(value: unknown): ReplicationMessage | null {
-  const p = v.safeParse(wireReplicationMessage, value);
-  if (!p.success) return null;
-  const { run, records, changes, ...rest } = p.output;
+  const parsed = v.safeParse(wireReplicationMessage, value);
+  if (!parsed.success) return null;
+  const { run, records, changes, ...rest } = parsed.output;
   return {
     ...rest,
     incarnation: run,
@@ -67,53 +73,60 @@
   };
 }
 
-/** A replication message as it is sent. */
-export function writeReplicationMessage(m: ReplicationMessage): v.InferOutput<typeof wireReplicationMessage> {
+/** Converts a replication message to its wire form. */
+export function writeReplicationMessage(
+  message: ReplicationMessage,
+): v.InferOutput<typeof wireReplicationMessage> {
   return {
-    shard: m.shard,
-    term: m.term,
-    revision: m.revision,
-    run: m.incarnation,
-    from: m.from,
-    records: m.records.map(writeReplicationRecord),
-    changes: m.recordChanges,
+    shard: message.shard,
+    term: message.term,
+    revision: message.revision,
+    run: message.incarnation,
+    from: message.from,
+    records: message.records.map(writeReplicationRecord),
+    changes: message.recordChanges,
   };
 }
 
-/** The standby's answer to a replication message. */
+/** Response of the standby to a replication message. */
 export interface ReplicationResponse {
   /** All records before this sequence number have been applied. */
   readonly nextSequence: number;
-  /** How long ago the key-value store last renewed the lease of the standby's node, in milliseconds. */
+  /** Time since the key-value store last renewed the lease of the standby's node, in milliseconds. */
   readonly leaseRenewedAgoMs: number;
 }
 
 const wireReplicationResponse = v.object({ next: v.number(), stateAgoMs: v.number() });
-/** The answer as it is sent. */
+/** Wire form of a replication response. */
 export type WireReplicationResponse = v.InferOutput<typeof wireReplicationResponse>;
 
-/** A standby's answer that has come; null when it is none. */
+/** Validates a received replication response; returns null if it is invalid. */
 export function readReplicationResponse(value: unknown): ReplicationResponse | null {
-  const p = v.safeParse(wireReplicationResponse, value);
-  return p.success ? { nextSequence: p.output.next, leaseRenewedAgoMs: p.output.stateAgoMs } : null;
+  const parsed = v.safeParse(wireReplicationResponse, value);
+  return parsed.success
+    ? { nextSequence: parsed.output.next, leaseRenewedAgoMs: parsed.output.stateAgoMs }
+    : null;
 }
 
-/** A standby's answer as it is sent. */
-export function writeReplicationResponse(r: ReplicationResponse): WireReplicationResponse {
-  return { next: r.nextSequence, stateAgoMs: r.leaseRenewedAgoMs };
+/** Converts a replication response to its wire form. */
+export function writeReplicationResponse(response: ReplicationResponse): WireReplicationResponse {
+  return { next: response.nextSequence, stateAgoMs: response.leaseRenewedAgoMs };
 }
 
 const wireHandoverMessage = v.object({ shard, term, revision: term, run: v.string() });
 
-/** The owner has ceased to act: the standby may claim at once. Null when it is no such message. */
+/**
+ * Validates a received handover message, by which the owner states that it has ceased to act and the standby
+ * may claim at once. Returns null if it is invalid.
+ */
 export function readHandoverMessage(value: unknown): StandbyAddress | null {
-  const p = v.safeParse(wireHandoverMessage, value);
-  if (!p.success) return null;
-  const { run, ...rest } = p.output;
+  const parsed = v.safeParse(wireHandoverMessage, value);
+  if (!parsed.success) return null;
+  const { run, ...rest } = parsed.output;
   return { ...rest, incarnation: run };
 }
 
-/** A handover message as it is sent. */
+/** Converts a handover message to its wire form. */
 export function writeHandoverMessage(to: StandbyAddress): v.InferOutput<typeof wireHandoverMessage> {
   return { shard: to.shard, term: to.term, revision: to.revision, run: to.incarnation };
 }
--- a/src/standby/replicationrecord.ts
+++ b/src/standby/replicationrecord.ts
@@ -1,61 +1,62 @@
 import * as v from 'valibot';
 
 /**
- * What an owner replicates to its standby of one shard, one record at a time and in order. On the wire each record is
- * named by a short tag (`t`), which versions of this program have in common; in the code by its `kind`.
+ * Records that the owner of a shard replicates to its standby, one at a time and in order. On the wire, a short
+ * tag (`t`) that all versions of this program share identifies the record type; in the code the field `kind`
+ * does.
  */
 
-/** A machine's image cache as it is replicated. */
+/** Replicated entry of a machine's image cache. */
 export interface ReplicatedImage {
-  /** The image's name, since indices of names differ from node to node. */
+  /** Name of the image. Indices are not sent because they differ from node to node. */
   readonly image: string;
-  /** The image's size in gigabytes. */
+  /** Size of the image in gigabytes. */
   readonly gb: number;
 }
 
-/** One record of the replication stream. Times of day are in milliseconds. */
+/** One record of the replication stream. Times are wall-clock times in milliseconds. */
 export type ReplicationRecord =
-  /** All that came before is void: a snapshot begins. */
+  /** A snapshot begins, and all earlier records are void. */
   | { readonly kind: 'snapshotBegin' }
-  /** The snapshot is complete; from here on nothing is started that was not announced. */
+  /** The snapshot is complete. From here on, no task is started that has not been announced. */
   | { readonly kind: 'inSync' }
   /** A task of the job may be started on the machine from now on. */
   | { readonly kind: 'mayRunOn'; readonly job: string; readonly machine: string }
-  /** Tasks of the job may be on these machines and on no others; null: on any. */
+  /** Tasks of the job may be on these machines and on no others; null if they may be on any machine. */
   | { readonly kind: 'runsOnlyOn'; readonly job: string; readonly machines: readonly string[] | null }
-  /** No task of the job is on the machine any more. */
+  /** No task of the job is left on the machine. */
   | { readonly kind: 'leftMachine'; readonly job: string; readonly machine: string }
-  /** The job has ended: nothing of it is to be kept. */
+  /** The job has ended, and its state can be dropped. */
   | { readonly kind: 'jobEnded'; readonly job: string }
-  /** An attempt of a task (`JOB/INDEX`) has run since this time of day. */
+  /** An attempt of a task (`JOB/INDEX`) has been running since this wall-clock time. */
   | {
       readonly kind: 'attemptRunning';
       readonly task: string;
       readonly attempt: number;
       readonly runningSince: number;
     }
-  /** The incarnation of a machine and the images in its cache. */
+  /** Incarnation of a machine and the images in its cache. */
   | {
       readonly kind: 'machine';
       readonly id: string;
       readonly incarnation: number;
       readonly images: readonly ReplicatedImage[];
     }
-  /** Mean logarithm of run time to estimate that a class of jobs has shown, over `count` tasks. */
+  /** Mean logarithm of the ratio of run time to estimate for a class of jobs, over `count` tasks. */
   | {
       readonly kind: 'runtimeEstimate';
       readonly jobClass: string;
       readonly log: number;
       readonly count: number;
     }
-  /** The job is quarantined after this many failures, until this time of day. */
+  /** The job is quarantined after this number of failures, until this wall-clock time. */
   | { readonly kind: 'quarantined'; readonly job: string; readonly failures: number; readonly until: number }
   /** The job is no longer quarantined. */
   | { readonly kind: 'quarantineLifted'; readonly job: string };
 
 const name = v.pipe(v.string(), v.maxLength(300));
 
-/** A record as it is sent; the order of fields is that of their bytes. */
+/** Wire form of a record. The order of the fields determines the order of the encoded bytes. */
 export const wireRecord = v.variant('t', [
   v.object({ t: v.literal('begin') }),
   v.object({ t: v.literal('level') }),
@@ -74,65 +75,70 @@
   v.object({ t: v.literal('suspect'), job: name, failures: v.number(), until: v.number() }),
   v.object({ t: v.literal('trusted'), job: name }),
 ]);
-/** A record of the replication stream as it is sent. */
+/** Wire form of a replication record. */
 export type WireReplicationRecord = v.InferOutput<typeof wireRecord>;
 
-/** A checked record of the wire, as the code sees it. */
-export function readReplicationRecord(r: WireReplicationRecord): ReplicationRecord {
-  switch (r.t) {
+/** Converts a validated record from its wire form. */
+export function readReplicationRecord(record: WireReplicationRecord): ReplicationRecord {
+  switch (record.t) {
     case 'begin':
       return { kind: 'snapshotBegin' };
     case 'level':
       return { kind: 'inSync' };
     case 'at':
-      return { kind: 'mayRunOn', job: r.job, machine: r.machine };
+      return { kind: 'mayRunOn', job: record.job, machine: record.machine };
     case 'only':
-      return { kind: 'runsOnlyOn', job: r.job, machines: r.machines };
+      return { kind: 'runsOnlyOn', job: record.job, machines: record.machines };
     case 'off':
-      return { kind: 'leftMachine', job: r.job, machine: r.machine };
+      return { kind: 'leftMachine', job: record.job, machine: record.machine };
     case 'over':
-      return { kind: 'jobEnded', job: r.job };
+      return { kind: 'jobEnded', job: record.job };
     case 'runs':
-      return { kind: 'attemptRunning', task: r.task, attempt: r.attempt, runningSince: r.since };
+      return {
+        kind: 'attemptRunning',
+        task: record.task,
+        attempt: record.attempt,
+        runningSince: record.since,
+      };
     case 'machine': {
-      const images = r.images.map(([image, gb]) => ({ image, gb }));
-      return { kind: 'machine', id: r.id, incarnation: r.session, images };
+      const images = record.images.map(([image, gb]) => ({ image, gb }));
+      return { kind: 'machine', id: record.id, incarnation: record.session, images };
     }
     case 'class':
-      return { kind: 'runtimeEstimate', jobClass: r.name, log: r.log, count: r.count };
+      return { kind: 'runtimeEstimate', jobClass: record.name, log: record.log, count: record.count };
     case 'suspect':
-      return { kind: 'quarantined', job: r.job, failures: r.failures, until: r.until };
+      return { kind: 'quarantined', job: record.job, failures: record.failures, until: record.until };
     case 'trusted':
-      return { kind: 'quarantineLifted', job: r.job };
+      return { kind: 'quarantineLifted', job: record.job };
   }
 }
 
-/** A record as it is sent. */
-export function writeReplicationRecord(r: ReplicationRecord): WireReplicationRecord {
-  switch (r.kind) {
+/** Converts a record to its wire form. */
+export function writeReplicationRecord(record: ReplicationRecord): WireReplicationRecord {
+  switch (record.kind) {
     case 'snapshotBegin':
       return { t: 'begin' };
     case 'inSync':
       return { t: 'level' };
     case 'mayRunOn':
-      return { t: 'at', job: r.job, machine: r.machine };
+      return { t: 'at', job: record.job, machine: record.machine };
     case 'runsOnlyOn':
-      return { t: 'only', job: r.job, machines: r.machines && [...r.machines] };
+      return { t: 'only', job: record.job, machines: record.machines && [...record.machines] };
     case 'leftMachine':
-      return { t: 'off', job: r.job, machine: r.machine };
+      return { t: 'off', job: record.job, machine: record.machine };
     case 'jobEnded':
-      return { t: 'over', job: r.job };
+      return { t: 'over', job: record.job };
     case 'attemptRunning':
-      return { t: 'runs', task: r.task, attempt: r.attempt, since: r.runningSince };
+      return { t: 'runs', task: record.task, attempt: record.attempt, since: record.runningSince };
     case 'machine': {
-      const images = r.images.map(({ image, gb }): [string, number] => [image, gb]);
-      return { t: 'machine', id: r.id, session: r.incarnation, images };
+      const images = record.images.map(({ image, gb }): [string, number] => [image, gb]);
+      return { t: 'machine', id: record.id, session: record.incarnation, images };
     }
     case 'runtimeEstimate':
-      return { t: 'class', name: r.jobClass, log: r.log, count: r.count };
+      return { t: 'class', name: record.jobClass, log: record.log, count: record.count };
     case 'quarantined':
-      return { t: 'suspect', job: r.job, failures: r.failures, until: r.until };
+      return { t: 'suspect', job: record.job, failures: record.failures, until: record.until };
     case 'quarantineLifted':
-      return { t: 'trusted', job: r.job };
+      return { t: 'trusted', job: record.job };
   }
 }
--- a/src/standby/replicationstream.ts
+++ b/src/standby/replicationstream.ts
@@ -1,24 +1,29 @@
 import { MAX_BATCH_RECORDS, type ReplicationBatch } from './messages.js';
 import type { ReplicationRecord } from './replicationrecord.js';
 
-/** The most records that wait to be acknowledged; beyond this the stream begins anew rather than grow. */
+/**
+ * Maximum number of unacknowledged records. Beyond this the stream restarts with a snapshot instead of growing.
+ */
 const MAX_QUEUED_RECORDS = 6000;
-/** Records of a snapshot that are drawn at once, so that it takes its turns beside all else. */
+/** Maximum number of snapshot records read per message, so that a snapshot does not block other work. */
 const SNAPSHOT_CHUNK_RECORDS = 200;
 
-/** Where a standby learns what there is. */
+/** Source of the state that a standby replicates. */
 export interface ReplicationSource {
-  /** All that a standby has to know now; drawn piece by piece, each record as of when it is drawn. */
+  /**
+   * Returns an iterator over the complete state that a standby needs. It is consumed in pieces; each record
+   * reflects the state at the time it is read.
+   */
   snapshot(): Iterator<ReplicationRecord>;
 }
 
-/** A start that is announced before its order is sent. */
+/** A task start that is announced to the standby before the start order is sent. */
 export interface TaskStart {
   readonly job: string;
   readonly machine: string;
 }
 
-/** An announcement that waits for its acknowledgement. */
+/** An announcement that has not been acknowledged yet. */
 interface Announcement {
   /** All records before this sequence number have to be acknowledged. */
   nextSequence: number;
@@ -26,40 +31,50 @@
 }
 
 /**
- * The owner's side of what a standby follows: a stream of records in order, of which one message is under way at a time.
- * It begins with a snapshot in pieces; records of what happens meanwhile come between the pieces, each later than what it
- * changes, so that the last word on anything is the newest.
+ * The owner's side of the replication of one shard: an ordered stream of records, with one message in flight at
+ * a time. The stream begins with a snapshot sent in pieces. Records of concurrent changes are sent between the
+ * pieces, each after the change that it describes, so the last record about an item is always the newest.
  */
 export class ReplicationStream {
   private queue: ReplicationRecord[] = [];
   /** Sequence number of the first record in the queue. */
   private firstSequence = 0;
   private snapshot: Iterator<ReplicationRecord> | null = null;
-  /** The standby may take itself for one in sync: what may be started has to be announced and acknowledged before. */
+  /**
+   * Whether the standby may consider itself in sync. If so, each start has to be announced and acknowledged
+   * before its order is sent.
+   */
   private mayBeInSync = false;
-  /** Where the newest stream begins; a standby in sync before it is so until that has been acknowledged. */
-  private beganAt = 0;
+  /**
+   * Sequence number at which the newest snapshot begins. A standby that was in sync before remains so until
+   * this record is acknowledged.
+   */
+  private snapshotSequence = 0;
   private announcements: Announcement[] = [];
   private closed = false;
-  /** Streams begun since the standby was named. */
+  /** Number of snapshots begun since the standby was named. */
   streams = 0;
 
   constructor(private readonly source: ReplicationSource) {
     this.begin();
   }
 
-  /** Begins anew with a snapshot: whatever is queued is dropped, since the snapshot says it all. */
+  /**
+   * Restarts the stream with a new snapshot. Queued records are dropped because the snapshot contains their
+   * information.
+   */
   begin(): void {
     this.streams++;
     this.firstSequence += this.queue.length;
     this.queue = [{ kind: 'snapshotBegin' }];
-    this.beganAt = this.firstSequence;
+    this.snapshotSequence = this.firstSequence;
     this.snapshot = this.source.snapshot();
-    // What waits to be started is in the new snapshot, or the standby is no longer in sync before it starts.
-    for (const a of this.announcements) a.nextSequence = this.beganAt + 1;
+    // Pending announcements now wait for the start of the new snapshot to be acknowledged: either the snapshot
+    // contains the announced start, or the standby has ceased to be in sync before the task is started.
+    for (const announcement of this.announcements) announcement.nextSequence = this.snapshotSequence + 1;
   }
 
-  /** Adds a record of what has changed just now. */
+  /** Adds a record of a change that has just been made. */
   add(record: ReplicationRecord): void {
     if (this.closed) return;
     this.queue.push(record);
@@ -67,8 +82,9 @@
   }
 
   /**
-   * Says where tasks may be started before their orders are sent. Null when that need not be waited for; else true once no
-   * standby can take over without knowing, false when it is not to be started any more.
+   * Announces where tasks may be started, before their orders are sent. Returns null if the caller need not
+   * wait. Otherwise the promise resolves to true once no standby can take over without knowing of the starts,
+   * and to false if the tasks must no longer be started.
    */
   announce(starts: readonly TaskStart[]): Promise<boolean> | null {
     if (this.closed) return null;
@@ -84,31 +100,31 @@
     });
   }
 
-  /** Whether something waits that should not wait for the next regular message. */
+  /** Whether something is waiting that should not be delayed until the next heartbeat. */
   get urgent(): boolean {
     return this.announcements.length > 0 || this.snapshot !== null;
   }
 
-  /** Whether the standby has all that there is. */
+  /** Whether the standby has acknowledged the complete state. */
   get inSync(): boolean {
     return this.mayBeInSync && this.snapshot === null && this.queue.length === 0;
   }
 
-  /** Records that are not acknowledged yet. */
+  /** Number of records that have not been acknowledged yet. */
   get unacknowledged(): number {
     return this.queue.length;
   }
 
-  /** What the next message holds. */
+  /** Returns the records of the next message. */
   batch(): ReplicationBatch {
     for (
       let i = 0;
       this.snapshot && i < SNAPSHOT_CHUNK_RECORDS && this.queue.length < MAX_BATCH_RECORDS;
       i++
     ) {
-      const drawn = this.snapshot.next();
-      if (!drawn.done) {
-        this.queue.push(drawn.value);
+      const next = this.snapshot.next();
+      if (!next.done) {
+        this.queue.push(next.value);
         continue;
       }
       this.snapshot = null;
@@ -118,24 +134,26 @@
     return { from: this.firstSequence, records: this.queue.slice(0, MAX_BATCH_RECORDS) };
   }
 
-  /** The standby has all records before `nextSequence`. */
+  /** Handles the acknowledgement of all records before `nextSequence`. */
   acknowledge(nextSequence: number): void {
     if (nextSequence > this.firstSequence + this.queue.length) return;
     if (nextSequence < this.firstSequence) {
-      // It lacks what is kept no more; unless that was before a stream that it has not seen yet.
+      // The standby lacks records that are no longer queued, so the stream restarts, unless a new snapshot is
+      // already queued that the standby has not received yet.
       if (this.queue[0]?.kind !== 'snapshotBegin') this.begin();
       return;
     }
     this.queue.splice(0, nextSequence - this.firstSequence);
     this.firstSequence = nextSequence;
-    // It has forgotten what it had, and is in sync again only with the mark of the new stream.
-    if (nextSequence > this.beganAt && this.snapshot !== null) this.mayBeInSync = false;
-    this.settle((a) => a.nextSequence <= nextSequence, true);
+    // The standby has discarded its former state at the start of the new snapshot. It is in sync again only
+    // after the `inSync` record of that snapshot.
+    if (nextSequence > this.snapshotSequence && this.snapshot !== null) this.mayBeInSync = false;
+    this.settle((announcement) => announcement.nextSequence <= nextSequence, true);
   }
 
   /**
-   * Ends the stream. What was announced may start when no standby can take over any more (`mayStart`), and may not when
-   * this owner has ceased to act.
+   * Ends the stream. Pending announcements resolve to `mayStart`: true if no standby can take over any more,
+   * false if this owner has ceased to act.
    */
   close(mayStart: boolean): void {
     this.closed = true;
@@ -144,10 +162,10 @@
     this.settle(() => true, mayStart);
   }
 
-  private settle(isSettled: (a: Announcement) => boolean, mayStart: boolean): void {
+  private settle(isSettled: (announcement: Announcement) => boolean, mayStart: boolean): void {
     const settled = this.announcements.filter(isSettled);
     if (settled.length === 0) return;
-    this.announcements = this.announcements.filter((a) => !isSettled(a));
-    for (const a of settled) a.settle(mayStart);
+    this.announcements = this.announcements.filter((announcement) => !isSettled(announcement));
+    for (const announcement of settled) announcement.settle(mayStart);
   }
 }
--- a/src/standby/shardreplica.ts
+++ b/src/standby/shardreplica.ts
@@ -1,42 +1,54 @@
 import type { ReplicatedImage, ReplicationRecord } from './replicationrecord.js';
 
-/** Bounds of what a standby keeps of one shard; beyond them it knows less, and says so, rather than grow. */
+/**
+ * Limits on the state kept for one shard. Beyond them the replica drops details and reports them as unknown
+ * instead of growing.
+ */
 const MAX_MACHINES_PER_JOB = 64;
 const MAX_PLACEMENTS = 20_000;
 const MAX_RUNNING_ATTEMPTS = 20_000;
 
-/** A machine as the former owner last knew it. */
+/** State of a machine as last known by the former owner. */
 export interface ReplicatedMachine {
   readonly incarnation: number;
   readonly images: readonly ReplicatedImage[];
 }
 
-/** A class's mean logarithm of run time to estimate, over `count` tasks. */
+/** Mean logarithm of the ratio of run time to estimate for a class of jobs, over `count` tasks. */
 export interface ReplicatedEstimate {
   readonly log: number;
   readonly count: number;
 }
 
-/** A quarantined job: how often it failed, and the time of day in milliseconds until which it is held back. */
+/**
+ * Quarantine of a job: the number of its failures, and the wall-clock time in milliseconds until which it is
+ * held back.
+ */
 export interface ReplicatedQuarantine {
   readonly failures: number;
   readonly until: number;
 }
 
-/** What a new owner knows of a shard from the one before it. */
+/** State of a shard that a new owner inherits from its predecessor. */
 export interface ReplicaSnapshot {
   /**
-   * Machines on which tasks of a job may be that the former owner, or one before it, has started; empty: none was started
-   * ever. Null: not known, they may be anywhere.
+   * Returns the machines that may hold tasks of a job started by the former owner or one of its predecessors.
+   * An empty set means that no task was ever started; null means that the machines are unknown, so tasks may be
+   * on any machine.
    */
   machinesOf(job: string): ReadonlySet<string> | null;
-  /** Time of day in milliseconds since which an attempt has run; null when that is not known. */
+  /**
+   * Returns the wall-clock time in milliseconds at which an attempt started to run, or null if it is unknown.
+   */
   runningSince(task: string, attempt: number): number | null;
-  /** The incarnation of a machine and its images, as the former owner last knew them; null when it told none. */
+  /**
+   * Returns the incarnation of a machine and its images as last known by the former owner, or null if the owner
+   * did not report the machine.
+   */
   machine(id: string): ReplicatedMachine | null;
-  /** Run-time ratios of the classes. */
+  /** Returns the run-time ratios of the job classes. */
   classes(): Iterable<[string, ReplicatedEstimate]>;
-  /** The quarantine of a job; null when it is in none. */
+  /** Returns the quarantine of a job, or null if it is not quarantined. */
   quarantine(job: string): ReplicatedQuarantine | null;
 }
 
@@ -44,14 +56,14 @@
 
 /** The standby's side of the replication stream of one shard (`ReplicationStream`). */
 export class ShardReplica implements ReplicaSnapshot {
-  /** Sequence number of the record that comes next. */
+  /** Sequence number of the next expected record. */
   nextSequence = 0;
-  /** The snapshot is complete, and every record since has been applied. */
+  /** Whether the snapshot is complete and every record since has been applied. */
   inSync = false;
   private snapshotBegun = false;
-  /** Machines by job; null where they are too many to keep apart. */
+  /** Machines by job; null for a job whose machines are too many to track. */
   private readonly machinesByJob = new Map<string, Set<string> | null>();
-  /** Machines in all sets of `machinesByJob`. */
+  /** Total number of machines in all sets of `machinesByJob`. */
   private placementCount = 0;
   private readonly runningAttempts = new Map<string, number>();
   private readonly machines = new Map<string, ReplicatedMachine>();
@@ -59,11 +71,11 @@
   private readonly quarantines = new Map<string, ReplicatedQuarantine>();
 
   /**
-   * Applies records of which the first has the sequence number `from`; what it has already is skipped, and after a gap
-   * nothing is applied until the gap is filled.
+   * Applies records, the first of which has the sequence number `from`. Records that were applied before are
+   * skipped. After a gap, nothing is applied until the gap is filled.
    */
   applyBatch(from: number, records: readonly ReplicationRecord[]): void {
-    // A stream that begins anew may leave out what waited before it.
+    // A restarted stream may omit the records that were queued before its snapshot.
     if (from > this.nextSequence && records[0]?.kind === 'snapshotBegin') this.nextSequence = from;
     if (from > this.nextSequence) return;
     for (let i = this.nextSequence - from; i < records.length; i++) {
@@ -72,61 +84,61 @@
     }
   }
 
-  private apply(r: ReplicationRecord): void {
-    if (r.kind === 'snapshotBegin') {
+  private apply(record: ReplicationRecord): void {
+    if (record.kind === 'snapshotBegin') {
       this.clear();
       this.snapshotBegun = true;
       return;
     }
     if (!this.snapshotBegun) return;
-    switch (r.kind) {
+    switch (record.kind) {
       case 'inSync':
         this.inSync = true;
         return;
       case 'mayRunOn':
-        this.addPlacement(r.job, r.machine);
+        this.addPlacement(record.job, record.machine);
         return;
       case 'runsOnlyOn':
-        this.forgetPlacements(r.job);
-        if (r.machines === null) this.machinesByJob.set(r.job, null);
-        else for (const m of r.machines) this.addPlacement(r.job, m);
+        this.forgetPlacements(record.job);
+        if (record.machines === null) this.machinesByJob.set(record.job, null);
+        else for (const m of record.machines) this.addPlacement(record.job, m);
         return;
       case 'leftMachine':
-        if (this.machinesByJob.get(r.job)?.delete(r.machine)) this.placementCount--;
+        if (this.machinesByJob.get(record.job)?.delete(record.machine)) this.placementCount--;
         return;
       case 'jobEnded':
-        this.forgetPlacements(r.job);
-        this.quarantines.delete(r.job);
+        this.forgetPlacements(record.job);
+        this.quarantines.delete(record.job);
         return;
       default:
-        this.applyHint(r);
+        this.applyHint(record);
     }
   }
 
-  /** Applies a record that only guides a new owner. */
+  /** Applies a record that is only a hint for a new owner. */
   private applyHint(
-    r: Extract<
+    record: Extract<
       ReplicationRecord,
       { kind: 'attemptRunning' | 'machine' | 'runtimeEstimate' | 'quarantined' | 'quarantineLifted' }
     >,
   ): void {
-    switch (r.kind) {
+    switch (record.kind) {
       case 'attemptRunning':
-        this.runningAttempts.set(attemptKey(r.task, r.attempt), r.runningSince);
+        this.runningAttempts.set(attemptKey(record.task, record.attempt), record.runningSince);
         if (this.runningAttempts.size > MAX_RUNNING_ATTEMPTS)
           this.runningAttempts.delete(this.runningAttempts.keys().next().value!);
         return;
       case 'machine':
-        this.machines.set(r.id, { incarnation: r.incarnation, images: r.images });
+        this.machines.set(record.id, { incarnation: record.incarnation, images: record.images });
         return;
       case 'runtimeEstimate':
-        this.estimates.set(r.jobClass, { log: r.log, count: r.count });
+        this.estimates.set(record.jobClass, { log: record.log, count: record.count });
         return;
       case 'quarantined':
-        this.quarantines.set(r.job, { failures: r.failures, until: r.until });
+        this.quarantines.set(record.job, { failures: record.failures, until: record.until });
         return;
       case 'quarantineLifted':
-        this.quarantines.delete(r.job);
+        this.quarantines.delete(record.job);
         return;
     }
   }
@@ -152,7 +164,7 @@
     const machines = known ?? new Set<string>();
     if (machines.has(machine)) return;
     if (machines.size >= MAX_MACHINES_PER_JOB || this.placementCount >= MAX_PLACEMENTS) {
-      // Too many to keep apart: from now on it may be anywhere.
+      // Too many machines to track: from now on the job's tasks may be on any machine.
       this.forgetPlacements(job);
       this.machinesByJob.set(job, null);
       return;
@@ -162,7 +174,7 @@
     this.machinesByJob.set(job, machines);
   }
 
-  /** Entries kept, for those who watch its size. */
+  /** Number of entries kept, reported for monitoring. */
   get size(): number {
     return (
       this.placementCount +
@@ -174,7 +186,7 @@
   }
 
   machinesOf(job: string): ReadonlySet<string> | null {
-    // Of what was never in sync nothing is sure.
+    // A replica that was never in sync proves nothing about any job.
     if (!this.inSync) return null;
     const known = this.machinesByJob.get(job);
     return known === undefined ? NO_MACHINES : known;
--- a/src/standby/standbylease.ts
+++ b/src/standby/standbylease.ts
@@ -1,31 +1,36 @@
-// This package: who stands by for a shard, what is replicated to it, and when it may take over; nothing of how a shard is run.
+// This package selects the standby of a shard, replicates the shard's state to it, and decides when it may take
+// over. Running a shard is not part of this package.
 
 import { MAX_CLOCK_DRIFT } from '../clock/clock.js';
 
 /**
- * The lease between the owner of a shard and its standby (docs/standby.md calls it the promise): pure steps, taken alike by
- * the nodes and by the model check. All times are steady milliseconds of the node that takes the step.
+ * The lease between the owner of a shard and its standby (docs/standby.md calls it the promise), as pure
+ * transitions that the nodes and the model check share. All times are milliseconds of the monotonic clock of
+ * the node that makes the transition.
  */
 
-/** How long an owner may act after it sent a message that its standby acknowledged. */
+/**
+ * Nominal duration of the lease: the time for which an owner may act after sending a message that its standby
+ * acknowledged. Both sides correct it for clock drift and a margin.
+ */
 export const STANDBY_LEASE_MS = 2000;
-/** Beside drift, for clocks that are read in steps. */
+/** Allowance in addition to clock drift, for clocks that are read in discrete steps. */
 const MARGIN_MS = 50;
 
-/** The owner's side, for one term. */
+/** The owner's side of the lease, for one term. */
 export interface OwnerLease {
-  /** Revision of the key that names the standby whose lease binds; null when none does. */
+  /** Revision of the key that names the standby bound by the lease; null if no standby is bound. */
   readonly boundRevision: number | null;
-  /** While it is bound, it acts until then. */
+  /** Time until which the owner may act while a standby is bound. */
   readonly until: number;
 }
 
-/** The owner is bound by no standby. */
+/** State of an owner without a bound standby. */
 export const NO_STANDBY: OwnerLease = { boundRevision: null, until: Number.POSITIVE_INFINITY };
 
 /**
- * A message under this revision is sent now. The first one binds: the standby may claim from `STANDBY_LEASE_MS` after it has
- * answered, and it answers no sooner than this.
+ * Handles the sending of a message under this revision. The first message binds the lease: the standby may
+ * claim from `STANDBY_LEASE_MS` after its response, and it responds no earlier than this message is sent.
  */
 export function onSend(lease: OwnerLease, revision: number, now: number): OwnerLease {
   return lease.boundRevision === revision
@@ -33,40 +38,52 @@
     : { boundRevision: revision, until: now + leaseDurationMs() };
 }
 
-/** The standby has answered a message that was sent at `sentAt`. */
+/** Handles the standby's response to a message that was sent at `sentAt`. */
 export function onAcknowledged(lease: OwnerLease, revision: number, sentAt: number): OwnerLease {
   if (lease.boundRevision !== revision) return lease;
   return { boundRevision: revision, until: Math.max(lease.until, sentAt + leaseDurationMs()) };
 }
 
-/** The standby is known to be evicted, or never to have been named: no claim of it can be applied any more. */
+/**
+ * Releases the owner once the standby is known to be evicted, or never to have been named: no claim of this
+ * standby can be applied any more.
+ */
 export function onEvicted(lease: OwnerLease, revision: number): OwnerLease {
   return lease.boundRevision === revision ? NO_STANDBY : lease;
 }
 
-/** Whether the owner may act, as far as its standby goes; its state lease has to last as well. */
+/**
+ * Whether the lease with the standby allows the owner to act. The owner's lease with the key-value store has to
+ * be valid as well.
+ */
 export function leaseCovers(lease: OwnerLease, now: number): boolean {
   return now < lease.until;
 }
 
-/** How long the owner may act after it sent a message: less than the standby waits, by drift and a margin on both sides. */
+/**
+ * Returns for how long the owner may act after it has sent a message. This is shorter than the time for which
+ * the standby waits, by the clock drift and a margin on both sides.
+ */
 function leaseDurationMs(): number {
   return STANDBY_LEASE_MS * (1 - 2 * MAX_CLOCK_DRIFT) - MARGIN_MS;
 }
 
-/** The standby's side, for one term and one revision of the key that names it. */
+/** The standby's side of the lease, for one term and one revision of the key that names the standby. */
 export interface ReplicaState {
   readonly term: number;
   readonly revision: number;
-  /** When it last answered the owner. */
+  /** Time of the standby's last response to the owner. */
   readonly answeredAt: number;
-  /** The owner has said that it acts no more. */
+  /** Whether the owner has stated that it has ceased to act. */
   readonly released: boolean;
-  /** A claim has been sent: nothing is answered any more, since an answer that crosses it would let both act. */
+  /**
+   * Whether a claim has been sent. The standby then responds to no further message, since a response that
+   * crosses the claim would allow both nodes to act.
+   */
   readonly claimed: boolean;
 }
 
-/** A message of the owner has come; null when it must not be answered. */
+/** Handles a message of the owner. Returns null if the message must not be answered. */
 export function onMessage(
   state: ReplicaState | null,
   term: number,
@@ -75,23 +92,23 @@
 ): ReplicaState | null {
   if (!state || state.term < term || (state.term === term && state.revision < revision))
     return { term, revision, answeredAt: now, released: false, claimed: false };
-  // From before: delivered late, by a connection that has broken since.
+  // A message of an earlier term or revision, delivered late over a connection that has since been closed.
   if (state.term !== term || state.revision !== revision) return null;
   return state.claimed ? null : { ...state, answeredAt: now };
 }
 
-/** The owner says that it acts no more under this term. */
+/** Handles the owner's statement that it has ceased to act under this term. */
 export function onRelease(state: ReplicaState | null, term: number, revision: number): ReplicaState | null {
   return state && state.term === term && state.revision === revision ? { ...state, released: true } : null;
 }
 
-/** Whether the owner's lease with the standby is surely over. */
+/** Whether the owner's lease with the standby has certainly expired. */
 export function mayClaim(state: ReplicaState, now: number): boolean {
   if (state.claimed) return false;
   return state.released || now > state.answeredAt + STANDBY_LEASE_MS * (1 + 2 * MAX_CLOCK_DRIFT) + MARGIN_MS;
 }
 
-/** A claim is sent now. */
+/** Handles the sending of a claim. */
 export function onClaim(state: ReplicaState): ReplicaState {
   return { ...state, claimed: true };
 }
--- a/src/standby/standbynaming.ts
+++ b/src/standby/standbynaming.ts
@@ -3,19 +3,19 @@
 import { StateStoreError } from '../state/statestore.js';
 import type { Condition } from '../wire/state.js';
 
-/** What `StandbyNaming` works with. */
+/** Dependencies of `StandbyNaming`. */
 export interface StandbyNamingOptions {
   readonly context: ControllerContext;
   readonly shard: number;
-  /** The owner's term: the revision of its key. */
+  /** Term of the owner: the revision of its key. */
   readonly term: number;
-  /** The owner's key is not at its term any more: somebody else has the shard. */
+  /** Called when the owner's key no longer has this term, so another node owns the shard. */
   onShardLost(): void;
 }
 
 /**
- * The owner's writes to the key that names its standby (`c/stand/K`). Each goes under the condition that the owner's key is
- * still at its term.
+ * Writes the key that names the standby of a shard (`c/stand/K`) on behalf of the owner. Each write is
+ * conditional on the owner's key still having the owner's term.
  */
 export class StandbyNaming {
   private namedCount = 0;
@@ -28,8 +28,9 @@
   }
 
   /**
-   * Names a node, by the run of it that `presence` shows, on the owner's lease. Returns the revision of the key that names
-   * it; null when it was not named. Throws `StateStoreError` when the key-value store does not answer.
+   * Names a node as standby, with the incarnation given by `presence`, under the owner's lease. Returns the
+   * revision of the key that names it, or null if the node was not named. Throws `StateStoreError` if the
+   * key-value store does not answer.
    */
   async name(node: string, presence: LeaseHolder, leaseId: number): Promise<number | null> {
     const { context, term } = this.options;
@@ -43,48 +44,50 @@
     const before = (await store.get(this.key))?.version ?? 0;
     const write = { put: this.key, value, lease: leaseId };
     try {
-      const r = await store.compareAndSwap(
+      const result = await store.compareAndSwap(
         [this.ownerCondition, { key: this.key, version: before }],
         [write],
         { urgent: true },
       );
-      if (r.ok) return r.revision;
-      this.reportIfLost(r.failed);
+      if (result.ok) return result.revision;
+      this.reportIfLost(result.failed);
       return null;
     } catch (error) {
       if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
-      // Nothing has been sent under it yet, so that nobody can claim by it: what is there now is taken as it is.
+      // No message has been sent under this revision yet, so no node can claim by it, and the stored value can
+      // be used as it is.
       const stored = await store.get(this.key);
       return stored && readStandbyRecord(stored.value)?.writeId === value.tag ? stored.version : null;
     }
   }
 
   /**
-   * Deletes the name that was written at a revision. True once it is known to be gone while the owner's term stands: from
-   * then on no claim by it can be applied. False when that is not known. Throws `StateStoreError` when the key-value store
-   * does not answer.
+   * Deletes the standby key written at a revision. Returns true once the key is known to be deleted while the
+   * owner still has its term: from then on no claim under this revision can be applied. Returns false if that
+   * is not known. Throws `StateStoreError` if the key-value store does not answer.
    */
   async remove(revision: number): Promise<boolean> {
     const { store } = this.options.context;
     const named = { key: this.key, version: revision };
     try {
-      const r = await store.compareAndSwap([this.ownerCondition, named], [{ delete: this.key }], {
+      const result = await store.compareAndSwap([this.ownerCondition, named], [{ delete: this.key }], {
         urgent: true,
       });
-      if (r.ok) return true;
-      if (this.reportIfLost(r.failed)) return false;
+      if (result.ok) return true;
+      if (this.reportIfLost(result.failed)) return false;
     } catch (error) {
       if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
     }
-    // An earlier try may have been applied late: what counts is that the key is gone while the term still stands.
-    const r = await store.compareAndSwap([this.ownerCondition, { key: this.key, version: 0 }], [], {
+    // An earlier attempt may have been applied late. The check is therefore that the key is deleted while the
+    // owner still has its term.
+    const result = await store.compareAndSwap([this.ownerCondition, { key: this.key, version: 0 }], [], {
       urgent: true,
     });
-    if (!r.ok) this.reportIfLost(r.failed);
-    return r.ok;
+    if (!result.ok) this.reportIfLost(result.failed);
+    return result.ok;
   }
 
-  /** Whether the owner's key was among the conditions that failed; if so, the shard is somebody else's. */
+  /** Returns whether the owner's key is among the failed conditions, and reports the shard as lost if so. */
   private reportIfLost(failedKeys: readonly string[]): boolean {
     const lost = failedKeys.includes(this.ownerCondition.key);
     if (lost) this.options.onShardLost();
--- a/src/standby/standbyreplicas.ts
+++ b/src/standby/standbyreplicas.ts
@@ -21,39 +21,49 @@
 
 const MIN_CHECK_INTERVAL_MS = 125;
 /**
- * An owner that answers nothing may only be slow, or stand still for a moment, and to take its shard over costs more than to
- * wait a little longer; one whose connections are refused is over as soon as its lease with the standby is.
+ * An owner that does not answer may only be slow or briefly paused, and a takeover costs more than a slightly
+ * longer wait. An owner whose connections are refused is replaced as soon as its lease with the standby
+ * expires.
  */
 const OWNER_SILENT_MS = 3500;
 const CLAIM_RETRY_MS = 200;
 
-/** What the node knows and does for the replicas that it keeps. */
+/** Functions of the node that the replicas depend on. */
 export interface StandbyReplicasHooks {
   readonly clock: Clock;
-  /** This run of this node's process. */
+  /** Incarnation of this node's process. */
   readonly incarnation: string;
-  /** Whether this node may take shards: its lease lasts, it knows the keys, the workers reach it. */
+  /**
+   * Whether this node may take over shards: its lease is valid, it has read the keys, and the workers can reach
+   * it.
+   */
   mayTakeOver(): boolean;
   /** Whether connections to a node are refused. */
   refused(node: string): boolean;
-  /** Versions of a shard's owner key and standby key as this node's copy shows them, and how new that copy is. */
+  /**
+   * Returns the versions of a shard's owner key and standby key in this node's cache, and the revision of the
+   * cache.
+   */
   cachedVersions(shard: number): { owner: number; standby: number; revision: number };
-  /** How long ago the key-value store last renewed this node's lease, in milliseconds. */
+  /** Returns the time since the key-value store last renewed this node's lease, in milliseconds. */
   leaseRenewedAgoMs(): number;
-  /** Replaces the owner's key: the new term; null when that surely failed for good; throws when it may be tried again. */
+  /**
+   * Replaces the owner's key and returns the new term, or null if the claim has certainly and permanently
+   * failed. Throws if the claim may be retried.
+   */
   claim(shard: number, term: number, revision: number): Promise<number | null>;
-  /** The shard is this node's. */
+  /** Called when this node has become the owner of the shard. */
   onTakeover(shard: number, term: number, from: TakeoverState): void;
 }
 
-/** What comes with a shard that was taken over. */
+/** State that a node receives with a shard it has taken over. */
 export interface TakeoverState {
   readonly snapshot: ReplicaSnapshot;
-  /** Its unfinished jobs with all changes up to a revision; null when they are to be read anew. */
+  /** Returns the unfinished jobs with all changes up to a revision, or null if they have to be listed. */
   jobs(revision: number): Promise<ReplicatedJobs | null>;
-  /** The former owner has said that it acts no more. */
+  /** Whether the former owner has stated that it has ceased to act. */
   readonly released: boolean;
-  /** The former owner's node. */
+  /** Node of the former owner. */
   readonly owner: string;
 }
 
@@ -62,26 +72,26 @@
   state: ReplicaState;
   readonly owner: string;
   readonly replica: ShardReplica;
-  /** The owner's count of changes of job records, as it was last said. */
+  /** The owner's last reported count of job record changes. */
   recordChanges: number;
-  /** A claim has been sent and not been answered yet. */
+  /** Whether a claim is in flight. */
   claiming: boolean;
-  /** When the last claim was sent. */
+  /** Time at which the last claim was sent. */
   claimSentAt: number;
 }
 
-/** One shard that this node stands by for, as it is logged. */
+/** Status of one shard that this node stands by for, as logged. */
 export interface StandbyReplicaStatus {
   readonly shard: number;
   readonly owner: string;
   readonly inSync: boolean;
-  /** Entries kept. */
+  /** Number of entries in the replica. */
   readonly entries: number;
 }
 
 /**
- * The standby's side, for all shards that this node stands by for: follows them, and claims when an owner's lease with it is
- * over.
+ * The standby's side of all shards that this node stands by for. Applies the replication messages of their
+ * owners, and claims a shard when its owner's lease with this node has expired.
  */
 export class StandbyReplicas {
   private readonly shards = new Map<number, ReplicatedShard>();
@@ -93,57 +103,66 @@
     private readonly hooks: StandbyReplicasHooks,
   ) {}
 
-  /** Begins to watch the owners. */
+  /** Starts to monitor the owners. */
   start(): void {
     this.checks ??= startPacedTask(this.hooks.clock, () => this.checkOwners());
   }
 
-  /** Claims no shard any more by itself. */
+  /** Stops monitoring the owners, so that this node claims no more shards on its own initiative. */
   stop(): void {
     this.checks?.stop();
   }
 
-  /** How many shards this node stands by for. */
+  /** Number of shards that this node stands by for. */
   get count(): number {
     return this.shards.size;
   }
 
-  /** The answer to a replication message of the owner `from`; null when it must not be answered. */
+  /**
+   * Returns the response to a replication message of the owner `from`, or null if the message must not be
+   * answered.
+   */
   onReplicationMessage(args: unknown, from: string): WireReplicationResponse | null {
-    const m = readReplicationMessage(args);
-    // A run of this node before this one may have sent a claim that is still under way: it is not this one's to answer for.
-    if (!m || m.incarnation !== this.hooks.incarnation) return null;
-    const known = this.shards.get(m.shard);
-    // A former owner that does not know yet that it is none.
-    if (!known && this.isOver(m.shard, m.term, m.revision)) return null;
-    const state = onMessage(known?.state ?? null, m.term, m.revision, this.hooks.clock.now());
+    const message = readReplicationMessage(args);
+    // An earlier incarnation of this node may have sent a claim that is still in flight, so this incarnation
+    // must not respond in its place.
+    if (!message || message.incarnation !== this.hooks.incarnation) return null;
+    const known = this.shards.get(message.shard);
+    // The sender is a former owner that has not learned yet that it lost the shard.
+    if (!known && this.isSuperseded(message.shard, message.term, message.revision)) return null;
+    const state = onMessage(known?.state ?? null, message.term, message.revision, this.hooks.clock.now());
     if (!state) return null;
-    const isKnown = known?.state.term === m.term && known.state.revision === m.revision;
-    const s = isKnown ? known : this.follow(m, from, state);
-    s.state = state;
-    s.replica.applyBatch(m.from, m.records);
-    if (m.recordChanges !== s.recordChanges) {
-      s.recordChanges = m.recordChanges;
+    const isKnown = known?.state.term === message.term && known.state.revision === message.revision;
+    const replicated = isKnown ? known : this.follow(message, from, state);
+    replicated.state = state;
+    replicated.replica.applyBatch(message.from, message.records);
+    if (message.recordChanges !== replicated.recordChanges) {
+      replicated.recordChanges = message.recordChanges;
       this.records.onRecordsChanged();
     }
     return writeReplicationResponse({
-      nextSequence: s.replica.nextSequence,
+      nextSequence: replicated.replica.nextSequence,
       leaseRenewedAgoMs: this.hooks.leaseRenewedAgoMs(),
     });
   }
 
-  /** The owner hands a shard over: true once it is this node's. */
+  /** Handles a handover by the owner. Returns true once this node owns the shard. */
   async onHandover(args: unknown): Promise<boolean> {
-    const m = readHandoverMessage(args);
-    const s = m && this.shards.get(m.shard);
-    const released = s ? onRelease(s.state, m.term, m.revision) : null;
-    if (!s || !released || m.incarnation !== this.hooks.incarnation || !this.hooks.mayTakeOver())
+    const message = readHandoverMessage(args);
+    const replicated = message && this.shards.get(message.shard);
+    const released = replicated ? onRelease(replicated.state, message.term, message.revision) : null;
+    if (
+      !replicated ||
+      !released ||
+      message.incarnation !== this.hooks.incarnation ||
+      !this.hooks.mayTakeOver()
+    )
       return false;
-    s.state = released;
-    return this.claim(m.shard, s);
+    replicated.state = released;
+    return this.claim(message.shard, replicated);
   }
 
-  /** For those on call: what this node stands by for, and how much it keeps. */
+  /** Returns the shards that this node stands by for and the size of each replica, for the status log. */
   status(): StandbyReplicaStatus[] {
     return [...this.shards].map(([shard, { owner, replica }]) => ({
       shard,
@@ -153,98 +172,104 @@
     }));
   }
 
-  /** Begins with an empty replica, for an owner or a naming that is new here. */
-  private follow(m: ReplicationMessage, owner: string, state: ReplicaState): ReplicatedShard {
-    const s = {
+  /** Starts an empty replica for a new owner or a new revision of the standby key. */
+  private follow(message: ReplicationMessage, owner: string, state: ReplicaState): ReplicatedShard {
+    const replicated = {
       state,
       owner,
       replica: new ShardReplica(),
-      recordChanges: m.recordChanges,
+      recordChanges: message.recordChanges,
       claiming: false,
       claimSentAt: Number.NEGATIVE_INFINITY,
     };
-    this.shards.set(m.shard, s);
-    this.records.follow(m.shard);
-    this.log.info({ shard: m.shard, term: m.term, owner }, 'standby replication started');
-    return s;
+    this.shards.set(message.shard, replicated);
+    this.records.follow(message.shard);
+    this.log.info({ shard: message.shard, term: message.term, owner }, 'standby replication started');
+    return replicated;
   }
 
   /**
-   * Checks all owners; returns after how many milliseconds to check again: when the first lease may be over, and more often
-   * once one is. Mostly the next message comes before.
+   * Checks all owners. Returns the delay in milliseconds until the next check: until the first lease may
+   * expire, or a shorter interval once one has expired. Usually a further message arrives before that.
    */
   private checkOwners(): number {
-    for (const [shard, s] of this.shards) this.checkOwner(shard, s);
+    for (const [shard, replicated] of this.shards) this.checkOwner(shard, replicated);
     let next = STANDBY_LEASE_MS;
     for (const { state } of this.shards.values())
       next = Math.min(next, state.answeredAt + STANDBY_LEASE_MS * 1.05 - this.hooks.clock.now());
     return Math.max(MIN_CHECK_INTERVAL_MS, next);
   }
 
-  private checkOwner(shard: number, s: ReplicatedShard): void {
+  private checkOwner(shard: number, replicated: ReplicatedShard): void {
     const now = this.hooks.clock.now();
-    if (!s.claiming && this.isOver(shard, s.state.term, s.state.revision)) {
-      this.stopFollowing(shard, s);
+    if (!replicated.claiming && this.isSuperseded(shard, replicated.state.term, replicated.state.revision)) {
+      this.stopFollowing(shard, replicated);
       return;
     }
-    if (s.claiming || !this.hooks.mayTakeOver()) return;
-    if (s.state.claimed) {
-      // Not executed the first time: nothing has been answered since, so that it stands as it did.
-      if (now - s.claimSentAt > CLAIM_RETRY_MS) void this.claim(shard, s);
+    if (replicated.claiming || !this.hooks.mayTakeOver()) return;
+    if (replicated.state.claimed) {
+      // The first claim was not executed. This node has answered no message since, so the conditions for the
+      // claim still hold.
+      if (now - replicated.claimSentAt > CLAIM_RETRY_MS) void this.claim(shard, replicated);
       return;
     }
-    if (!mayClaim(s.state, now)) return;
-    const silentMs = now - s.state.answeredAt;
-    const refused = this.hooks.refused(s.owner);
-    if (!s.state.released && !refused && silentMs < OWNER_SILENT_MS) return;
+    if (!mayClaim(replicated.state, now)) return;
+    const silentMs = now - replicated.state.answeredAt;
+    const refused = this.hooks.refused(replicated.owner);
+    if (!replicated.state.released && !refused && silentMs < OWNER_SILENT_MS) return;
     this.log.info(
-      { shard, owner: s.owner, silentMs: Math.round(silentMs), refused },
+      { shard, owner: replicated.owner, silentMs: Math.round(silentMs), refused },
       'owner is silent: taking over',
     );
-    void this.claim(shard, s);
+    void this.claim(shard, replicated);
   }
 
-  /** Evicted, or a later owner's: what this node's copy of the keys shows is newer than the replica. */
-  private isOver(shard: number, term: number, revision: number): boolean {
+  /**
+   * Whether this node's cache of the keys is newer than the replica and shows that the standby was evicted or
+   * that the shard has a later owner.
+   */
+  private isSuperseded(shard: number, term: number, revision: number): boolean {
     const cached = this.hooks.cachedVersions(shard);
     const superseded = (version: number, mine: number) =>
       version > mine || (version === 0 && cached.revision >= revision);
     return superseded(cached.owner, term) || superseded(cached.standby, revision);
   }
 
-  private stopFollowing(shard: number, s: ReplicatedShard): void {
-    if (this.shards.get(shard) !== s) return;
+  private stopFollowing(shard: number, replicated: ReplicatedShard): void {
+    if (this.shards.get(shard) !== replicated) return;
     this.shards.delete(shard);
     this.records.unfollow(shard);
   }
 
-  /** Claims the shard: true once it is this node's, false when it is not or that is not known. */
-  private async claim(shard: number, s: ReplicatedShard): Promise<boolean> {
-    if (s.claiming) return false;
-    s.state = onClaim(s.state);
-    s.claiming = true;
-    s.claimSentAt = this.hooks.clock.now();
-    const { term, revision, released } = s.state;
+  /**
+   * Claims the shard. Returns true once this node owns it, and false if it does not or the result is unknown.
+   */
+  private async claim(shard: number, replicated: ReplicatedShard): Promise<boolean> {
+    if (replicated.claiming) return false;
+    replicated.state = onClaim(replicated.state);
+    replicated.claiming = true;
+    replicated.claimSentAt = this.hooks.clock.now();
+    const { term, revision, released } = replicated.state;
     try {
       const newTerm = await this.hooks.claim(shard, term, revision);
-      if (this.shards.get(shard) === s) this.shards.delete(shard);
+      if (this.shards.get(shard) === replicated) this.shards.delete(shard);
       if (newTerm === null) {
         this.records.unfollow(shard);
         return false;
       }
-      this.hooks.onTakeover(shard, newTerm, this.takeoverState(shard, s, released));
+      this.hooks.onTakeover(shard, newTerm, this.takeoverState(shard, replicated, released));
       return true;
     } catch (error) {
       this.log.info({ shard, err: error }, 'takeover claim failed, to be retried');
       return false;
     } finally {
-      s.claiming = false;
+      replicated.claiming = false;
     }
   }
 
-  private takeoverState(shard: number, s: ReplicatedShard, released: boolean): TakeoverState {
+  private takeoverState(shard: number, replicated: ReplicatedShard, released: boolean): TakeoverState {
     return {
-      snapshot: s.replica,
+      snapshot: replicated.replica,
       jobs: async (revision) => {
         try {
           return await this.records.upTo(revision, shard);
@@ -253,7 +278,7 @@
         }
       },
       released,
-      owner: s.owner,
+      owner: replicated.owner,
     };
   }
 }
