--- a/src/standby/standbyreplicator.ts
+++ b/src/standby/standbyreplicator.ts
@@ -26,73 +26,88 @@
 import { StandbyNaming } from './standbynaming.js';
 import type { EvictionBackoff } from './standbyselection.js';
 
-/** The owner's regular messages to its standby. */
+/** Interval of the owner's regular messages to its standby. */
 const HEARTBEAT_INTERVAL_MS = 800;
 const CHECK_INTERVAL_MS = 250;
-/** A standby that has acknowledged nothing sent since this long ago is evicted, well before the owner's lease with it ends. */
+/**
+ * A standby that has not acknowledged any message for this long is evicted, well before the owner's lease with
+ * it expires.
+ */
 const ACKNOWLEDGE_TIMEOUT_MS = 700;
-/** A standby that is not in sync after so long is too slow to be of use. */
+/** A standby that is not in sync after this time is too slow to be useful and is evicted. */
 const SYNC_TIMEOUT_MS = 20_000;
 const HANDOVER_TIMEOUT_MS = 2500;
-/** When all nodes come up together, the first to be seen is not always the best. */
+/**
+ * Delay before the first standby is named: when all nodes start together, the first one visible is not always
+ * the best choice.
+ */
 const INITIAL_DELAY_MS = 1500;
 const STATUS_LOG_INTERVAL_MS = 15_000;
 
-/** What the owner of a shard knows and does for its replicator. */
+/** Functions of the shard's owner that the replicator depends on. */
 export interface StandbyReplicatorHooks {
-  /** Whether the state lease lasts that the shard hangs on; the lease with the standby is the replicator's own. */
+  /**
+   * Whether the lease with the key-value store that the shard depends on is valid. The replicator checks the
+   * lease with the standby itself.
+   */
   holdsLease(): boolean;
-  /** The id of that lease; null once it is no longer held. */
+  /** Returns the id of that lease, or null once it is no longer held. */
   lease(): number | null;
-  /** Who should stand by; null when nobody can. */
+  /** Selects the standby node; returns null if no node is eligible. */
   chooseStandby(): string | null;
-  /** The home node of a shard that is away from home, when it can stand by. */
+  /** Returns the home node of a shard that is not at home, if that node can stand by. */
   eligibleHomeNode(): string | null;
-  /** How a node that is present has shown itself. */
+  /** Returns the presence record of a node, or null if the node is absent. */
   presenceOf(node: string): LeaseHolder | null;
-  /** Somebody else has the shard. */
+  /** Called when another node owns the shard. */
   onShardLost(): void;
-  /** Starts announced before this, or others, may go on. */
+  /** Called when announced starts, or other ones, may proceed. */
   requestPlan(): void;
 }
 
-/** What a `StandbyReplicator` is made of. */
+/** Dependencies of a `StandbyReplicator`. */
 export interface StandbyReplicatorOptions {
   readonly context: ControllerContext;
   readonly mesh: Mesh;
   readonly shard: number;
-  /** The owner's term: the revision of its key. */
+  /** Term of the owner: the revision of its key. */
   readonly term: number;
   readonly evictionBackoff: EvictionBackoff;
   readonly log: Log;
   readonly hooks: StandbyReplicatorHooks;
 }
 
-/** Why a standby is evicted; logged as `why`. */
+/** Reason for evicting a standby; logged as `why`. */
 type EvictionReason = 'silent' | 'slow' | 'restarted' | 'home is back';
 
-/** The standby that is named now, and how far it has followed. */
+/** The currently named standby and its replication progress. */
 interface StandbySlot {
   readonly node: string;
-  /** Which run of the node's process is named. */
+  /** Incarnation of the node's process that is named. */
   readonly incarnation: string;
-  /** Revision of the key that names it. */
+  /** Revision of the key that names the standby. */
   readonly revision: number;
   readonly stream: ReplicationStream;
   readonly namedAt: number;
-  /** Nothing of what was sent since then is acknowledged; null when all is. */
+  /**
+   * Time at which the first message since the last acknowledgement was sent; null if none is unacknowledged.
+   */
   unacknowledgedSince: number | null;
   lastSentAt: number;
-  /** A message is under way; there is never more than one. */
+  /** Whether a message is in flight; there is never more than one. */
   sending: boolean;
   inSync: boolean;
-  /** How long ago the key-value store had last renewed its lease when it last answered, in milliseconds. */
+  /**
+   * Time between the last renewal of the standby's lease by the key-value store and the standby's last
+   * response, in milliseconds.
+   */
   leaseRenewedAgoMs: number;
 }
 
 /**
- * The owner's side of one shard's standby: names it, keeps the lease with it and its replica alive, evicts it when it does
- * not answer, and hands over to it. Requests to the key-value store are made only when the standby changes.
+ * The owner's side of one shard's standby. Names the standby, maintains the lease with it and its replica,
+ * evicts it when it does not answer, and hands the shard over to it. The key-value store is accessed only when
+ * the standby changes.
  */
 export class StandbyReplicator {
   private ownerLease: OwnerLease = NO_STANDBY;
@@ -100,13 +115,13 @@
   private source: ReplicationSource | null = null;
   private checks: PeriodicTask | null = null;
   private stopped = false;
-  /** A standby is being named or evicted; there is never more than one such change under way. */
-  private changing = false;
+  /** Whether a standby is being named or evicted. At most one such change is in progress. */
+  private changeInProgress = false;
   private nameNotBefore = 0;
   private statusLoggedAt = 0;
-  /** Changes of job records, counted: the standby reads them when there were some. */
+  /** Number of changes to job records. The standby reads the records again when it increases. */
   private recordChanges = 0;
-  /** The longest that an acknowledgement took since that was last logged, in milliseconds. */
+  /** Longest acknowledgement latency since the last status log line, in milliseconds. */
   private slowestAcknowledgementMs = 0;
   private readonly naming: StandbyNaming;
 
@@ -115,40 +130,41 @@
     this.naming = new StandbyNaming({ context, shard, term, onShardLost: () => hooks.onShardLost() });
   }
 
-  /** Begins to name standbys and to replicate to them what `source` knows, until `stop`. */
+  /** Starts to name standbys and to replicate the state of `source` to them, until `stop` is called. */
   start(source: ReplicationSource): void {
     if (this.stopped) return;
     const { clock } = this.options.context;
     this.source = source;
     this.nameNotBefore = clock.now() + INITIAL_DELAY_MS;
-    // Also while the key-value store is out: a standby that heard nothing would take the shard when it is back.
+    // Also runs during an outage of the key-value store: a standby that received no messages would take over
+    // the shard when the store is available again.
     this.checks = startPeriodicTask(clock, CHECK_INTERVAL_MS, () => this.checkStandby(clock.now()));
   }
 
-  /** This owner acts no more. */
+  /** Stops the replicator when this owner has ceased to act. */
   stop(): void {
     this.stopped = true;
     this.checks?.stop();
     this.standby?.stream.close(false);
   }
 
-  /** Whether the lease with the standby, if one is bound, lets this owner act now. */
+  /** Whether the lease with the standby, if one is bound, allows this owner to act now. */
   get leaseCovers(): boolean {
     return leaseCovers(this.ownerLease, this.options.context.clock.now());
   }
 
-  /** The node that could take over at once, with all that is known here. */
+  /** Node that could take over at once with the complete replicated state; null if there is none. */
   get inSyncStandby(): string | null {
-    const s = this.standby;
-    return s?.inSync && s.unacknowledgedSince === null ? s.node : null;
+    const slot = this.standby;
+    return slot?.inSync && slot.unacknowledgedSince === null ? slot.node : null;
   }
 
-  /** How long ago the key-value store last served the standby, in milliseconds; null without one that is in sync. */
+  /** Time since the key-value store last served the standby, in milliseconds; null if no standby is in sync. */
   get standbyLeaseRenewedAgoMs(): number | null {
     return this.inSyncStandby === null ? null : this.standby!.leaseRenewedAgoMs;
   }
 
-  /** Records of jobs have changed in the key-value store. */
+  /** Notes that job records have changed in the key-value store. */
   recordsChanged(): void {
     this.recordChanges++;
   }
@@ -159,81 +175,92 @@
   }
 
   /**
-   * Says where tasks may be started before their orders are sent. Null when nothing has to be waited for; else true once they
-   * may be sent, false when they must not be any more. The standby hears of it now and not with the next regular message.
+   * Announces where tasks may be started, before their orders are sent. Returns null if the caller need not
+   * wait. Otherwise the promise resolves to true once the orders may be sent, and to false if they must no
+   * longer be sent. The announcement is sent at once and not with the next heartbeat.
    */
   announce(starts: readonly TaskStart[]): Promise<boolean> | null {
-    const s = this.standby;
-    const cleared = s?.stream.announce(starts) ?? null;
-    if (s && cleared && !s.sending && !this.stopped) void this.send(s);
+    const slot = this.standby;
+    const cleared = slot?.stream.announce(starts) ?? null;
+    if (slot && cleared && !slot.sending && !this.stopped) void this.send(slot);
     return cleared;
   }
 
-  /** The stream begins anew: what is sure has become much more. */
+  /**
+   * Restarts the stream with a new snapshot, for use after the owner's certain knowledge has grown
+   * considerably.
+   */
   restartStream(): void {
     this.standby?.stream.begin();
   }
 
   /**
-   * Hands the shard to the standby in sync; the caller has ceased to act for good. True when the standby has taken it, false
-   * when it has not or that is not known.
+   * Hands the shard over to the standby in sync; the caller has permanently ceased to act. Returns true if the
+   * standby has taken the shard, and false if it has not or the result is unknown.
    */
   async handOver(): Promise<boolean> {
-    const s = this.standby;
-    if (!s) return false;
-    const message = writeHandoverMessage(this.addressOf(s));
+    const slot = this.standby;
+    if (!slot) return false;
+    const message = writeHandoverMessage(this.addressOf(slot));
     try {
       const { mesh } = this.options;
-      return (await mesh.request(s.node, STANDBY_OPS.handOver, message, HANDOVER_TIMEOUT_MS)) === true;
+      return (await mesh.request(slot.node, STANDBY_OPS.handOver, message, HANDOVER_TIMEOUT_MS)) === true;
     } catch (error) {
-      this.options.log.info({ standby: s.node, err: error }, 'handover not answered');
+      this.options.log.info(
+        { standby: slot.node, err: error },
+        'handover request failed; the standby may or may not own the shard',
+      );
       return false;
     }
   }
 
   private checkStandby(now: number): void {
-    const s = this.standby;
-    if (!s) {
+    const slot = this.standby;
+    if (!slot) {
       this.nameIfPossible(now);
       return;
     }
-    if (now - this.statusLoggedAt > STATUS_LOG_INTERVAL_MS) this.logStatus(s, now);
-    const reason = this.evictionReason(s, now);
+    if (now - this.statusLoggedAt > STATUS_LOG_INTERVAL_MS) this.logStatus(slot, now);
+    const reason = this.evictionReason(slot, now);
     if (reason !== null) {
-      if (!this.changing) void this.runExclusive(() => this.evict(s, reason));
+      if (!this.changeInProgress) void this.runExclusive(() => this.evict(slot, reason));
       return;
     }
-    if (!s.sending && (now - s.lastSentAt >= HEARTBEAT_INTERVAL_MS || s.stream.urgent)) void this.send(s);
+    if (!slot.sending && (now - slot.lastSentAt >= HEARTBEAT_INTERVAL_MS || slot.stream.urgent))
+      void this.send(slot);
   }
 
   private nameIfPossible(now: number): void {
     const { hooks } = this.options;
     const node = now >= this.nameNotBefore && hooks.holdsLease() ? hooks.chooseStandby() : null;
-    if (node !== null && !this.changing) void this.runExclusive(() => this.nameStandby(node));
+    if (node !== null && !this.changeInProgress) void this.runExclusive(() => this.nameStandby(node));
   }
 
-  /** Why a standby has to go; null when it stays. No other reason is worth a change. */
-  private evictionReason(s: StandbySlot, now: number): EvictionReason | null {
+  /** Returns the reason for evicting a standby, or null if it stays. No other reason justifies a change. */
+  private evictionReason(slot: StandbySlot, now: number): EvictionReason | null {
     const { hooks } = this.options;
-    const presence = hooks.presenceOf(s.node);
-    if (s.unacknowledgedSince !== null && now - s.unacknowledgedSince > ACKNOWLEDGE_TIMEOUT_MS)
+    const presence = hooks.presenceOf(slot.node);
+    if (slot.unacknowledgedSince !== null && now - slot.unacknowledgedSince > ACKNOWLEDGE_TIMEOUT_MS)
       return 'silent';
-    if (!s.inSync && now - s.namedAt > SYNC_TIMEOUT_MS) return 'slow';
-    if (presence !== null && presence.incarnation !== s.incarnation) return 'restarted';
+    if (!slot.inSync && now - slot.namedAt > SYNC_TIMEOUT_MS) return 'slow';
+    if (presence !== null && presence.incarnation !== slot.incarnation) return 'restarted';
     const home = hooks.eligibleHomeNode();
-    return home !== null && home !== s.node ? 'home is back' : null;
+    return home !== null && home !== slot.node ? 'home is back' : null;
   }
 
-  /** Runs a change of the standby while no other may begin; one that failed is paused after, and tried again by the checks. */
+  /**
+   * Runs a change of the standby, during which no other change may begin. After a failure it pauses; the
+   * periodic checks retry.
+   */
   private async runExclusive(change: () => Promise<void>): Promise<void> {
-    this.changing = true;
+    this.changeInProgress = true;
     try {
       await change();
     } catch (error) {
-      this.options.log.debug({ err: error }, 'standby change failed');
+      this.options.log.debug({ err: error }, 'naming or evicting the standby failed; will be retried');
       await pause(this.options.context.clock, CHECK_INTERVAL_MS);
     } finally {
-      this.changing = false;
+      this.changeInProgress = false;
     }
   }
 
@@ -259,76 +286,79 @@
     log.info({ standby: node }, 'standby named');
   }
 
-  /** From when this is known to be done, the owner is bound by nothing. */
-  private async evict(s: StandbySlot, why: EvictionReason): Promise<void> {
-    const removed = await this.naming.remove(s.revision);
-    if (!removed || this.standby !== s) return;
+  /**
+   * Evicts the standby. Once the deletion of its key is confirmed, the owner is no longer bound by a lease with
+   * any standby.
+   */
+  private async evict(slot: StandbySlot, why: EvictionReason): Promise<void> {
+    const removed = await this.naming.remove(slot.revision);
+    if (!removed || this.standby !== slot) return;
     this.standby = null;
-    this.ownerLease = onEvicted(this.ownerLease, s.revision);
-    s.stream.close(true);
+    this.ownerLease = onEvicted(this.ownerLease, slot.revision);
+    slot.stream.close(true);
     const { context, evictionBackoff, hooks, log } = this.options;
-    if (why !== 'home is back') evictionBackoff.onEvicted(s.node, context.clock.now());
-    log.info({ standby: s.node, why }, 'standby evicted');
+    if (why !== 'home is back') evictionBackoff.onEvicted(slot.node, context.clock.now());
+    log.info({ standby: slot.node, why }, 'standby evicted');
     hooks.requestPlan();
   }
 
-  private addressOf(s: StandbySlot): StandbyAddress {
+  private addressOf(slot: StandbySlot): StandbyAddress {
     const { shard, term } = this.options;
-    return { shard, term, revision: s.revision, incarnation: s.incarnation };
+    return { shard, term, revision: slot.revision, incarnation: slot.incarnation };
   }
 
-  /** Sends what is not acknowledged yet, and again at once while something urgent waits. */
-  private async send(s: StandbySlot): Promise<void> {
-    s.sending = true;
+  /** Sends the unacknowledged records, and sends again at once while something urgent is waiting. */
+  private async send(slot: StandbySlot): Promise<void> {
+    slot.sending = true;
     const { context, log, mesh } = this.options;
     const sentAt = context.clock.now();
-    s.lastSentAt = sentAt;
-    s.unacknowledgedSince ??= sentAt;
-    this.ownerLease = onSend(this.ownerLease, s.revision, sentAt);
+    slot.lastSentAt = sentAt;
+    slot.unacknowledgedSince ??= sentAt;
+    this.ownerLease = onSend(this.ownerLease, slot.revision, sentAt);
     const message = writeReplicationMessage({
-      ...this.addressOf(s),
-      ...s.stream.batch(),
+      ...this.addressOf(slot),
+      ...slot.stream.batch(),
       recordChanges: this.recordChanges,
     });
     try {
       const response = readReplicationResponse(
-        await mesh.request(s.node, STANDBY_OPS.replicate, message, STANDBY_LEASE_MS),
+        await mesh.request(slot.node, STANDBY_OPS.replicate, message, STANDBY_LEASE_MS),
       );
-      if (!response || this.stopped || this.standby !== s) return;
-      this.acknowledge(s, response, sentAt);
+      if (!response || this.stopped || this.standby !== slot) return;
+      this.acknowledge(slot, response, sentAt);
     } catch (error) {
-      log.debug({ standby: s.node, err: error }, 'replication request failed');
+      log.debug({ standby: slot.node, err: error }, 'replication request failed');
     } finally {
-      s.sending = false;
-      if (!this.stopped && this.standby === s && s.unacknowledgedSince === null && s.stream.urgent)
-        void this.send(s);
+      slot.sending = false;
+      if (!this.stopped && this.standby === slot && slot.unacknowledgedSince === null && slot.stream.urgent)
+        void this.send(slot);
     }
   }
 
-  /** The standby has answered a message that was sent at `sentAt`. */
-  private acknowledge(s: StandbySlot, response: ReplicationResponse, sentAt: number): void {
+  /** Handles the standby's response to a message that was sent at `sentAt`. */
+  private acknowledge(slot: StandbySlot, response: ReplicationResponse, sentAt: number): void {
     const { context, hooks, log } = this.options;
-    this.ownerLease = onAcknowledged(this.ownerLease, s.revision, sentAt);
-    s.unacknowledgedSince = null;
-    s.leaseRenewedAgoMs = response.leaseRenewedAgoMs;
+    this.ownerLease = onAcknowledged(this.ownerLease, slot.revision, sentAt);
+    slot.unacknowledgedSince = null;
+    slot.leaseRenewedAgoMs = response.leaseRenewedAgoMs;
     this.slowestAcknowledgementMs = Math.max(this.slowestAcknowledgementMs, context.clock.now() - sentAt);
-    const wasUrgent = s.stream.urgent;
-    s.stream.acknowledge(response.nextSequence);
-    if (s.stream.inSync && !s.inSync) {
-      s.inSync = true;
-      log.info({ standby: s.node, ms: Math.round(context.clock.now() - s.namedAt) }, 'standby in sync');
+    const wasUrgent = slot.stream.urgent;
+    slot.stream.acknowledge(response.nextSequence);
+    if (slot.stream.inSync && !slot.inSync) {
+      slot.inSync = true;
+      log.info({ standby: slot.node, ms: Math.round(context.clock.now() - slot.namedAt) }, 'standby in sync');
     }
     if (wasUrgent) hooks.requestPlan();
   }
 
-  private logStatus(s: StandbySlot, now: number): void {
+  private logStatus(slot: StandbySlot, now: number): void {
     this.statusLoggedAt = now;
     this.options.log.info(
       {
-        standby: s.node,
-        inSync: s.inSync,
-        unacknowledged: s.stream.unacknowledged,
-        streams: s.stream.streams,
+        standby: slot.node,
+        inSync: slot.inSync,
+        unacknowledged: slot.stream.unacknowledged,
+        streams: slot.stream.streams,
         slowestMs: Math.round(this.slowestAcknowledgementMs),
       },
       'standby status',
--- a/src/standby/standbyselection.ts
+++ b/src/standby/standbyselection.ts
@@ -1,47 +1,49 @@
-/** What the choice of a standby goes by; names of nodes as in the settings. */
+/** Input for the selection of a standby, with the node names of the settings. */
 export interface StandbyCandidates {
   owner: string;
-  /** Where the shard should go; the owner itself when it is well where it is. */
+  /** Preferred node of the shard; equal to the owner if the shard need not move. */
   home: string;
-  /** All nodes, in the order of their names: a roll restarts them in it. */
+  /** All nodes sorted by name, which is the order of a rolling restart. */
   order: readonly string[];
-  /** Whether a node is present, replicates shards and takes them. */
+  /** Whether a node is present, replicates shards and can take them over. */
   isEligible(node: string): boolean;
-  /** How many machines the shards have that a node owns and stands by for. */
+  /** Number of machines in the shards that a node owns or stands by for. */
   load(node: string): number;
-  /** The zone of a node. */
+  /** Zone of a node. */
   zoneOf(node: string): string;
-  /** Machines of the shard by zone. */
+  /** Number of the shard's machines by zone. */
   machines: ReadonlyMap<string, number>;
 }
 
 /**
- * Who is to stand by for a shard; null when nobody can. A shard that is away from home has its home node, so that the way
- * back is a switch. Else the zone of most of its machines comes first, then whoever has least to do, then the node that
- * comes before the owner in a roll: the one after it would be restarted next.
+ * Selects the standby of a shard; returns null if no node is eligible. The home node is preferred for a shard
+ * that is not at home, so that its return is a handover. Otherwise the ranking is by the zone with most of the
+ * shard's machines, then by the lowest load, then by the node that precedes the owner in a rolling restart,
+ * because the node after the owner would be restarted next.
  */
-export function chooseStandby(c: StandbyCandidates): string | null {
-  if (c.home !== c.owner && c.isEligible(c.home)) return c.home;
-  const nodeCount = c.order.length;
-  const ownerIndex = c.order.indexOf(c.owner);
-  /** How many places before the owner a node comes in a roll. */
-  const placesBefore = (node: string) => (ownerIndex - c.order.indexOf(node) + nodeCount) % nodeCount;
+export function chooseStandby(candidates: StandbyCandidates): string | null {
+  if (candidates.home !== candidates.owner && candidates.isEligible(candidates.home)) return candidates.home;
+  const nodeCount = candidates.order.length;
+  const ownerIndex = candidates.order.indexOf(candidates.owner);
+  /** Number of places by which a node precedes the owner in a rolling restart. */
+  const placesBefore = (node: string) =>
+    (ownerIndex - candidates.order.indexOf(node) + nodeCount) % nodeCount;
   let best: string | null = null;
   const rank = (node: string) => [
-    // The next in a roll shares the owner's fate where another is there.
+    // The node after the owner is restarted next, so it ranks last where there is another choice.
     nodeCount > 2 && placesBefore(node) === nodeCount - 1 ? 1 : 0,
-    -(c.machines.get(c.zoneOf(node)) ?? 0),
-    c.load(node),
+    -(candidates.machines.get(candidates.zoneOf(node)) ?? 0),
+    candidates.load(node),
     placesBefore(node),
   ];
-  for (const node of c.order) {
-    if (node === c.owner || !c.isEligible(node)) continue;
+  for (const node of candidates.order) {
+    if (node === candidates.owner || !candidates.isEligible(node)) continue;
     if (best === null || ranksBefore(rank(node), rank(best))) best = node;
   }
   return best;
 }
 
-/** Whether a rank comes first: lower numbers do, the earlier ones count more. */
+/** Whether rank `a` sorts before rank `b`: lower numbers first, with earlier elements taking precedence. */
 function ranksBefore(a: readonly number[], b: readonly number[]): boolean {
   for (let i = 0; i < a.length; i++) if (a[i] !== b[i]) return a[i]! < b[i]!;
   return false;
@@ -51,23 +53,23 @@
 const MAX_BACKOFF_MS = 60_000;
 const BACKOFF_RESET_MS = 120_000;
 
-/** A node that was evicted is left alone for a while, longer each time it happens again soon. */
+/** Excludes an evicted node from selection for a period that doubles if it is soon evicted again. */
 export class EvictionBackoff {
   private readonly nodes = new Map<string, { at: number; pauseMs: number }>();
 
-  /** A node was evicted at `now`, in steady milliseconds. */
+  /** Records that a node was evicted at `now`, in milliseconds of the monotonic clock. */
   onEvicted(node: string, now: number): void {
-    const last = this.nodes.get(node);
-    const again = last && now - last.at < BACKOFF_RESET_MS;
+    const eviction = this.nodes.get(node);
+    const repeated = eviction && now - eviction.at < BACKOFF_RESET_MS;
     this.nodes.set(node, {
       at: now,
-      pauseMs: again ? Math.min(MAX_BACKOFF_MS, last.pauseMs * 2) : BACKOFF_MS,
+      pauseMs: repeated ? Math.min(MAX_BACKOFF_MS, eviction.pauseMs * 2) : BACKOFF_MS,
     });
   }
 
-  /** Whether a node is not to be named yet. */
+  /** Whether a node must not be named yet. */
   isBackingOff(node: string, now: number): boolean {
-    const last = this.nodes.get(node);
-    return last !== undefined && now - last.at < last.pauseMs;
+    const eviction = this.nodes.get(node);
+    return eviction !== undefined && now - eviction.at < eviction.pauseMs;
   }
 }
--- a/src/standby/takeoverchecks.ts
+++ b/src/standby/takeoverchecks.ts
@@ -1,68 +1,80 @@
 import type { ReplicaSnapshot } from './shardreplica.js';
 
 /**
- * What is checked before a shard's new owner decides (docs/standby.md). What the former owner told is a hint; each check
- * says by what it is confirmed, and what it is against. No decision waits for one that it does not need.
+ * Checks that a shard's new owner makes before its decisions (docs/standby.md). State received from the former
+ * owner is only a hint; each check states how the hint is confirmed and which failure it prevents. No decision
+ * waits for a check that it does not need.
  */
 
-/** A key of a former ownership, or a claim thought lost, must not be taken up: its tokens and attempts have been used. */
+/**
+ * Whether a term is new. The key of a former ownership, or of a claim that was considered lost, must not be
+ * reused, because its tokens and attempt numbers have been used.
+ */
 export function isFreshTerm(term: number, retiredTerms: ReadonlySet<number>): boolean {
   return !retiredTerms.has(term);
 }
 
 /**
- * Records are complete only when all changes up to the claim's revision are in them: until then an end or a cancellation that
- * the former owner told its user may be missing. After it no write of the former owner is applied any more.
+ * Whether the job records include all changes up to the claim's revision. Until then an end or a cancellation
+ * that the former owner confirmed to a user may be missing. After that revision no write of the former owner is
+ * applied.
  */
 export function recordsComplete(readUpTo: number, term: number): boolean {
   return readUpTo >= term;
 }
 
-/** What counts for whether an owner may act. */
-export interface ActingFacts {
-  /** It acts no more, for good. */
+/** Conditions for an owner to act. */
+export interface OwnerActingConditions {
+  /** The owner has permanently ceased to act. */
   readonly stopped: boolean;
-  /** Its lease with the key-value store lasts, by its clock. */
+  /** The owner's lease with the key-value store is valid according to its clock. */
   readonly holdsLease: boolean;
-  /** Its lease with its standby lasts, or none binds it. */
+  /** The owner's lease with its standby is valid, or no standby is bound. */
   readonly standbyLeaseCovers: boolean;
 }
 
-/** Whether an owner may act. Asked just before each step, so that a freeze or a drifting clock between two steps is found. */
-export function mayAct(facts: ActingFacts): boolean {
-  return !facts.stopped && facts.holdsLease && facts.standbyLeaseCovers;
+/**
+ * Whether an owner may act. Checked immediately before each step, so that a pause or a drifting clock between
+ * two steps is detected.
+ */
+export function mayAct(conditions: OwnerActingConditions): boolean {
+  return !conditions.stopped && conditions.holdsLease && conditions.standbyLeaseCovers;
 }
 
-/** What counts of a machine for whether tasks may be started on it. */
-export interface MachineFacts {
-  /** It has reported under the new token. */
+/** Conditions for starting tasks on a machine. */
+export interface MachineStartConditions {
+  /** The machine has reported under the new token. */
   readonly reconciled: boolean;
-  /** It is being given back, and is never used again. */
+  /** The machine is being returned and is never used again. */
   readonly decommissioning: boolean;
   readonly leaseExpired: boolean;
   readonly mayHoldUnreportedTasks: boolean;
-  /** Empty while it has not reported. */
+  /** Address of the machine; empty until it has reported. */
   readonly addr: string;
-  /** When the cloud takes it back, by its notice; null without one. */
+  /** Time at which the cloud reclaims the machine according to its notice; null without a notice. */
   readonly reclaimAt: number | null;
 }
 
 /**
- * Whether tasks may be started on a machine. Only a report under the new token makes sure that no order of the former owner's can still be executed there; a machine
- * that is leaving or under notice is on its way to somebody else.
+ * Whether tasks may be started on a machine. Only a report under the new token guarantees that no order of the
+ * former owner can still be executed there. A machine that is being returned or has a reclaim notice is about
+ * to leave the cluster.
  */
-export function machineUsable(m: MachineFacts): boolean {
+export function machineUsable(machine: MachineStartConditions): boolean {
   return (
-    m.reconciled &&
-    !m.decommissioning &&
-    !m.leaseExpired &&
-    !m.mayHoldUnreportedTasks &&
-    m.addr !== '' &&
-    m.reclaimAt === null
+    machine.reconciled &&
+    !machine.decommissioning &&
+    !machine.leaseExpired &&
+    !machine.mayHoldUnreportedTasks &&
+    machine.addr !== '' &&
+    machine.reclaimAt === null
   );
 }
 
-/** Whether a job may start: not before all that it needs is durably done, and never what is about to be cancelled with one of those. */
+/**
+ * Whether the dependencies of a job allow it to start: all of them are durably done, and none was cancelled,
+ * which would cancel this job as well.
+ */
 export function dependenciesMet(job: {
   pendingDependencies: { size: number };
   cancelledByDependency: boolean;
@@ -71,19 +83,20 @@
 }
 
 /**
- * Whether a task that is not known to be anywhere is surely nowhere. A job accepted under this term was never started by
- * anybody else. Of others, every machine on which the former owner announced a start has to have reported under the new token
- * or to have surely lost its lease; without announcements, every machine of the shard.
+ * Whether a task without a known placement is certain not to run anywhere. A job accepted under this term was
+ * never started by another owner. For any other job, every machine on which the former owner announced a start
+ * must have reported under the new token or must have certainly lost its lease; without announcements, this
+ * applies to every machine of the shard.
  */
 export function surelyNotRunning(
   job: { fresh: boolean; id: string },
   snapshot: ReplicaSnapshot | null,
-  adopted: boolean,
+  allReconciled: boolean,
   mayHoldTasks: (machine: string) => boolean,
 ): boolean {
-  if (job.fresh || adopted) return true;
+  if (job.fresh || allReconciled) return true;
   const machines = snapshot?.machinesOf(job.id) ?? null;
   if (machines === null) return false;
-  for (const m of machines) if (mayHoldTasks(m)) return false;
+  for (const machine of machines) if (mayHoldTasks(machine)) return false;
   return true;
 }
--- a/tests/modelcheck/standbylease.test.ts
+++ b/tests/modelcheck/standbylease.test.ts
@@ -9,43 +9,48 @@
   standbyLeaseModel,
   type Transitions,
 } from '../../src/modelcheck/standbylease.js';
-import * as promise from '../../src/standby/standbylease.js';
-import * as checks from '../../src/standby/takeoverchecks.js';
+import * as standbyLease from '../../src/standby/standbylease.js';
+import * as takeoverChecks from '../../src/standby/takeoverchecks.js';
 import * as machine from '../../src/workers/machine.js';
 
-const ALONE: Bounds = {
+const LEASE_ONLY: Bounds = {
   ticks: 6,
   messages: 1,
   writes: 1,
   namings: 1,
-  runs: 1,
-  returns: true,
+  incarnations: 1,
+  ownerRestarts: true,
   reports: 0,
   task: false,
   guards: GUARDED,
 };
-const WITH_TASK: Bounds = { ...ALONE, ticks: 3, namings: 1, runs: 1, reports: 1, task: true };
+const WITH_TASK: Bounds = { ...LEASE_ONLY, ticks: 3, namings: 1, incarnations: 1, reports: 1, task: true };
 const STATES = 100_000;
-/** For what takes more steps than all states can be seen of. */
-const FAR: Bounds = { ...WITH_TASK, returns: false, ticks: 8, messages: 2, writes: 2, reports: 6 };
+/** Bounds for faults that take more steps than can be explored exhaustively. */
+const FAR: Bounds = { ...WITH_TASK, ownerRestarts: false, ticks: 8, messages: 2, writes: 2, reports: 6 };
 const SEEDS = 4000;
 
-test('never may two act for a shard, nor a task be started beside one that may run', () => {
-  for (const bounds of [ALONE, { ...ALONE, runs: 2 }, { ...ALONE, namings: 2 }, WITH_TASK]) {
-    const found = explore(standbyLeaseModel(PRODUCTION, bounds), STATES);
-    assert.deepEqual([found.violation, found.truncated], [null, false], `${found.states} states`);
-    assert.ok(found.states > 5000, `${found.states} states`);
+test('never lets two owners act for a shard, nor a task start while another attempt may run', () => {
+  for (const bounds of [
+    LEASE_ONLY,
+    { ...LEASE_ONLY, incarnations: 2 },
+    { ...LEASE_ONLY, namings: 2 },
+    WITH_TASK,
+  ]) {
+    const result = explore(standbyLeaseModel(PRODUCTION, bounds), STATES);
+    assert.deepEqual([result.violation, result.truncated], [null, false], `${result.states} states`);
+    assert.ok(result.states > 5000, `${result.states} states`);
   }
 });
 
-test('the same at random far beyond: more messages, writes, namings, and standbys that start anew', () => {
+test('random walks with more messages, writes, namings and standby restarts find no violation', () => {
   const bounds = {
     ticks: 40,
     messages: 4,
     writes: 3,
     namings: 6,
-    runs: 4,
-    returns: false,
+    incarnations: 4,
+    ownerRestarts: false,
     reports: 12,
     task: true,
     guards: GUARDED,
@@ -53,136 +58,146 @@
   const model = standbyLeaseModel(PRODUCTION, bounds);
   for (let seed = 1; seed <= 300; seed++) {
     const random = new Random(seed);
-    const wrong = randomWalk(model, () => random.next(), 250);
-    assert.equal(wrong, null, `seed ${seed}`);
+    const violation = randomWalk(model, () => random.next(), 250);
+    assert.equal(violation, null, `seed ${seed}`);
   }
 });
 
-/** Each guard taken out, and what that leads to. */
-const BROKEN: {
-  what: string;
-  f?: Partial<Transitions>;
+/** Faulty models, each with one guard removed, and the violation that results. */
+const FAULTS: {
+  name: string;
+  transitions?: Partial<Transitions>;
   bounds?: Partial<Bounds>;
-  far?: boolean;
-  wrong: RegExp;
+  randomWalk?: boolean;
+  violation: RegExp;
 }[] = [
   {
-    what: 'an owner acts as long as its lease',
-    f: { leaseCovers: () => true },
-    wrong: /two may act/,
+    name: 'an owner ignores the lease with its standby',
+    transitions: { leaseCovers: () => true },
+    violation: /two owners may act/,
   },
   {
-    what: 'the promise counts from when the answer came',
-    f: { onAcknowledged: (p, r, at) => promise.onAcknowledged(p, r, at + promise.STANDBY_LEASE_MS / 2) },
-    wrong: /two may act/,
+    name: 'the lease is extended from the time of the response',
+    transitions: {
+      onAcknowledged: (lease, r, at) =>
+        standbyLease.onAcknowledged(lease, r, at + standbyLease.STANDBY_LEASE_MS / 2),
+    },
+    violation: /two owners may act/,
   },
   {
-    what: 'neither drift nor margin',
-    f: {
-      onSend: (p, r, now) =>
-        p.boundRevision === r ? p : { boundRevision: r, until: now + promise.STANDBY_LEASE_MS },
-      onAcknowledged: (p, r, at) =>
-        p.boundRevision === r
-          ? { boundRevision: r, until: Math.max(p.until, at + promise.STANDBY_LEASE_MS) }
-          : p,
-      mayClaim: (v, now) => !v.claimed && (v.released || now > v.answeredAt + promise.STANDBY_LEASE_MS),
+    name: 'the lease has no allowance for drift and no margin',
+    transitions: {
+      onSend: (lease, r, now) =>
+        lease.boundRevision === r ? lease : { boundRevision: r, until: now + standbyLease.STANDBY_LEASE_MS },
+      onAcknowledged: (lease, r, at) =>
+        lease.boundRevision === r
+          ? { boundRevision: r, until: Math.max(lease.until, at + standbyLease.STANDBY_LEASE_MS) }
+          : lease,
+      mayClaim: (state, now) =>
+        !state.claimed && (state.released || now > state.answeredAt + standbyLease.STANDBY_LEASE_MS),
     },
-    wrong: /two may act/,
+    violation: /two owners may act/,
   },
   {
-    what: 'a standby claims before the promise is over',
-    f: { mayClaim: (v, now) => promise.mayClaim(v, now + promise.STANDBY_LEASE_MS / 2) },
-    wrong: /two may act/,
+    name: 'a standby claims before the lease has expired',
+    transitions: {
+      mayClaim: (state, now) => standbyLease.mayClaim(state, now + standbyLease.STANDBY_LEASE_MS / 2),
+    },
+    violation: /two owners may act/,
   },
   {
-    what: 'a standby answers after it has claimed',
-    f: {
-      onMessage: (v, t, r, now) =>
-        v && v.term === t && v.revision === r ? { ...v, answeredAt: now } : promise.onMessage(v, t, r, now),
+    name: 'a standby answers after it has claimed',
+    transitions: {
+      onMessage: (state, t, r, now) =>
+        state && state.term === t && state.revision === r
+          ? { ...state, answeredAt: now }
+          : standbyLease.onMessage(state, t, r, now),
     },
-    wrong: /two may act/,
+    violation: /two owners may act/,
   },
   {
-    what: 'another run of the standby answers for a claim under way',
-    bounds: { guards: { ...GUARDED, run: false }, runs: 2, ticks: 7 },
-    wrong: /two may act/,
+    name: 'another incarnation of the standby responds while a claim is in flight',
+    bounds: { guards: { ...GUARDED, incarnation: false }, incarnations: 2, ticks: 7 },
+    violation: /two owners may act/,
   },
   {
-    what: 'a claim does not ask who is named',
-    bounds: { guards: { ...GUARDED, named: false } },
-    wrong: /two may act/,
+    name: 'a claim is not conditional on the standby key',
+    bounds: { guards: { ...GUARDED, namedClaim: false } },
+    violation: /two owners may act/,
   },
   {
-    what: 'a striking off counts without an answer',
-    bounds: { guards: { ...GUARDED, lookedUp: false } },
-    wrong: /two may act/,
+    name: 'an eviction takes effect without confirmation',
+    bounds: { guards: { ...GUARDED, confirmedEviction: false } },
+    violation: /two owners may act/,
   },
   {
-    what: 'a release is said before the owner stops',
-    bounds: { guards: { ...GUARDED, stopsFirst: false } },
-    wrong: /two may act/,
+    name: 'an owner sends the handover before it stops',
+    bounds: { guards: { ...GUARDED, stopsBeforeHandover: false } },
+    violation: /two owners may act/,
   },
   {
-    what: 'orders are sent before they are announced',
-    bounds: { task: true, guards: { ...GUARDED, announced: false } },
-    wrong: /run twice/,
+    name: 'orders are sent before the start is announced',
+    bounds: { task: true, guards: { ...GUARDED, announcedStarts: false } },
+    violation: /run twice/,
   },
   {
-    what: 'what was announced on a machine that has not reported is no reason to wait',
-    f: { surelyNotRunning: () => true },
+    name: 'a task is started without waiting for the machines of announced starts',
+    transitions: { surelyNotRunning: () => true },
     bounds: { task: true },
-    wrong: /run twice/,
+    violation: /run twice/,
   },
   {
-    what: 'a copy that is not level is taken for one that is',
-    f: {
-      surelyNotRunning: (job, snapshot, adopted, unseen) =>
-        snapshot?.machinesOf(job.id) === null || checks.surelyNotRunning(job, snapshot, adopted, unseen),
+    name: 'a replica that is not in sync is treated as in sync',
+    transitions: {
+      surelyNotRunning: (job, snapshot, allReconciled, mayHoldTasks) =>
+        snapshot?.machinesOf(job.id) === null ||
+        takeoverChecks.surelyNotRunning(job, snapshot, allReconciled, mayHoldTasks),
     },
     bounds: { task: true },
-    wrong: /run twice/,
+    violation: /run twice/,
   },
   {
-    what: 'a report under the former token counts as one under the new one',
-    f: {
+    name: 'a report under the former token is accepted as one under the new token',
+    transitions: {
       classifyHeartbeat: (known, r) =>
         machine.classifyHeartbeat(known, r) === 'untokened' ? 'ok' : machine.classifyHeartbeat(known, r),
     },
-    far: true,
-    wrong: /run twice/,
+    randomWalk: true,
+    violation: /run twice/,
   },
   {
-    what: 'an owner that is back at once takes up what its former run had',
-    bounds: { guards: { ...GUARDED, fresh: false } },
-    wrong: /two may act/,
+    name: 'a restarted owner resumes the ownership of its former incarnation',
+    bounds: { guards: { ...GUARDED, freshIncarnation: false } },
+    violation: /two owners may act/,
   },
   {
-    what: 'a machine executes orders under an older token',
-    bounds: { task: true, returns: false, guards: { ...GUARDED, token: false } },
-    wrong: /run twice/,
+    name: 'a machine executes orders under an older token',
+    bounds: { task: true, ownerRestarts: false, guards: { ...GUARDED, token: false } },
+    violation: /run twice/,
   },
 ];
 
-// A model that finds nothing wrong may not look: each guard is taken out once, and its absence is found.
-for (const b of BROKEN) {
-  test(`found when it is so: ${b.what}`, () => {
-    const f = { ...PRODUCTION, ...b.f };
-    if (b.far) {
-      const model = standbyLeaseModel(f, { ...FAR, ...b.bounds });
-      let wrong: ReturnType<typeof randomWalk> = null;
-      for (let seed = 1; seed <= SEEDS && !wrong; seed++) {
+// A model that never reports a violation might check nothing. Each guard is therefore removed once, and the model has to
+// detect its absence.
+for (const fault of FAULTS) {
+  test(`detects the fault: ${fault.name}`, () => {
+    const transitions = { ...PRODUCTION, ...fault.transitions };
+    if (fault.randomWalk) {
+      const model = standbyLeaseModel(transitions, { ...FAR, ...fault.bounds });
+      let violation: ReturnType<typeof randomWalk> = null;
+      for (let seed = 1; seed <= SEEDS && !violation; seed++) {
         const random = new Random(seed);
-        wrong = randomWalk(model, () => random.next(), 120);
+        violation = randomWalk(model, () => random.next(), 120);
       }
-      assert.match(wrong?.what ?? 'nothing wrong', b.wrong);
+      assert.match(violation?.message ?? 'no violation', fault.violation);
       return;
     }
-    const bounds = { ...(b.bounds?.task ? WITH_TASK : ALONE), ...b.bounds };
-    const found = explore(standbyLeaseModel(f, bounds), STATES);
+    const bounds = { ...(fault.bounds?.task ? WITH_TASK : LEASE_ONLY), ...fault.bounds };
+    const result = explore(standbyLeaseModel(transitions, bounds), STATES);
     assert.match(
-      found.violation?.what ?? `nothing wrong in ${found.states} states, cut ${found.truncated}`,
-      b.wrong,
+      result.violation?.message ?? `no violation in ${result.states} states, truncated ${result.truncated}`,
+      fault.violation,
     );
-    assert.ok(found.violation!.steps.length > 2);
+    assert.ok(result.violation!.steps.length > 2);
   });
 }
