--- a/src/jobs/jobacceptance.ts
+++ b/src/jobs/jobacceptance.ts
@@ -33,10 +33,10 @@
   ) {}
 
   /**
-   * Stores an accepted job. This takes a single change: with many small jobs, the number of acceptances per
-   * second is as high as the number of changes that the key-value store executes. The conditions of the change
-   * ensure that no other node has accepted the job and that it has not ended. `tag` is unique to this
-   * acceptance. Throws `StateStoreError` if the write failed or its result is unknown.
+   * Stores an accepted job. This takes a single change, because the number of changes per second that the
+   * key-value store executes limits how fast a large number of small jobs can be accepted. The conditions of
+   * the change ensure that no other node has accepted the job and that it has not ended. `tag` is unique to
+   * this acceptance. Throws `StateStoreError` if the write failed or its result is unknown.
    */
   async accept(record: JobRecord, tag: string): Promise<AcceptResult> {
     const id = record.spec.id;
--- a/src/jobs/jobend.ts
+++ b/src/jobs/jobend.ts
@@ -14,9 +14,9 @@
 
   /**
    * Makes a job's end durable and returns the stored final state. An attempt that has certainly failed does not
-   * decide whether an earlier attempt succeeded: `endWriteSent` stays set until an attempt has determined that,
-   * including writes that the network delivers late. Throws `StateStoreError` if the write failed or its result
-   * is unknown.
+   * show whether an earlier attempt succeeded, or still will by a write that the network delivers late.
+   * Therefore `endWriteSent` stays set until an attempt has determined the result. Throws `StateStoreError` if
+   * the write failed or its result is unknown.
    */
   async finish(job: Job, final: FinalState): Promise<FinalState> {
     const { store, limits } = this.options;
--- a/src/standby/jobrecordreplica.ts
+++ b/src/standby/jobrecordreplica.ts
@@ -90,7 +90,7 @@
    * Returns all unfinished jobs of a shard with all changes up to a revision, or null if the caller has to list
    * them itself. Throws if the key-value store does not answer.
    */
-  upTo(revision: number, shard: number): Promise<ReplicatedJobs | null> {
+  readUpTo(revision: number, shard: number): Promise<ReplicatedJobs | null> {
     return this.mutex.runExclusive(async () => {
       if (!this.shards.has(shard) || this.revision === 0) return null;
       const changes = recordsComplete(this.revision, revision) ? 0 : await this.read();
--- a/src/standby/replicationstream.ts
+++ b/src/standby/replicationstream.ts
@@ -33,7 +33,8 @@
 /**
  * The owner's side of the replication of one shard: an ordered stream of records, with one message in flight at
  * a time. The stream begins with a snapshot sent in pieces. Records of concurrent changes are sent between the
- * pieces, each after the change that it describes, so the last record about an item is always the newest.
+ * pieces, each after the record whose content it changes, so the last record about an item is always the
+ * newest.
  */
 export class ReplicationStream {
   private queue: ReplicationRecord[] = [];
--- a/src/standby/standbylease.ts
+++ b/src/standby/standbylease.ts
@@ -92,7 +92,7 @@
 ): ReplicaState | null {
   if (!state || state.term < term || (state.term === term && state.revision < revision))
     return { term, revision, answeredAt: now, released: false, claimed: false };
-  // A message of an earlier term or revision, delivered late over a connection that has since been closed.
+  // A message of an earlier term or revision, delivered late over a connection that has broken since.
   if (state.term !== term || state.revision !== revision) return null;
   return state.claimed ? null : { ...state, answeredAt: now };
 }
--- a/src/standby/standbyreplicas.ts
+++ b/src/standby/standbyreplicas.ts
@@ -272,7 +272,7 @@
       snapshot: replicated.replica,
       jobs: async (revision) => {
         try {
-          return await this.records.upTo(revision, shard);
+          return await this.records.readUpTo(revision, shard);
         } finally {
           this.records.unfollow(shard);
         }
--- a/src/standby/standbyreplicator.ts
+++ b/src/standby/standbyreplicator.ts
@@ -30,8 +30,8 @@
 const HEARTBEAT_INTERVAL_MS = 800;
 const CHECK_INTERVAL_MS = 250;
 /**
- * A standby that has not acknowledged any message for this long is evicted, well before the owner's lease with
- * it expires.
+ * A standby is evicted when messages to it have been unacknowledged for this long, well before the owner's
+ * lease with it expires.
  */
 const ACKNOWLEDGE_TIMEOUT_MS = 700;
 /** A standby that is not in sync after this time is too slow to be useful and is evicted. */
@@ -98,8 +98,8 @@
   sending: boolean;
   inSync: boolean;
   /**
-   * Time between the last renewal of the standby's lease by the key-value store and the standby's last
-   * response, in milliseconds.
+   * Age of the last renewal of the standby's lease by the key-value store, as of the standby's last response,
+   * in milliseconds.
    */
   leaseRenewedAgoMs: number;
 }
--- a/tests/modelcheck/standbylease.test.ts
+++ b/tests/modelcheck/standbylease.test.ts
@@ -177,8 +177,8 @@
   },
 ];
 
-// A model that never reports a violation might check nothing. Each guard is therefore removed once, and the model has to
-// detect its absence.
+// A model that never reports a violation might check nothing. Each guard is therefore removed once, and the
+// model has to detect its absence.
 for (const fault of FAULTS) {
   test(`detects the fault: ${fault.name}`, () => {
     const transitions = { ...PRODUCTION, ...fault.transitions };
--- a/tests/standby/standby.test.ts
+++ b/tests/standby/standby.test.ts
@@ -60,7 +60,8 @@
   assert.equal(cluster.starts, 4, 'the team is at its limit, and running tasks continue');
 });
 
-// Guards against two owners: a frozen owner may resume after the takeover with steps that it checked before the freeze.
+// Guards against two owners: a frozen owner may resume after the takeover with steps that it checked before the
+// freeze.
 test('an owner paused beyond the standby lease loses its shard and executes none of its pending steps', async () => {
   const cluster = await startInSyncCluster(6);
   const shard = cluster.shardOf('wk-1');
@@ -203,7 +204,8 @@
   assert.equal(cluster.starts, 4);
 });
 
-// Guards against a gap at each handover: requests were refused between the end of one owner and the start of the next.
+// Guards against a gap at each handover: requests were refused between the end of one owner and the start of
+// the next.
 test('refuses no request and loses no machine when a shard returns home or a node leaves', async () => {
   const cluster = await startInSyncCluster(6);
   const shard = cluster.shardOf('wk-1');
@@ -423,8 +425,8 @@
   assert.ok(cluster.workers.every((worker) => worker.session === 1));
 });
 
-// Guards against obsolete start orders: while a start waits for the standby's acknowledgement, its job may be cancelled, or
-// its machine may begin a new session while the task is started elsewhere.
+// Guards against obsolete start orders: while a start waits for the standby's acknowledgement, its job may be
+// cancelled, or its machine may begin a new session while the task is started elsewhere.
 test('drops a start that waits for the standby when its job is cancelled or its machine begins a new session', async () => {
   const cluster = await startInSyncCluster(6);
   const shard = cluster.shardOf('wk-1');
