--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -1,4 +1,4 @@
-/** The HTTP interface for users and workers: which path does what, and the replies. */
+/** The HTTP API for users and workers: routing of requests, and the replies. */
 
 import type { ControllerContext } from '../context/context.js';
 import type { ControllerNode } from '../controller/controllernode.js';
@@ -22,23 +22,23 @@
 
 const JOB_PATH = /^\/api\/jobs\/([^/]+)(?:\/([^/]+))?$/;
 
-/** The kind of client that a request seems to come from, by its path, before anything of it has been checked. */
+/** Guesses the kind of client from the path of a request, before the request is validated. */
 export function classifyRequest(path: string): ClientKind {
   if (path === WORKER_PATHS.heartbeat) return 'worker';
   return path === USER_PATHS.health ? 'health' : 'user';
 }
 
-/** Serves the requests of users and workers. */
+/** Handles the requests of users and workers. */
 export class Api {
-  /** Handlers of optional parts, by the prefix of the path. */
-  readonly mounts = new Map<string, (r: HttpRequest) => Promise<HttpReply>>();
+  /** Handlers of optional components by path prefix. */
+  readonly mounts = new Map<string, (request: HttpRequest) => Promise<HttpReply>>();
 
   constructor(
     private readonly context: ControllerContext,
     private readonly node: ControllerNode,
   ) {}
 
-  /** Replies to one request; 503 when it cannot be served now. */
+  /** Handles a request; replies with status 503 if it cannot be served at present. */
   async handle(request: HttpRequest): Promise<HttpReply> {
     try {
       return await this.route(request);
@@ -51,71 +51,74 @@
     }
   }
 
-  private async route(r: HttpRequest): Promise<HttpReply> {
-    if (r.path === USER_PATHS.health) return r.method === 'GET' ? this.health() : wrongMethod('GET');
-    if (r.path === WORKER_PATHS.heartbeat)
-      return r.method === 'POST' ? this.heartbeat(r) : wrongMethod('POST');
-    if (r.path === USER_PATHS.jobs) {
-      if (r.method === 'GET') return this.list(r);
-      return r.method === 'POST' ? this.submit(r) : wrongMethod('GET, POST');
+  private async route(request: HttpRequest): Promise<HttpReply> {
+    if (request.path === USER_PATHS.health)
+      return request.method === 'GET' ? this.health() : wrongMethod('GET');
+    if (request.path === WORKER_PATHS.heartbeat)
+      return request.method === 'POST' ? this.heartbeat(request) : wrongMethod('POST');
+    if (request.path === USER_PATHS.jobs) {
+      if (request.method === 'GET') return this.list(request);
+      return request.method === 'POST' ? this.submit(request) : wrongMethod('GET, POST');
     }
-    for (const [under, answer] of this.mounts) if (r.path.startsWith(under)) return answer(r);
-    return this.routeJob(r);
+    for (const [prefix, handler] of this.mounts) if (request.path.startsWith(prefix)) return handler(request);
+    return this.routeJob(request);
   }
 
-  private async routeJob(r: HttpRequest): Promise<HttpReply> {
-    const job = JOB_PATH.exec(r.path);
+  private async routeJob(request: HttpRequest): Promise<HttpReply> {
+    const job = JOB_PATH.exec(request.path);
     if (!job) return { status: 404, body: { error: 'no such path' } };
     const id = decode(job[1]!);
-    if (job[2] === undefined) return r.method === 'GET' ? this.status(id) : wrongMethod('GET');
+    if (job[2] === undefined) return request.method === 'GET' ? this.status(id) : wrongMethod('GET');
     if (job[2] !== USER_PATHS.cancel) return { status: 404, body: { error: 'no such path' } };
-    return r.method === 'POST' ? this.cancel(id) : wrongMethod('POST');
+    return request.method === 'POST' ? this.cancel(id) : wrongMethod('POST');
   }
 
   private health(): HttpReply {
     const reply = this.node.healthy
       ? { status: 200, body: writeHealth(this.node.membership.stateCache.revision) }
       : later(503, 1, 'starting');
-    return { ...reply, from: 'health' };
+    return { ...reply, clientKind: 'health' };
   }
 
-  private heartbeat(r: HttpRequest): HttpReply {
-    const report = readHeartbeat(parseBody(r.body));
-    if (!report) {
+  private heartbeat(request: HttpRequest): HttpReply {
+    const heartbeat = readHeartbeat(parseBody(request.body));
+    if (!heartbeat) {
       this.context.log.info('malformed heartbeat received');
       return { status: 400, body: { error: 'not a report' } };
     }
-    const answer = this.node.onHeartbeat(report);
-    // A client that names a machine of no shard is not identified as a worker.
-    if (answer.kind === 'orders') return { status: 200, body: answer.body, from: 'worker' };
-    if (answer.kind === 'redirect') return { status: 421, body: writeRedirect(answer.node), from: 'worker' };
-    return { status: 503, body: { error: 'not now' }, ...(answer.known && { from: 'worker' }) };
+    const result = this.node.onHeartbeat(heartbeat);
+    // A client is not identified as a worker if its machine belongs to no shard.
+    if (result.kind === 'orders') return { status: 200, body: result.body, clientKind: 'worker' };
+    if (result.kind === 'redirect')
+      return { status: 421, body: writeRedirect(result.node), clientKind: 'worker' };
+    return { status: 503, body: { error: 'not now' }, ...(result.known && { clientKind: 'worker' }) };
   }
 
-  private async submit(r: HttpRequest): Promise<HttpReply> {
-    const body = parseBody(r.body);
+  private async submit(request: HttpRequest): Promise<HttpReply> {
+    const body = parseBody(request.body);
     if (typeof body !== 'object' || body === null || Array.isArray(body)) return bad('not a JSON object');
     const spec = readJob(body);
     if (typeof spec === 'string') return bad(spec);
     if (!this.context.catalog.known) return later(503, 1, 'machine types are not known yet');
-    const reason = this.whyNeverRuns(spec);
+    const reason = this.findRejectionReason(spec);
     if (reason !== null) {
-      // A job that was accepted once is not rejected later, whatever the machine types are now.
+      // A job that has been accepted is not rejected by a repeated submission, even if no machine type fits it any
+      // more.
       const entry = await this.node.locate(spec.id);
       if (!entry) return { status: 422, body: { error: reason } };
     }
-    const answer = await this.node.submit(spec);
-    if (answer.kind === 'refused') return later(429, answer.retryS, 'no plan meets the deadline');
-    if (answer.kind === 'never')
-      return { status: 422, body: { error: `${answer.needs} was never accepted` } };
-    if (answer.kind === 'busy') return later(503, answer.retryS, 'too many new jobs at once');
-    if (answer.kind === 'accepted')
-      return { status: 201, body: writeAccepted(spec.id, answer.cancelled ? 'cancelled' : 'queued') };
-    return { status: 200, body: writeAccepted(spec.id, answer.status) };
+    const result = await this.node.submit(spec);
+    if (result.kind === 'refused') return later(429, result.retryS, 'no plan meets the deadline');
+    if (result.kind === 'never')
+      return { status: 422, body: { error: `${result.needs} was never accepted` } };
+    if (result.kind === 'busy') return later(503, result.retryS, 'too many new jobs at once');
+    if (result.kind === 'accepted')
+      return { status: 201, body: writeAccepted(spec.id, result.cancelled ? 'cancelled' : 'queued') };
+    return { status: 200, body: writeAccepted(spec.id, result.status) };
   }
 
-  /** Why a job can never run here; null when it can. */
-  private whyNeverRuns(spec: JobSpec): string | null {
+  /** Returns the reason why a job can never run on this cluster, or null if it can. */
+  private findRejectionReason(spec: JobSpec): string | null {
     const { teams } = this.context.settings;
     const team = teams.find((t) => t.name === spec.team);
     if (teams.length > 0 && !team) return `unknown team ${spec.team}`;
@@ -129,29 +132,32 @@
       );
     if (!fits) return 'a task fits no allowed machine type';
     if (!team) return null;
-    const atOnce = spec.kind === 'array' ? 1 : spec.tasks;
-    if (team.cpusMax > 0 && atOnce * spec.cpus > team.cpusMax + 1e-6)
+    const concurrentTasks = spec.kind === 'array' ? 1 : spec.tasks;
+    if (team.cpusMax > 0 && concurrentTasks * spec.cpus > team.cpusMax + 1e-6)
       return 'more CPUs than the team may use';
-    if (team.gpusMax > 0 && atOnce * spec.gpus > team.gpusMax + 1e-6)
+    if (team.gpusMax > 0 && concurrentTasks * spec.gpus > team.gpusMax + 1e-6)
       return 'more GPUs than the team may use';
     return null;
   }
 
   private async status(id: string): Promise<HttpReply> {
-    const answer = isJobId(id) ? await this.node.status(id) : null;
-    if (!answer) return { status: 404, body: { error: 'no such job' } };
-    return { status: 200, body: writeStatus(id, answer.status, answer.done, answer.running) };
+    const status = isJobId(id) ? await this.node.status(id) : null;
+    if (!status) return { status: 404, body: { error: 'no such job' } };
+    return { status: 200, body: writeStatus(id, status.status, status.done, status.running) };
   }
 
-  private async list(r: HttpRequest): Promise<HttpReply> {
-    const { jobs, more } = await this.node.list(r.query.get('under') ?? '', r.query.get('after') ?? '');
+  private async list(request: HttpRequest): Promise<HttpReply> {
+    const { jobs, more } = await this.node.list(
+      request.query.get('under') ?? '',
+      request.query.get('after') ?? '',
+    );
     return { status: 200, body: writeJobList(jobs, more) };
   }
 
   private async cancel(id: string): Promise<HttpReply> {
-    const answer = isJobId(id) ? await this.node.cancel(id) : null;
-    if (!answer) return { status: 404, body: { error: 'no such job' } };
-    return { status: 200, body: writeAccepted(id, answer) };
+    const status = isJobId(id) ? await this.node.cancel(id) : null;
+    if (!status) return { status: 404, body: { error: 'no such job' } };
+    return { status: 200, body: writeAccepted(id, status) };
   }
 }
 
--- a/src/cloud/cloud.ts
+++ b/src/cloud/cloud.ts
@@ -1,4 +1,4 @@
-/** Requests to the cloud, within this node's share of its rate. */
+/** The client of the cloud's API, which limits its requests to this node's share of the rate limit. */
 
 import type { Clock } from '../clock/clock.js';
 import { RemoteServiceError } from '../errors/errors.js';
@@ -18,17 +18,17 @@
   writeRental,
 } from '../wire/cloud.js';
 
-/** The cloud refused a request, or did not answer it. */
+/** Thrown if a request exceeds the rate limit, is rejected, or gets no response or an unusable one. */
 export class CloudError extends RemoteServiceError {}
 
 const REQUEST_TIMEOUT_MS = 5000;
-/** How long a request waits for its turn within the rate. */
+/** Maximum time for which the rate limiter delays a request. */
 const RATE_WAIT_MS = 3000;
 const LIST_PAGE = 500;
-/** The largest share of the rate that one node takes while the others need less. */
+/** Maximum share of the rate limit that a node uses while the others need less. */
 const MAX_RATE_SHARE = 0.6;
 
-/** A client of the cloud; its methods throw `CloudError`. */
+/** A client of the cloud. Its methods throw `CloudError`. */
 export class Cloud {
   private readonly limiter: RateLimiter;
 
@@ -48,22 +48,24 @@
     );
   }
 
-  /** The machine types on offer. */
+  /** Returns the machine types that the cloud offers. */
   async types(): Promise<MachineType[]> {
-    const answer = await this.send('GET', CLOUD_PATHS.types, null);
-    const types = answer.status === 200 ? readTypes(answer.body) : null;
-    if (!types) throw new CloudError(`types: ${answer.status}`, false);
+    const response = await this.send('GET', CLOUD_PATHS.types, null);
+    const types = response.status === 200 ? readTypes(response.body) : null;
+    if (!types)
+      throw new CloudError(`cannot list machine types: unusable response, status ${response.status}`, false);
     return types;
   }
 
-  /** All machines that are rented, in as many pages as it takes. */
+  /** Returns all rented machines, requested page by page. */
   async list(): Promise<ListedMachine[]> {
     const all: ListedMachine[] = [];
     let after: string | null = null;
     for (;;) {
-      const answer = await this.send('GET', listPath(after, LIST_PAGE), null);
-      const page = answer.status === 200 ? readList(answer.body) : null;
-      if (!page) throw new CloudError(`list: ${answer.status}`, false);
+      const response = await this.send('GET', listPath(after, LIST_PAGE), null);
+      const page = response.status === 200 ? readList(response.body) : null;
+      if (!page)
+        throw new CloudError(`cannot list machines: unusable response, status ${response.status}`, false);
       all.push(...page.machines);
       const last = page.machines.at(-1);
       if (!page.more || !last) return all;
@@ -71,40 +73,46 @@
     }
   }
 
-  /** The ids of the machines rented; null when there is no capacity. The same request may be repeated until it is answered. */
-  async rent(r: Rental): Promise<string[] | null> {
-    const answer = await this.send(
+  /**
+   * Rents machines and returns their ids, or null if the cloud has no capacity. The same rental may be retried until
+   * it is answered.
+   */
+  async rent(rental: Rental): Promise<string[] | null> {
+    const response = await this.send(
       'POST',
       CLOUD_PATHS.machines,
-      writeRental(r.request, r.type, r.zone, r.spot, r.count),
+      writeRental(rental.request, rental.type, rental.zone, rental.spot, rental.count),
     );
-    if (answer.status === 503 && (answer.body as { error?: unknown } | null)?.error === 'no capacity')
+    if (response.status === 503 && (response.body as { error?: unknown } | null)?.error === 'no capacity')
       return null;
-    const rented = answer.status === 200 ? readRented(answer.body) : null;
-    if (!rented) throw new CloudError(`rent: ${answer.status}`, false);
+    const rented = response.status === 200 ? readRented(response.body) : null;
+    if (!rented)
+      throw new CloudError(`cannot rent machines: unusable response, status ${response.status}`, false);
     return rented;
   }
 
-  /** Returns machines to the cloud, in as many requests as it takes; those before one that fails are returned. */
+  /** Releases machines in batches of `RELEASE_LIMIT`. If a batch fails, the batches before it have been released. */
   async release(machines: string[]): Promise<void> {
     for (let i = 0; i < machines.length; i += RELEASE_LIMIT) {
-      const answer = await this.send(
+      const response = await this.send(
         'POST',
         CLOUD_PATHS.release,
         writeRelease(machines.slice(i, i + RELEASE_LIMIT)),
       );
-      if (answer.status !== 200) throw new CloudError(`release: ${answer.status}`, false);
+      if (response.status !== 200)
+        throw new CloudError(`cannot release machines: status ${response.status}`, false);
     }
   }
 
   private async send(method: string, path: string, body: object | null) {
     try {
-      // Lists and returns come before rentals: probing for capacity must not keep a node from seeing what it has.
+      // Lists and releases take precedence over rentals: a node that probes for capacity must still be able to list
+      // and release the machines that it has.
       const urgent = method === 'GET' || path === CLOUD_PATHS.release;
       await this.limiter.acquire(1, { urgent, maxWaitMs: RATE_WAIT_MS });
-      const answer = await this.http.request(this.addr, method, path, body, REQUEST_TIMEOUT_MS);
-      if (answer.status === 429) this.limiter.onRejected();
-      return answer;
+      const response = await this.http.request(this.addr, method, path, body, REQUEST_TIMEOUT_MS);
+      if (response.status === 429) this.limiter.onRejected();
+      return response;
     } catch (error) {
       if (error instanceof RateLimitExceededError)
         throw new CloudError(error.message, false, { cause: error });
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -1,4 +1,4 @@
-/** An HTTP/1.1 client that sends and receives JSON and keeps its connections open between requests. */
+/** An HTTP/1.1 client for JSON requests that reuses its connections. */
 
 import type net from 'node:net';
 import type { Clock, Timer } from '../clock/clock.js';
@@ -6,15 +6,18 @@
 import { ConnectionPool, type PoolLimits } from './connectionpool.js';
 import { type HttpMessage, MessageParser } from './parser.js';
 
-/** A response; its body is the JSON value, null where it is empty. */
+/** A response; `body` is the parsed JSON value, or null if the body is empty. */
 export interface HttpAnswer {
   status: number;
   body: unknown;
-  /** By lower-case name. */
+  /** Header values by lower-case name. */
   headers: Map<string, string>;
 }
 
-/** There was no usable response. `sent` is false only when the other side surely never gets the request. */
+/**
+ * Thrown if no usable response was received. `sent` is false only if the request is certain never to reach the
+ * server.
+ */
 export class HttpRequestError extends UnreachableError {
   constructor(
     message: string,
@@ -24,11 +27,11 @@
   }
 }
 
-/** Whatever sends requests: the client itself, or what stands in its place. */
+/** Sends HTTP requests; implemented by `HttpClient` and its substitutes. */
 export interface Requester {
   /**
-   * Sends a request to `addr` (`host:port`), with `body` as JSON unless it is null, and resolves with the response, whatever
-   * its status. Rejects with `HttpRequestError` when there is none within `timeoutMs`.
+   * Sends a request to `addr` (`host:port`), with `body` as JSON unless it is null, and resolves with the response of
+   * any status. Rejects with `HttpRequestError` if there is no usable response within `timeoutMs`.
    */
   request(
     addr: string,
@@ -39,18 +42,18 @@
   ): Promise<HttpAnswer>;
 }
 
-/** Bounds of a client. */
+/** Resource limits of a client. */
 export interface ClientOptions extends PoolLimits {
-  /** The longest body of a response. */
+  /** Maximum size of a response body. */
   bodyBytes: number;
-  /** Memory that all incomplete responses together may hold; the one that goes beyond fails. */
+  /** Maximum memory for all incomplete responses together; the request whose response exceeds it fails. */
   maxHeldBytes?: number;
 }
 
 const HEADER_BYTES = 16 * 1024;
 const MAX_HELD_BYTES = 48 * 1024 * 1024;
 
-/** Sends one request at a time on each connection. */
+/** An HTTP client that sends one request at a time per connection. */
 export class HttpClient implements Requester {
   private readonly pool: ConnectionPool;
   private readonly memory: ResponseMemory;
@@ -63,7 +66,7 @@
     this.memory = new ResponseMemory(options.maxHeldBytes ?? MAX_HELD_BYTES);
   }
 
-  /** Ends all connections, for good. */
+  /** Closes the idle connections at once and the others after their exchanges. */
   close(): void {
     this.pool.close();
   }
@@ -89,7 +92,7 @@
         memory: this.memory,
         onEnd: (state) => this.pool.release(addr, socket, state),
         resolve,
-        reject: (why, sent) => reject(new HttpRequestError(`${method} ${path}: ${why}`, sent)),
+        reject: (reason, sent) => reject(new HttpRequestError(`${method} ${path}: ${reason}`, sent)),
       }).start(text, timeoutMs);
     });
   }
@@ -104,7 +107,7 @@
   return `${method} ${path} HTTP/1.1\r\nHost: ${addr}\r\n${length}\r\n${payload}`;
 }
 
-/** Counts the bytes that incomplete responses hold. */
+/** Tracks the memory held by the incomplete responses of a client. */
 class ResponseMemory {
   heldBytes = 0;
 
@@ -123,14 +126,14 @@
   /** Called once, before the exchange resolves or rejects. */
   readonly onEnd: (state: 'reusable' | 'broken') => void;
   readonly resolve: (answer: HttpAnswer) => void;
-  readonly reject: (why: string, sent: boolean) => void;
+  readonly reject: (reason: string, sent: boolean) => void;
 }
 
-/** One request and its response on a connection. */
+/** A request and its response on one connection. */
 class Exchange {
   private timeout: Timer | null = null;
   private sent = false;
-  private over = false;
+  private ended = false;
   private heldBytes = 0;
 
   constructor(private readonly options: ExchangeOptions) {}
@@ -138,7 +141,7 @@
   start(text: string, timeoutMs: number): void {
     const { clock, socket } = this.options;
     this.timeout = clock.after(timeoutMs, () => this.fail('timeout'));
-    socket.once('failed', (why: string) => this.fail(why));
+    socket.once('failed', (reason: string) => this.fail(reason));
     socket.on('data', (data) => this.onData(data));
     socket.on('end', () => this.onClosed());
     if (socket.connecting) socket.once('connect', () => this.write(text));
@@ -152,19 +155,19 @@
 
   private onData(data: Buffer): void {
     const { parser, memory } = this.options;
-    const [first] = parser.feed(data);
-    if (first) {
-      this.onResponse(first);
+    const [response] = parser.feed(data);
+    if (response) {
+      this.onResponse(response);
       return;
     }
-    this.hold(parser.held);
+    this.setHeldBytes(parser.heldBytes);
     if (parser.failure) this.fail(parser.failure.message);
     else if (memory.exceeded) this.fail('too much at once');
   }
 
   private onClosed(): void {
-    const last = this.options.parser.finish();
-    if (last) this.onResponse(last);
+    const response = this.options.parser.finish();
+    if (response) this.onResponse(response);
     else this.fail('closed');
   }
 
@@ -177,26 +180,26 @@
       return;
     }
     if (!this.end(message.keepAlive ? 'reusable' : 'broken')) return;
-    this.options.resolve({ status: Number(message.start[1]), body, headers: message.headers });
+    this.options.resolve({ status: Number(message.startLine[1]), body, headers: message.headers });
   }
 
-  private fail(why: string): void {
-    if (this.end('broken')) this.options.reject(why, this.sent);
+  private fail(reason: string): void {
+    if (this.end('broken')) this.options.reject(reason, this.sent);
   }
 
-  /** False when the exchange is over already. */
+  /** Ends the exchange and hands its connection back; returns false if the exchange had already ended. */
   private end(state: 'reusable' | 'broken'): boolean {
-    if (this.over) return false;
-    this.over = true;
+    if (this.ended) return false;
+    this.ended = true;
     this.timeout?.cancel();
-    this.hold(0);
+    this.setHeldBytes(0);
     const { socket } = this.options;
     for (const event of ['data', 'end', 'connect']) socket.removeAllListeners(event);
     this.options.onEnd(state);
     return true;
   }
 
-  private hold(bytes: number): void {
+  private setHeldBytes(bytes: number): void {
     this.options.memory.heldBytes += bytes - this.heldBytes;
     this.heldBytes = bytes;
   }
--- a/src/http/connectionadmission.ts
+++ b/src/http/connectionadmission.ts
@@ -1,59 +1,61 @@
 /**
- * Which connections a server keeps when there are more than it has slots for. A slot is kept by what the connection's
- * requests have shown its client to be; a connection that has not completed a request yet is unidentified and is evicted
- * first.
+ * Admission control for a server's connections when there are not enough slots for all. Eviction priority depends on
+ * the kind of client, as identified by its requests. A connection that has not completed a request is unidentified
+ * and is evicted first.
  */
 
-/** What a connection's client is, as far as its requests have shown it. */
+/** The kind of a connection's client, as identified by its requests. */
 export type ConnectionKind = 'unidentified' | ClientKind;
-/** The clients of a server: users and their tools, health checks, and workers that send heartbeats. */
+/** The kinds of clients: users and their tools, health checks, and workers that send heartbeats. */
 export type ClientKind = 'user' | 'health' | 'worker';
 
-/** One open connection, as far as its admission is concerned. */
+/** The admission state of an open connection. */
 export interface ConnectionSlot {
-  /** The remote address, without the port. */
+  /** Remote address without the port. */
   readonly address: string;
   kind: ConnectionKind;
-  /** What it had sent when it was accepted has been read; before that, a request may be waiting to be read. */
+  /** Whether the data sent before the accept have been read; until then, a complete request may be unread. */
   initialDataRead: boolean;
-  /** Part of a request has been received, or one is being answered. */
+  /** Whether part of a request has been received or a request is being answered. */
   requestInProgress: boolean;
-  /** A user's request is being answered. */
+  /** Whether a user's request is being answered. */
   answeringUser: boolean;
-  /** Ends the connection. */
+  /** Closes the connection. */
   readonly evict: () => void;
 }
 
-/** This share of the slots is never held by users' requests that are being answered: it is left to workers and health checks. */
+/** Share of the slots that users' requests in progress never occupy, reserved for workers and health checks. */
 const RESERVED_SHARE = 0.4;
-/** Unidentified connections from one address may hold this share of the slots; beyond it the oldest of them are evicted at once. */
+/**
+ * Maximum share of the slots for unidentified connections of one address; beyond it, the oldest of them are evicted.
+ */
 const UNIDENTIFIED_SHARE_PER_ADDRESS = 0.125;
-/** From this share of open connections on, the server counts as near its capacity. */
+/** Share of occupied slots from which the server is considered near its capacity. */
 const NEAR_CAPACITY_SHARE = 0.75;
-/** So many connections of health checks are never evicted; more of them count as users. */
+/** Number of health check connections that are never evicted; any further ones are treated as users. */
 const MAX_HEALTH_SLOTS = 8;
-/** So many slots are kept free by evicting idle connections. */
+/** Number of slots that eviction tries to keep free. */
 const SPARE_SLOTS = 2;
 
-/** What the admission has done to connections and requests since the server was started. */
+/** Numbers of refused and evicted connections and of deferred requests since the start of the server. */
 export interface AdmissionCounts {
-  /** Connections ended as soon as they were accepted. */
+  /** Connections closed immediately after the accept. */
   refused: number;
-  /** Connections ended in favour of others. */
+  /** Connections closed in favour of others. */
   evicted: number;
-  /** Users' requests answered 503, since too many were being answered. */
+  /** Users' requests answered with status 503 because too many were in progress. */
   deferred: number;
 }
 
 /**
- * Assigns the slots. Pure bookkeeping: no sockets, no clock. Every step takes at most time in proportion to the number of
- * addresses with unidentified connections.
+ * Assigns the slots, without access to sockets or a clock. The time of each operation is at most linear in the number
+ * of addresses with unidentified connections and of connections with a request in progress.
  */
 export class ConnectionAdmission {
   readonly counts: AdmissionCounts = { refused: 0, evicted: 0, deferred: 0 };
-  /** The unidentified connections by address, the oldest first. */
+  /** Unidentified connections by address, oldest first. */
   private readonly unidentified = new Map<string, Set<ConnectionSlot>>();
-  /** The other connections in the order of their last requests, the longest idle first. */
+  /** Identified connections by kind, least recently used first. */
   private readonly identified: Record<ClientKind, Set<ConnectionSlot>> = {
     user: new Set(),
     health: new Set(),
@@ -62,24 +64,28 @@
   private open = 0;
   private answeringUsers = 0;
 
-  /** `capacity` is the number of slots. */
+  /** Creates an admission control with `capacity` slots. */
   constructor(readonly capacity: number) {}
 
-  /** Connections that are open. */
+  /** Number of open connections. */
   get openCount(): number {
     return this.open;
   }
 
-  /** Whether slots are scarce, so that unidentified connections get less time for their requests. */
+  /** Whether slots are scarce; if so, unidentified connections get less time for their requests. */
   get nearCapacity(): boolean {
     return this.open >= this.capacity * NEAR_CAPACITY_SHARE;
   }
 
-  /** The slot of a connection that has just been accepted, or null when it has to be ended. `evict` ends it later. */
+  /**
+   * Assigns a slot to a new connection; returns null if the connection must be closed. `evict` is called to close the
+   * connection if it is evicted later.
+   */
   admit(address: string, evict: () => void): ConnectionSlot | null {
-    const own = this.unidentified.get(address);
-    if (own && own.size >= this.maxUnidentifiedPerAddress && !this.evictOldest(own)) {
-      // All of them are new and may have requests waiting to be read. More are admitted only while slots are not scarce.
+    const sameAddress = this.unidentified.get(address);
+    if (sameAddress && sameAddress.size >= this.maxUnidentifiedPerAddress && !this.evictOldest(sameAddress)) {
+      // Even the oldest may have an unread request, so none is evicted. More are admitted only while slots are not
+      // scarce.
       if (this.nearCapacity) return this.refuse();
     }
     if (this.open >= this.capacity - SPARE_SLOTS && !this.evictFor(address)) {
@@ -109,20 +115,20 @@
     return null;
   }
 
-  /** A connection has ended. */
+  /** Frees the slot of a closed connection. */
   release(slot: ConnectionSlot): void {
     this.endUserRequest(slot);
     if (this.removeFromGroup(slot)) this.open--;
   }
 
-  /** Part of a request has been received. */
+  /** Records that part of a request has been received. */
   onRequestStarted(slot: ConnectionSlot): void {
     slot.requestInProgress = true;
   }
 
   /**
-   * A request is complete and, by its path, of a client of the kind `claimed`. False when it is a user's and too many of
-   * these are being answered.
+   * Admits a complete request whose path indicates a client of the kind `claimed`. Returns false if it is a user's
+   * request and too many of these are being answered.
    */
   tryServe(slot: ConnectionSlot, claimed: ClientKind): boolean {
     slot.requestInProgress = true;
@@ -137,7 +143,7 @@
     return true;
   }
 
-  /** A request has been answered, and its content has shown what the client is. */
+  /** Records that a request has been answered and that its content has identified the client. */
   onAnswered(slot: ConnectionSlot, kind: ClientKind): void {
     this.endUserRequest(slot);
     slot.requestInProgress = false;
@@ -146,9 +152,10 @@
 
   private identify(slot: ConnectionSlot, kind: ClientKind): void {
     if (!this.removeFromGroup(slot)) return;
-    const as = kind === 'health' && this.identified.health.size >= MAX_HEALTH_SLOTS ? 'user' : kind;
-    slot.kind = as;
-    this.identified[as].add(slot);
+    const effectiveKind =
+      kind === 'health' && this.identified.health.size >= MAX_HEALTH_SLOTS ? 'user' : kind;
+    slot.kind = effectiveKind;
+    this.identified[effectiveKind].add(slot);
   }
 
   private endUserRequest(slot: ConnectionSlot): void {
@@ -171,31 +178,35 @@
     return true;
   }
 
-  /** Evicts the oldest unidentified connection of an address, if its initial data have been read. */
+  /** Evicts the oldest of an address's unidentified connections if its initial data have been read. */
   private evictOldest(set: ReadonlySet<ConnectionSlot>): boolean {
-    // Those behind the first whose initial data have not been read are newer still.
+    // Only the first is examined: the others are newer, so if its initial data are unread, theirs most likely are too.
     for (const slot of set) return slot.initialDataRead && this.evict(slot);
     return false;
   }
 
   /**
-   * Evicts one connection in favour of another: unidentified ones of the address that has most of them; users, the longest
-   * idle first; then unidentified ones whose initial data have not been read, if their address floods; workers only after
-   * all of these, since a machine that is kept out loses its tasks.
+   * Evicts one connection in favour of a new one from `newAddress`, in this order of preference: the oldest
+   * unidentified connection of the address that has most of them; the longest idle user; a user whose request is
+   * incomplete; an unidentified connection whose initial data have not been read, if its address floods the server;
+   * the longest idle worker. Workers come last because a machine that cannot connect loses its tasks.
    */
   private evictFor(newAddress: string): boolean {
     const { largestRead, largestOther } = this.largestUnidentified(newAddress);
     if (largestRead && this.evictOldest(largestRead)) return true;
     if (this.evictIdle(this.identified.user) || this.evictUnanswered(this.identified.user)) return true;
-    const own = this.unidentified.get(newAddress)?.size ?? 0;
+    const ownCount = this.unidentified.get(newAddress)?.size ?? 0;
     const floodSize = this.maxUnidentifiedPerAddress;
-    if (largestOther && largestOther.size >= floodSize && largestOther.size > own)
+    if (largestOther && largestOther.size >= floodSize && largestOther.size > ownCount)
       return this.evict(largestOther.values().next().value!);
-    if (own >= floodSize) return false;
+    if (ownCount >= floodSize) return false;
     return this.evictIdle(this.identified.worker);
   }
 
-  /** The largest sets of one address: of those whose oldest's initial data have been read, and of the other addresses. */
+  /**
+   * Finds the address with most unidentified connections, once among the addresses whose oldest connection's initial
+   * data have been read, and once among the addresses other than `newAddress`. Returns the connections of each.
+   */
   private largestUnidentified(newAddress: string) {
     let largestRead: Set<ConnectionSlot> | null = null;
     let largestOther: Set<ConnectionSlot> | null = null;
@@ -207,7 +218,10 @@
     return { largestRead, largestOther };
   }
 
-  /** A user that has sent part of a request keeps its slot no longer than an unidentified connection that has. */
+  /**
+   * Evicts the least recently used connection that has no request being answered. A user with an incomplete request is
+   * protected no more than an unidentified connection with one.
+   */
   private evictUnanswered(slots: ReadonlySet<ConnectionSlot>): boolean {
     for (const slot of slots) if (!slot.answeringUser) return this.evict(slot);
     return false;
--- a/src/http/connectionpool.ts
+++ b/src/http/connectionpool.ts
@@ -1,66 +1,70 @@
-/** The client's open connections: which are idle, and how many there may be. */
+/** The connection pool of the HTTP client. */
 
 import net from 'node:net';
 import type { Clock } from '../clock/clock.js';
 import { type PeriodicTask, startPeriodicTask } from '../clock/periodictask.js';
 
-/** How many connections a pool may have open. */
+/** Limits on the number of open connections of a pool. */
 export interface PoolLimits {
-  /** In all. */
+  /** Maximum number of open connections in total. */
   maxSockets: number;
-  /** Connections to one address at once, so that one that is slow does not take all; no more than `maxSockets`. */
-  maxSocketsTo?: (addr: string) => number;
+  /**
+   * Maximum number of open connections to an address, so that a slow server cannot occupy all; `maxSockets` is the
+   * default and must not be exceeded.
+   */
+  maxSocketsPerAddress?: (addr: string) => number;
 }
 
 interface IdleSocket {
   readonly socket: net.Socket;
-  readonly since: number;
+  readonly idleSince: number;
 }
 
-/** An idle connection is ended after this time. */
+/** Idle connections are closed after this time. */
 const IDLE_MS = 15_000;
 const SWEEP_INTERVAL_MS = 5000;
 
 /**
- * Connections by address. Whoever has acquired one uses it alone until it is kept for the next or destroyed. A connection
- * emits `failed` with the reason (a text) when it breaks while it is in use.
+ * Keeps connections by address. An acquired connection is used exclusively until it is released. It emits `failed`
+ * with the reason as a string if it breaks while it is in use.
  */
 export class ConnectionPool {
-  /** By address, the longest idle first. */
+  /** Idle connections by address, longest idle first. */
   private readonly idle = new Map<string, IdleSocket[]>();
-  private readonly openTo = new Map<string, number>();
-  private open = 0;
+  private readonly openByAddress = new Map<string, number>();
+  private openCount = 0;
   private closed = false;
-  private readonly sweeping: PeriodicTask;
+  private readonly sweepTask: PeriodicTask;
 
   constructor(
     private readonly clock: Clock,
     private readonly limits: PoolLimits,
   ) {
-    this.sweeping = startPeriodicTask(clock, SWEEP_INTERVAL_MS, () => this.sweep());
+    this.sweepTask = startPeriodicTask(clock, SWEEP_INTERVAL_MS, () => this.sweep());
   }
 
-  /** Ends the idle connections now and those in use when they are released, for good. */
+  /** Closes the idle connections now and the others when they are released. */
   close(): void {
     this.closed = true;
-    this.sweeping.stop();
-    for (const list of this.idle.values()) for (const kept of list) kept.socket.destroy();
+    this.sweepTask.stop();
+    for (const idleSockets of this.idle.values())
+      for (const idleSocket of idleSockets) idleSocket.socket.destroy();
     this.idle.clear();
   }
 
-  /** An idle connection to an address or a new one, perhaps still connecting; null when there are too many. */
+  /** Returns an idle connection to `addr` or a new one that may still be connecting; null if a limit is reached. */
   acquire(addr: string): net.Socket | null {
-    const list = this.idle.get(addr);
-    for (let kept = list?.pop(); kept; kept = list?.pop()) {
-      if (!kept.socket.destroyed && kept.socket.writable) return kept.socket;
+    const idleSockets = this.idle.get(addr);
+    for (let idleSocket = idleSockets?.pop(); idleSocket; idleSocket = idleSockets?.pop()) {
+      if (!idleSocket.socket.destroyed && idleSocket.socket.writable) return idleSocket.socket;
     }
-    const openTo = this.openTo.get(addr) ?? 0;
-    if (openTo >= (this.limits.maxSocketsTo?.(addr) ?? this.limits.maxSockets)) return null;
-    if (this.open >= this.limits.maxSockets && !this.destroyOldestIdle()) return null;
+    const openToAddress = this.openByAddress.get(addr) ?? 0;
+    if (openToAddress >= (this.limits.maxSocketsPerAddress?.(addr) ?? this.limits.maxSockets)) return null;
+    if (this.openCount >= this.limits.maxSockets && !this.destroyOldestIdle()) return null;
     return this.connect(addr);
   }
 
-  /** The exchange on a connection is over; when that left it reusable, it is kept for the next one. */
+  /** Hands a connection back after an exchange; it is kept for reuse if `state` is `reusable`, else closed. */
   release(addr: string, socket: net.Socket, state: 'reusable' | 'broken'): void {
     if (state === 'reusable' && !socket.destroyed && !this.closed) this.keepIdle(addr, socket);
     else socket.destroy();
@@ -68,8 +72,8 @@
 
   private connect(addr: string): net.Socket {
     const colon = addr.lastIndexOf(':');
-    this.open++;
-    this.openTo.set(addr, (this.openTo.get(addr) ?? 0) + 1);
+    this.openCount++;
+    this.openByAddress.set(addr, (this.openByAddress.get(addr) ?? 0) + 1);
     const socket = net.connect({
       host: addr.slice(0, colon),
       port: Number(addr.slice(colon + 1)),
@@ -80,10 +84,10 @@
       socket.destroy();
     });
     socket.on('close', () => {
-      this.open--;
-      const left = (this.openTo.get(addr) ?? 1) - 1;
-      if (left > 0) this.openTo.set(addr, left);
-      else this.openTo.delete(addr);
+      this.openCount--;
+      const remaining = (this.openByAddress.get(addr) ?? 1) - 1;
+      if (remaining > 0) this.openByAddress.set(addr, remaining);
+      else this.openByAddress.delete(addr);
       socket.emit('failed', 'closed');
     });
     return socket;
@@ -91,21 +95,21 @@
 
   private keepIdle(addr: string, socket: net.Socket): void {
     socket.removeAllListeners('failed');
-    let list = this.idle.get(addr);
-    if (!list) {
-      list = [];
-      this.idle.set(addr, list);
+    let idleSockets = this.idle.get(addr);
+    if (!idleSockets) {
+      idleSockets = [];
+      this.idle.set(addr, idleSockets);
     }
-    list.push({ socket, since: this.clock.now() });
-    // An idle connection that the other side closes must not be used again.
+    idleSockets.push({ socket, idleSince: this.clock.now() });
+    // A connection that the server closes while it is idle must not be reused.
     socket.once('end', () => socket.destroy());
   }
 
   private destroyOldestIdle(): boolean {
-    for (const list of this.idle.values()) {
-      const kept = list.shift();
-      if (kept) {
-        kept.socket.destroy();
+    for (const idleSockets of this.idle.values()) {
+      const idleSocket = idleSockets.shift();
+      if (idleSocket) {
+        idleSocket.socket.destroy();
         return true;
       }
     }
@@ -113,10 +117,11 @@
   }
 
   private sweep(): void {
-    const limit = this.clock.now() - IDLE_MS;
-    for (const [addr, list] of this.idle) {
-      while (list[0] && (list[0].since < limit || list[0].socket.destroyed)) list.shift()!.socket.destroy();
-      if (list.length === 0) this.idle.delete(addr);
+    const expiredBefore = this.clock.now() - IDLE_MS;
+    for (const [addr, idleSockets] of this.idle) {
+      while (idleSockets[0] && (idleSockets[0].idleSince < expiredBefore || idleSockets[0].socket.destroyed))
+        idleSockets.shift()!.socket.destroy();
+      if (idleSockets.length === 0) this.idle.delete(addr);
     }
   }
 }
--- a/src/http/parser.ts
+++ b/src/http/parser.ts
@@ -1,25 +1,25 @@
-/** An HTTP/1.1 message parser that takes bytes as they are received, for requests and for responses. */
+/** An incremental HTTP/1.1 parser for requests and responses. */
 
 import { ProtocolViolationError } from '../errors/errors.js';
 
 /** A complete request or response. */
 export interface HttpMessage {
-  /** First line, split at its first two spaces. */
-  start: [string, string, string];
-  /** By lower-case name; repeated ones joined by commas. */
+  /** The start line, split at its first two spaces. */
+  startLine: [string, string, string];
+  /** Header values by lower-case name; those of repeated headers are joined by commas. */
   headers: Map<string, string>;
   body: Buffer;
   /** Whether the connection may be used for another message. */
   keepAlive: boolean;
 }
 
-/** The longest head (without the empty line) and body of a message. */
+/** Maximum sizes of the head (without its empty line) and the body of a message. */
 export interface ParserLimits {
   headerBytes: number;
   bodyBytes: number;
 }
 
-/** A message that cannot be accepted, with the status that a server replies with. */
+/** An invalid or too large message, with the status of the server's reply to it. */
 class ParseError extends ProtocolViolationError {
   constructor(
     readonly status: number,
@@ -29,28 +29,28 @@
   }
 }
 
-/** Which part of a message is expected next. */
+/** The part of a message that is expected next. */
 type ParserPhase = 'head' | 'fixed' | 'chunk-size' | 'chunk-data' | 'chunk-end' | 'trailer' | 'until-close';
 
 const TOKEN = /^[!#$%&'*+.^_`|~0-9A-Za-z-]+$/;
-/** A bare line end inside a value would be read differently by two parsers (request smuggling). */
+/** Two parsers may interpret a bare CR or LF in a header value differently, which enables request smuggling. */
 const FORBIDDEN_IN_VALUE = /[\0\r\n]/;
 const SINGLE_HEADERS = new Set(['content-length', 'transfer-encoding', 'host']);
 const MAX_CHUNK_LINE_BYTES = 1024;
 const EMPTY = Buffer.alloc(0);
 
-/** A body as it is received: memory and time in proportion to the bytes received, however small the pieces are. */
+/** Accumulates a body. Memory and time are linear in the bytes received, regardless of the size of the pieces. */
 class BodyBuffer {
   private buffer: Buffer = EMPTY;
   bytes = 0;
 
-  get held(): number {
+  get allocatedBytes(): number {
     return this.buffer.length;
   }
 
   append(data: Buffer): void {
     if (this.bytes === 0) {
-      // Most bodies are received in one piece and are not copied.
+      // Most bodies are received in one piece, so the first piece is not copied.
       this.buffer = data;
     } else {
       if (this.bytes + data.length > this.buffer.length) {
@@ -64,10 +64,10 @@
   }
 
   take(): Buffer {
-    const whole = this.buffer.subarray(0, this.bytes);
+    const body = this.buffer.subarray(0, this.bytes);
     this.buffer = EMPTY;
     this.bytes = 0;
-    return whole;
+    return body;
   }
 }
 
@@ -75,16 +75,19 @@
 export class MessageParser {
   private buffer: Buffer = EMPTY;
   private phase: ParserPhase = 'head';
-  private start: [string, string, string] = ['', '', ''];
+  private startLine: [string, string, string] = ['', '', ''];
   private headers = new Map<string, string>();
   private readonly body = new BodyBuffer();
   private bodyBytes = 0;
   private trailerBytes = 0;
   private expectedBytes = 0;
   private scannedBytes = 0;
-  /** The client waits for an interim reply before it sends the body (`Expect: 100-continue`); who sends that clears this. */
+  /**
+   * Whether the client waits for an interim response before it sends the body (`Expect: 100-continue`). Reset by the
+   * sender of that response.
+   */
   awaitsContinue = false;
-  /** Set by a client whose request gets a response without a body (HEAD). */
+  /** Set by a client if the response to its request has no body (HEAD). */
   noBody = false;
 
   constructor(
@@ -92,27 +95,27 @@
     private readonly limits: ParserLimits,
   ) {}
 
-  /** Whether part of a message has been received. */
-  get midway(): boolean {
+  /** Whether part of an incomplete message has been received. */
+  get messageInProgress(): boolean {
     return this.phase !== 'head' || this.buffer.length > 0;
   }
 
-  /** Bytes of memory that the incomplete message takes. */
-  get held(): number {
-    return this.buffer.length + this.body.held;
+  /** Memory held for the incomplete message, in bytes. */
+  get heldBytes(): number {
+    return this.buffer.length + this.body.allocatedBytes;
   }
 
-  /** Why nothing more can be parsed on this connection; further bytes are ignored. */
+  /** The error after which nothing more is parsed on this connection; further bytes are ignored. */
   failure: ParseError | null = null;
 
-  /** Takes bytes and returns the messages that they complete; `failure` is then set if the rest cannot be accepted. */
+  /** Parses `data` and returns the messages that it completes; sets `failure` if the rest is invalid or too large. */
   feed(data: Buffer): HttpMessage[] {
-    const out: HttpMessage[] = [];
-    if (this.failure) return out;
+    const messages: HttpMessage[] = [];
+    if (this.failure) return messages;
     this.buffer = this.buffer.length === 0 ? data : Buffer.concat([this.buffer, data]);
     try {
       for (let message = this.advance(); message !== 'more'; message = this.advance()) {
-        if (message !== 'again') out.push(message);
+        if (message !== 'again') messages.push(message);
       }
     } catch (error) {
       if (!(error instanceof ParseError)) throw error;
@@ -120,17 +123,20 @@
       this.buffer = EMPTY;
       this.body.take();
     }
-    return out;
+    return messages;
   }
 
-  /** The other side has closed the connection: completes a response without a length. */
+  /** Completes a response that is delimited by the end of the connection; call it when the peer has closed it. */
   finish(): HttpMessage | null {
     if (this.failure || this.phase !== 'until-close') return null;
-    const last = this.complete(false);
-    return last === 'again' ? null : last;
+    const message = this.complete(false);
+    return message === 'again' ? null : message;
   }
 
-  /** Parses the part that is expected next: a complete message, or whether to parse on or to wait for more bytes. */
+  /**
+   * Parses the part that is expected next. Returns a complete message, `again` if another part can be parsed, or
+   * `more` if more bytes are needed.
+   */
   private advance(): HttpMessage | 'more' | 'again' {
     switch (this.phase) {
       case 'head':
@@ -140,7 +146,7 @@
       case 'chunk-size':
         return this.readChunkSize();
       case 'chunk-data':
-        return this.takeExpected() ? this.enter('chunk-end') : 'more';
+        return this.takeExpected() ? this.enterPhase('chunk-end') : 'more';
       case 'chunk-end':
         return this.readChunkEnd();
       case 'trailer':
@@ -150,7 +156,7 @@
     }
   }
 
-  private enter(phase: ParserPhase): 'again' {
+  private enterPhase(phase: ParserPhase): 'again' {
     this.phase = phase;
     return 'again';
   }
@@ -158,19 +164,19 @@
   private readChunkSize(): 'more' | 'again' {
     const line = this.takeLine(MAX_CHUNK_LINE_BYTES);
     if (line === null) return 'more';
-    const size = /^([0-9a-fA-F]{1,8})[ \t]*(;.*)?$/.exec(line);
-    if (!size) throw new ParseError(400, 'bad chunk size');
-    this.expectedBytes = Number.parseInt(size[1]!, 16);
-    if (this.expectedBytes === 0) return this.enter('trailer');
+    const match = /^([0-9a-fA-F]{1,8})[ \t]*(;.*)?$/.exec(line);
+    if (!match) throw new ParseError(400, 'bad chunk size');
+    this.expectedBytes = Number.parseInt(match[1]!, 16);
+    if (this.expectedBytes === 0) return this.enterPhase('trailer');
     this.countBodyBytes(this.expectedBytes);
-    return this.enter('chunk-data');
+    return this.enterPhase('chunk-data');
   }
 
   private readChunkEnd(): 'more' | 'again' {
     const line = this.takeLine(8);
     if (line === null) return 'more';
     if (line !== '') throw new ParseError(400, 'bad chunk end');
-    return this.enter('chunk-size');
+    return this.enterPhase('chunk-size');
   }
 
   private readTrailer(): HttpMessage | 'more' | 'again' {
@@ -195,7 +201,7 @@
     if (this.bodyBytes > this.limits.bodyBytes) throw new ParseError(413, 'body too large');
   }
 
-  /** Moves the expected bytes received so far to the body; true when all have been received. */
+  /** Moves the expected bytes received so far to the body; returns whether all have been received. */
   private takeExpected(): boolean {
     const bytes = Math.min(this.expectedBytes, this.buffer.length);
     if (bytes > 0) this.body.append(this.buffer.subarray(0, bytes));
@@ -204,10 +210,10 @@
     return this.expectedBytes === 0;
   }
 
-  /** The next line without its end, or null while it is incomplete. */
+  /** Removes and returns the next line without its line end; returns null while the line is incomplete. */
   private takeLine(limit: number): string | null {
     const end = this.buffer.indexOf('\r\n');
-    // The same result however the line is split into pieces, also between the two bytes of its end.
+    // The result must not depend on how the line is split into pieces, even between the CR and the LF.
     if (end > limit || (end < 0 && this.buffer.length > limit + 1))
       throw new ParseError(400, 'line too long');
     if (end < 0) return null;
@@ -217,7 +223,7 @@
   }
 
   private readHead(): HttpMessage | 'more' | 'again' {
-    // Empty lines before a request line are allowed.
+    // Empty lines before the start line are ignored.
     while (this.buffer.length >= 2 && this.buffer[0] === 13 && this.buffer[1] === 10) {
       this.buffer = this.buffer.subarray(2);
     }
@@ -231,20 +237,20 @@
     if (end > this.limits.headerBytes) throw new ParseError(431, 'header too large');
     const lines = this.buffer.toString('latin1', 0, end).split('\r\n');
     this.buffer = this.buffer.subarray(end + 4);
-    this.readStart(lines[0]!);
+    this.readStartLine(lines[0]!);
     this.headers = new Map();
     for (let i = 1; i < lines.length; i++) this.readHeader(lines[i]!);
     if (this.kind === 'request') this.checkRequest();
     return this.beginBody();
   }
 
-  private readStart(line: string): void {
+  private readStartLine(line: string): void {
     const parts =
       this.kind === 'request'
         ? /^([!#$%&'*+.^_`|~0-9A-Za-z-]{1,32}) ([\x21-\x7e]{1,4096}) (HTTP\/1\.[01])$/.exec(line)
         : /^(HTTP\/1\.[01]) (\d{3})(?: (.*))?$/.exec(line);
     if (!parts) throw new ParseError(400, 'bad first line');
-    this.start = [parts[1]!, parts[2]!, parts[3] ?? ''];
+    this.startLine = [parts[1]!, parts[2]!, parts[3] ?? ''];
   }
 
   private readHeader(line: string): void {
@@ -253,24 +259,25 @@
     if (colon <= 0 || !TOKEN.test(name)) throw new ParseError(400, 'bad header');
     const value = line.slice(colon + 1).trim();
     if (FORBIDDEN_IN_VALUE.test(value)) throw new ParseError(400, 'bad header');
-    const before = this.headers.get(name);
-    // Two lengths, or a length beside chunks, let two parsers see two different bodies; two hosts, two servers.
-    if (before !== undefined && SINGLE_HEADERS.has(name)) throw new ParseError(400, `repeated ${name}`);
-    this.headers.set(name, before === undefined ? value : `${before}, ${value}`);
+    const previous = this.headers.get(name);
+    // With two lengths, or a length and chunked coding, two parsers may disagree on the body; with two hosts, on the
+    // server.
+    if (previous !== undefined && SINGLE_HEADERS.has(name)) throw new ParseError(400, `repeated ${name}`);
+    this.headers.set(name, previous === undefined ? value : `${previous}, ${value}`);
   }
 
-  /** What HTTP/1.1 requires of a request beyond its form (RFC 9112, 3.2 and 6.1; RFC 9110, 10.1.1). */
+  /** Checks the headers of a request as HTTP/1.1 requires (RFC 9112, 3.2 and 6.1; RFC 9110, 10.1.1). */
   private checkRequest(): void {
-    const modern = this.start[2] === 'HTTP/1.1';
-    if (modern && !this.headers.has('host')) throw new ParseError(400, 'no host');
-    if (!modern && this.headers.has('transfer-encoding')) throw new ParseError(400, 'bad transfer coding');
-    const expects = modern ? this.headers.get('expect') : undefined;
-    if (expects === undefined) return;
-    if (expects.toLowerCase() !== '100-continue') throw new ParseError(417, 'unknown expectation');
+    const isHttp11 = this.startLine[2] === 'HTTP/1.1';
+    if (isHttp11 && !this.headers.has('host')) throw new ParseError(400, 'no host');
+    if (!isHttp11 && this.headers.has('transfer-encoding')) throw new ParseError(400, 'bad transfer coding');
+    const expectation = isHttp11 ? this.headers.get('expect') : undefined;
+    if (expectation === undefined) return;
+    if (expectation.toLowerCase() !== '100-continue') throw new ParseError(417, 'unknown expectation');
     this.awaitsContinue = true;
   }
 
-  /** How the body is delimited, by the head (RFC 9112, 6.3). */
+  /** Determines from the head how the body is delimited (RFC 9112, 6.3). */
   private beginBody(): HttpMessage | 'again' {
     this.bodyBytes = 0;
     this.trailerBytes = 0;
@@ -280,34 +287,35 @@
       if (length !== undefined || coding.toLowerCase() !== 'chunked') {
         throw new ParseError(coding.toLowerCase() === 'chunked' ? 400 : 501, 'bad transfer coding');
       }
-      return this.enter('chunk-size');
+      return this.enterPhase('chunk-size');
     }
     if (length !== undefined) {
       if (!/^\d{1,15}$/.test(length)) throw new ParseError(400, 'bad length');
       this.expectedBytes = Number(length);
       if (this.expectedBytes > this.limits.bodyBytes) throw new ParseError(413, 'body too large');
-      return this.enter('fixed');
+      return this.enterPhase('fixed');
     }
-    const status = this.kind === 'response' ? Number(this.start[1]) : 0;
+    const status = this.kind === 'response' ? Number(this.startLine[1]) : 0;
     if (this.kind === 'request' || this.noBody || status === 204 || status === 304 || status < 200) {
       return this.complete(true);
     }
-    return this.enter('until-close');
+    return this.enterPhase('until-close');
   }
 
-  /** Ends a message; `framed` is false when only the end of the connection has delimited it. */
+  /** Completes a message; `framed` is false if it was delimited only by the end of the connection. */
   private complete(framed: boolean): HttpMessage | 'again' {
     this.phase = 'head';
     this.noBody = false;
     this.awaitsContinue = false;
     const body = this.body.take();
-    // Interim responses precede the final one; no request asks for another protocol.
-    if (this.kind === 'response' && this.start[1] === '101') throw new ParseError(400, 'protocol switched');
-    if (this.kind === 'response' && this.start[1].startsWith('1')) return 'again';
-    const version = this.kind === 'request' ? this.start[2] : this.start[0];
+    // Other interim responses are skipped; a protocol switch (101) is an error, because no request asks for one.
+    if (this.kind === 'response' && this.startLine[1] === '101')
+      throw new ParseError(400, 'protocol switched');
+    if (this.kind === 'response' && this.startLine[1].startsWith('1')) return 'again';
+    const version = this.kind === 'request' ? this.startLine[2] : this.startLine[0];
     const connection = (this.headers.get('connection') ?? '').toLowerCase();
     const keepAlive =
       framed && (version === 'HTTP/1.1' ? !connection.includes('close') : connection.includes('keep-alive'));
-    return { start: this.start, headers: this.headers, body, keepAlive };
+    return { startLine: this.startLine, headers: this.headers, body, keepAlive };
   }
 }
--- a/src/http/replies.ts
+++ b/src/http/replies.ts
@@ -1,23 +1,23 @@
-/** Replies that all parts give in the same words. */
+/** Common replies of the HTTP handlers. */
 
 import type { HttpReply } from './server.js';
 
-/** 400: the request is wrong. */
+/** Returns a reply with status 400 (bad request). */
 export function bad(error: string): HttpReply {
   return { status: 400, body: { error } };
 }
 
-/** `status` with the number of seconds after which the client should try again. */
+/** Returns a reply with `status` and a `Retry-After` header of `seconds`. */
 export function later(status: number, seconds: number, error: string): HttpReply {
   return { status, body: { error }, headers: { 'Retry-After': String(seconds) } };
 }
 
-/** 405; `allow` lists the methods that the path allows. */
+/** Returns a reply with status 405; `allow` lists the methods that the path allows. */
 export function wrongMethod(allow: string): HttpReply {
   return { status: 405, body: { error: 'method not allowed' }, headers: { Allow: allow } };
 }
 
-/** The JSON value of a body; undefined when it is not JSON. */
+/** Parses a body as JSON; returns undefined if it is not valid JSON. */
 export function parseBody(body: Buffer): unknown {
   try {
     return JSON.parse(body.toString('utf8'));
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,4 +1,6 @@
-/** An HTTP/1.1 server on Node's `net`: connections, time limits and replies, whatever is asked. */
+/**
+ * An HTTP/1.1 server on Node's `net`: connections, time limits and replies, independent of the content of requests.
+ */
 
 import net from 'node:net';
 import type { Clock } from '../clock/clock.js';
@@ -14,10 +16,10 @@
 /** A complete request. */
 export interface HttpRequest {
   method: string;
-  /** Without the query, not decoded. */
+  /** Path without the query, still percent-encoded. */
   path: string;
   query: URLSearchParams;
-  /** By lower-case name. */
+  /** Header values by lower-case name. */
   headers: Map<string, string>;
   body: Buffer;
 }
@@ -27,27 +29,30 @@
   status: number;
   body?: object;
   headers?: Record<string, string>;
-  /** What the content of the request has shown its client to be; a user unless set. */
-  from?: 'worker' | 'health';
+  /** The kind of client that the request's content has identified; a user if unset. */
+  clientKind?: 'worker' | 'health';
 }
 
-/** Answers a request; when it throws, the request is answered 503. */
+/** Answers a request; if it throws, the reply has status 503. */
 export type Handler = (request: HttpRequest) => Promise<HttpReply> | HttpReply;
 
-/** Bounds and hooks of a server; times in milliseconds. */
+/** Limits and callbacks of a server; times are in milliseconds. */
 export interface ServerOptions {
-  /** Connections at once, of all kinds. */
+  /** Maximum number of open connections of all kinds. */
   maxConnections: number;
-  /** The longest body of a request. */
+  /** Maximum size of a request body. */
   bodyBytes: number;
-  /** A request must be complete within this time of its first byte. */
+  /** Maximum time from the first byte of a request to its last. */
   requestMs: number;
-  /** An idle connection is ended after this time. */
+  /** Idle connections are closed after this time. */
   idleMs: number;
-  /** The kind of client that a request seems to come from, by its path alone. */
+  /** Guesses the kind of client from the path of a request. */
   classify?: (path: string) => ClientKind;
   onError: (error: unknown) => void;
-  /** Called at intervals when connections were evicted or refused: the counts since the last call. */
+  /**
+   * Called at intervals if connections were refused or evicted or requests deferred, with the counts since the last
+   * call.
+   */
   onOverload?: (counts: AdmissionCounts, open: number) => void;
 }
 
@@ -68,46 +73,49 @@
   503: 'Service Unavailable',
 };
 
-/** An open connection and its limits' state. */
+/** An open connection with the state of its limits. */
 interface Connection {
   socket: net.Socket;
   slot: ConnectionSlot;
   parser: MessageParser;
-  /** Complete requests not yet answered. */
+  /** Complete requests that have not been answered. */
   queue: HttpMessage[];
-  /** A request is being answered. */
-  busy: boolean;
-  /** The last reply has been sent; nothing more is read. */
+  /** Whether a request is being answered. */
+  answering: boolean;
+  /** Whether the last reply has been sent; further input is ignored. */
   closing: boolean;
-  /** When it was last idle, or when the first part of an incomplete request was received. */
-  since: number;
-  /** Bytes received since then. */
-  received: number;
-  /** Bytes of replies that the other side has not received, and since when they have not become fewer. */
-  unsent: number;
+  /** Start of the current idle time or, while a request is incomplete, the time of its first bytes. */
+  waitingSince: number;
+  /** Bytes received since `waitingSince`. */
+  receivedBytes: number;
+  /** Bytes of replies that are buffered because the client has not received them. */
+  unsentBytes: number;
+  /** Time since which `unsentBytes` has not decreased. */
   unsentSince: number;
 }
 
 const HEADER_BYTES = 8192;
-/** Requests are not pipelined; a client that does so anyway may have this many unanswered. */
+/** Maximum number of unanswered pipelined requests per connection; regular clients do not pipeline. */
 const MAX_QUEUED = 8;
 const SWEEP_INTERVAL_MS = 1000;
-/** Longer than this after the last sweep, the process was stalled: that is not the fault of the connections, which get the time back. */
+/** A longer interval between sweeps means that the process was stalled. Connections are not charged for the delay. */
 const STALL_MS = 2500;
-/** Replies that are not received: at most so many bytes at once, and for so long. */
+/** Maximum size of the buffered replies of a connection. */
 const MAX_UNSENT_BYTES = 256 * 1024;
+/** Maximum time for which a client may receive nothing of its buffered replies. */
 const UNSENT_MS = 10_000;
-/** After this time an incomplete request must have been received at this rate; near the server's capacity, sooner. */
+/** After this time, an incomplete request must have been received at the minimum rate `PROGRESS_BYTES_PER_S`. */
 const PROGRESS_MS = 4000;
+/** The same for unidentified connections while the server is near its capacity. */
 const PROGRESS_NEAR_CAPACITY_MS = 1500;
 const PROGRESS_BYTES_PER_S = 256;
-/** Memory that all connections together may hold for incomplete requests and replies not received. */
+/** Maximum memory for incomplete requests and buffered replies of all connections together. */
 const MAX_HELD_BYTES = 8 * 1024 * 1024;
 const REPORT_INTERVAL_MS = 5000;
 
 /**
- * Serves HTTP/1.1. Which connections are kept is up to `ConnectionAdmission`; this class enforces what a connection must do
- * to be kept: complete the requests that it has begun, and receive the replies.
+ * An HTTP/1.1 server. `ConnectionAdmission` decides which connections to admit and evict. This class closes
+ * connections that do not complete the requests that they have begun, or do not receive the replies, in time.
  */
 export class HttpServer {
   private readonly server: net.Server;
@@ -116,7 +124,7 @@
   private sweptAt: number;
   private reportedAt: number;
   private reportedCounts: AdmissionCounts = { refused: 0, evicted: 0, deferred: 0 };
-  private readonly sweeping: PeriodicTask;
+  private readonly sweepTask: PeriodicTask;
 
   constructor(
     private readonly clock: Clock,
@@ -129,10 +137,10 @@
     this.server.on('error', options.onError);
     this.sweptAt = clock.now();
     this.reportedAt = this.sweptAt;
-    this.sweeping = startPeriodicTask(clock, SWEEP_INTERVAL_MS, () => this.sweep());
+    this.sweepTask = startPeriodicTask(clock, SWEEP_INTERVAL_MS, () => this.sweep());
   }
 
-  /** Resolves with the port once the server is listening; rejects when the address cannot be bound. */
+  /** Starts listening and resolves with the port; rejects if the address cannot be bound. */
   listen(host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
@@ -143,14 +151,14 @@
     });
   }
 
-  /** Connections that are open. */
-  get open(): number {
+  /** Number of open connections. */
+  get openCount(): number {
     return this.admission.openCount;
   }
 
-  /** Stops listening and ends all connections, for good. */
+  /** Stops listening and closes all connections. */
   close(): void {
-    this.sweeping.stop();
+    this.sweepTask.stop();
     this.server.close();
     for (const c of this.connections) c.socket.destroy();
   }
@@ -167,15 +175,15 @@
       slot: slot,
       parser: new MessageParser('request', { headerBytes: HEADER_BYTES, bodyBytes: this.options.bodyBytes }),
       queue: [],
-      busy: false,
+      answering: false,
       closing: false,
-      since: now,
-      received: 0,
-      unsent: 0,
+      waitingSince: now,
+      receivedBytes: 0,
+      unsentBytes: 0,
       unsentSince: now,
     };
     this.connections.add(connection);
-    // What it sent before it was accepted is read in the next turn of the event loop.
+    // Data sent before the accept are read in the next iteration of the event loop.
     setImmediate(() => {
       setImmediate(() => {
         slot.initialDataRead = true;
@@ -189,64 +197,72 @@
     });
   }
 
-  private receive(c: Connection, data: Buffer): void {
-    if (c.closing) return;
-    if (!c.parser.midway) {
-      c.since = this.clock.now();
-      c.received = 0;
-      this.admission.onRequestStarted(c.slot);
+  private receive(connection: Connection, data: Buffer): void {
+    if (connection.closing) return;
+    if (!connection.parser.messageInProgress) {
+      connection.waitingSince = this.clock.now();
+      connection.receivedBytes = 0;
+      this.admission.onRequestStarted(connection.slot);
     }
-    c.received += data.length;
-    c.queue.push(...c.parser.feed(data));
-    if (c.queue.length > MAX_QUEUED || c.socket.writableLength > MAX_UNSENT_BYTES) {
-      c.socket.destroy();
+    connection.receivedBytes += data.length;
+    connection.queue.push(...connection.parser.feed(data));
+    if (connection.queue.length > MAX_QUEUED || connection.socket.writableLength > MAX_UNSENT_BYTES) {
+      connection.socket.destroy();
       return;
     }
-    if (c.parser.awaitsContinue) {
-      c.parser.awaitsContinue = false;
-      // The reply to an earlier request must not be overtaken.
-      if (!c.busy && c.queue.length === 0) c.socket.write('HTTP/1.1 100 Continue\r\n\r\n');
+    if (connection.parser.awaitsContinue) {
+      connection.parser.awaitsContinue = false;
+      // The interim response must not overtake the reply to an earlier request.
+      if (!connection.answering && connection.queue.length === 0)
+        connection.socket.write('HTTP/1.1 100 Continue\r\n\r\n');
     }
-    if (!c.busy && (c.queue.length > 0 || c.parser.failure)) void this.serve(c);
+    if (!connection.answering && (connection.queue.length > 0 || connection.parser.failure))
+      void this.serve(connection);
   }
 
-  private async serve(c: Connection): Promise<void> {
-    c.busy = true;
+  private async serve(connection: Connection): Promise<void> {
+    connection.answering = true;
     let kind: ClientKind = 'user';
-    for (let m = c.queue.shift(); m && !c.closing; m = c.queue.shift()) {
-      if (!this.admission.tryServe(c.slot, this.options.classify?.(m.start[1]) ?? 'user')) {
+    for (
+      let message = connection.queue.shift();
+      message && !connection.closing;
+      message = connection.queue.shift()
+    ) {
+      if (
+        !this.admission.tryServe(connection.slot, this.options.classify?.(message.startLine[1]) ?? 'user')
+      ) {
         this.send(
-          c,
+          connection,
           { status: 503, body: { error: 'too many requests at once' }, headers: { 'Retry-After': '1' } },
           false,
         );
         break;
       }
-      const reply = await this.answer(m);
-      kind = reply.from ?? 'user';
-      this.send(c, reply, m.keepAlive);
+      const reply = await this.callHandler(message);
+      kind = reply.clientKind ?? 'user';
+      this.send(connection, reply, message.keepAlive);
     }
-    // The complete requests before the one that cannot be parsed have been answered.
-    const { failure } = c.parser;
-    if (failure && !c.closing)
-      this.send(c, { status: failure.status, body: { error: failure.message } }, false);
-    c.busy = false;
-    c.since = this.clock.now();
-    c.received = 0;
-    if (!this.connections.has(c)) return;
-    this.admission.onAnswered(c.slot, kind);
-    if (c.parser.midway) this.admission.onRequestStarted(c.slot);
+    // All complete requests before the invalid one have been answered, so its error reply is sent in order.
+    const { failure } = connection.parser;
+    if (failure && !connection.closing)
+      this.send(connection, { status: failure.status, body: { error: failure.message } }, false);
+    connection.answering = false;
+    connection.waitingSince = this.clock.now();
+    connection.receivedBytes = 0;
+    if (!this.connections.has(connection)) return;
+    this.admission.onAnswered(connection.slot, kind);
+    if (connection.parser.messageInProgress) this.admission.onRequestStarted(connection.slot);
   }
 
-  private async answer(m: HttpMessage): Promise<HttpReply> {
+  private async callHandler(message: HttpMessage): Promise<HttpReply> {
     try {
-      const mark = m.start[1].indexOf('?');
+      const queryStart = message.startLine[1].indexOf('?');
       return await this.handler({
-        method: m.start[0],
-        path: mark < 0 ? m.start[1] : m.start[1].slice(0, mark),
-        query: new URLSearchParams(mark < 0 ? '' : m.start[1].slice(mark + 1)),
-        headers: m.headers,
-        body: m.body,
+        method: message.startLine[0],
+        path: queryStart < 0 ? message.startLine[1] : message.startLine[1].slice(0, queryStart),
+        query: new URLSearchParams(queryStart < 0 ? '' : message.startLine[1].slice(queryStart + 1)),
+        headers: message.headers,
+        body: message.body,
       });
     } catch (error) {
       this.options.onError(error);
@@ -254,81 +270,86 @@
     }
   }
 
-  private send(c: Connection, reply: HttpReply, keepAlive: boolean): void {
-    if (c.socket.destroyed) return;
+  private send(connection: Connection, reply: HttpReply, keepAlive: boolean): void {
+    if (connection.socket.destroyed) return;
     const body = reply.body === undefined ? '' : JSON.stringify(reply.body);
     let head = `HTTP/1.1 ${reply.status} ${REASONS[reply.status] ?? 'Other'}\r\nContent-Type: application/json\r\nContent-Length: ${Buffer.byteLength(body)}\r\n`;
     for (const [name, value] of Object.entries(reply.headers ?? {})) head += `${name}: ${value}\r\n`;
     if (!keepAlive) head += 'Connection: close\r\n';
-    c.socket.write(`${head}\r\n${body}`);
+    connection.socket.write(`${head}\r\n${body}`);
     if (!keepAlive) {
-      c.closing = true;
-      c.since = this.clock.now();
-      c.socket.end();
+      connection.closing = true;
+      connection.waitingSince = this.clock.now();
+      connection.socket.end();
     }
   }
 
-  /** Ends connections that are overdue, so that slow or half-open ones do not exhaust the node, and the largest if memory is short. */
+  /**
+   * Closes overdue connections, so that slow or half-open ones do not exhaust the node, and the connection that holds
+   * most memory if the total exceeds `MAX_HELD_BYTES`.
+   */
   private sweep(): void {
     const now = this.clock.now();
-    const lateMs = now - this.sweptAt - SWEEP_INTERVAL_MS;
+    const delayMs = now - this.sweptAt - SWEEP_INTERVAL_MS;
     this.sweptAt = now;
-    let held = 0;
+    let heldBytes = 0;
     let largest: Connection | null = null;
     let largestBytes = 0;
-    for (const c of this.connections) {
-      if (lateMs > STALL_MS - SWEEP_INTERVAL_MS) {
-        c.since = Math.min(now, c.since + lateMs);
-        c.unsentSince = Math.min(now, c.unsentSince + lateMs);
+    for (const connection of this.connections) {
+      if (delayMs > STALL_MS - SWEEP_INTERVAL_MS) {
+        connection.waitingSince = Math.min(now, connection.waitingSince + delayMs);
+        connection.unsentSince = Math.min(now, connection.unsentSince + delayMs);
       }
-      if (this.overdue(c, now)) {
-        c.socket.destroy();
+      if (this.isOverdue(connection, now)) {
+        connection.socket.destroy();
         continue;
       }
-      const bytes = c.parser.held + c.unsent;
-      held += bytes;
+      const bytes = connection.parser.heldBytes + connection.unsentBytes;
+      heldBytes += bytes;
       if (bytes > largestBytes) {
         largestBytes = bytes;
-        largest = c;
+        largest = connection;
       }
     }
-    if (held > MAX_HELD_BYTES) largest?.socket.destroy();
+    if (heldBytes > MAX_HELD_BYTES) largest?.socket.destroy();
     this.reportCounts(now);
   }
 
-  /** Whether a connection has exceeded one of its time limits; also updates what it has unsent. */
-  private overdue(c: Connection, now: number): boolean {
-    const unsent = c.socket.writableLength;
-    if (unsent === 0 || unsent < c.unsent) c.unsentSince = now;
-    c.unsent = unsent;
-    if (unsent > MAX_UNSENT_BYTES || now - c.unsentSince > UNSENT_MS) return true;
-    if (c.busy) return false;
-    const waited = now - c.since;
-    if (c.closing) return waited > this.options.requestMs;
-    const unidentified = c.slot.kind === 'unidentified';
-    if (!c.parser.midway && !(unidentified && c.received === 0)) return waited > this.options.idleMs;
-    if (waited > this.options.requestMs) return true;
-    const hurried = unidentified && this.admission.nearCapacity;
-    if (waited <= (hurried ? PROGRESS_NEAR_CAPACITY_MS : PROGRESS_MS)) return false;
-    // A connection opened ahead of need sends nothing, which is tolerated while slots are not scarce.
-    if (!c.parser.midway) return hurried;
-    return (c.received * 1000) / waited < PROGRESS_BYTES_PER_S;
+  /** Returns whether a connection has exceeded one of its limits; also updates its `unsentBytes` and `unsentSince`. */
+  private isOverdue(connection: Connection, now: number): boolean {
+    const unsentBytes = connection.socket.writableLength;
+    if (unsentBytes === 0 || unsentBytes < connection.unsentBytes) connection.unsentSince = now;
+    connection.unsentBytes = unsentBytes;
+    if (unsentBytes > MAX_UNSENT_BYTES || now - connection.unsentSince > UNSENT_MS) return true;
+    if (connection.answering) return false;
+    const waitedMs = now - connection.waitingSince;
+    if (connection.closing) return waitedMs > this.options.requestMs;
+    const unidentified = connection.slot.kind === 'unidentified';
+    if (!connection.parser.messageInProgress && !(unidentified && connection.receivedBytes === 0))
+      return waitedMs > this.options.idleMs;
+    if (waitedMs > this.options.requestMs) return true;
+    const useShortLimit = unidentified && this.admission.nearCapacity;
+    if (waitedMs <= (useShortLimit ? PROGRESS_NEAR_CAPACITY_MS : PROGRESS_MS)) return false;
+    // A connection opened in advance sends nothing until its first request. It is kept while slots are not scarce.
+    if (!connection.parser.messageInProgress) return useShortLimit;
+    return (connection.receivedBytes * 1000) / waitedMs < PROGRESS_BYTES_PER_S;
   }
 
   private reportCounts(now: number): void {
     if (now - this.reportedAt < REPORT_INTERVAL_MS) return;
     this.reportedAt = now;
     const { refused, evicted, deferred } = this.admission.counts;
-    const before = this.reportedCounts;
-    if (refused === before.refused && evicted === before.evicted && deferred === before.deferred) return;
+    const previous = this.reportedCounts;
+    if (refused === previous.refused && evicted === previous.evicted && deferred === previous.deferred)
+      return;
     this.reportedCounts = { refused, evicted, deferred };
     this.options.onOverload?.(
       {
-        refused: refused - before.refused,
-        evicted: evicted - before.evicted,
-        deferred: deferred - before.deferred,
+        refused: refused - previous.refused,
+        evicted: evicted - previous.evicted,
+        deferred: deferred - previous.deferred,
       },
-      this.open,
+      this.openCount,
     );
   }
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,5 +1,7 @@
 #!/usr/bin/env node
-/** A controller, unless the first argument is one of the commands; either loads only what it needs. */
+/**
+ * Runs a command of the CLI if the first argument names one, else a controller. Each loads only the modules it needs.
+ */
 const first = process.argv[2];
 if (first === undefined || first.startsWith('-')) await import('./program/controllerprogram.js');
 else await import('./cli/cli.js');
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -1,11 +1,11 @@
-/** Framing of the messages between controllers: a length of four bytes, big-endian, then a msgpack value. */
+/** Framing of messages between controllers: a big-endian length of four bytes, followed by a msgpack value. */
 
 import { Packr } from 'msgpackr';
 import { ProtocolViolationError } from '../errors/errors.js';
 
 /**
- * The messages, in the field names of the wire: a request (`q` is its id, `a` the arguments), a response to it (`r` is the
- * id of the request, `a` the value), an error in place of a response (`e` is its text), and a notification.
+ * A message, with the field names of the protocol: a request (`q` is its id, `a` the arguments), a response (`r` is
+ * the id of the request, `a` the value), an error response (`e` is its text), or a notification.
  */
 export type PeerMessage =
   | { q: number; op: string; a: unknown }
@@ -14,11 +14,11 @@
   | { op: string; a: unknown };
 
 const MAX_FRAME_BYTES = 1024 * 1024;
-/** Nothing more is sent on a connection while the other side has this much still to receive. */
+/** While more than this is buffered for sending on a connection, further messages to it are dropped. */
 export const MAX_UNSENT_BYTES = 1024 * 1024;
 const packr = new Packr({ useRecords: false });
 
-/** The bytes of one message, with its length. */
+/** Encodes a message as a frame: its length and its msgpack bytes. */
 export function encodeFrame(message: PeerMessage): Buffer {
   const body = packr.pack(message);
   const frame = Buffer.allocUnsafe(4 + body.length);
@@ -27,23 +27,23 @@
   return frame;
 }
 
-/** Takes bytes as they come and finds the messages in them. */
+/** Decodes the messages of one connection from its bytes, in pieces of any size. */
 export class FrameReader {
   private buffer: Buffer = Buffer.alloc(0);
-  /** Bytes of the message that `feed` yielded last, with its length. */
+  /** Size in bytes of the frame that `feed` decoded last, including its length prefix. */
   lastBytes = 0;
 
-  /** Until `allowAll`, no frame may be longer than `maxBytes`. */
+  /** Limits frames to `maxBytes` until `allowFullSize` is called. */
   constructor(private maxBytes = MAX_FRAME_BYTES) {}
 
-  /** The other side has identified itself: frames may be as long as any. */
-  allowAll(): void {
+  /** Raises the limit to the general maximum of a frame, once the peer has identified itself. */
+  allowFullSize(): void {
     this.maxBytes = MAX_FRAME_BYTES;
   }
 
   /**
-   * Yields the messages that these bytes complete, one by one: the first may allow the next to be longer. Throws on bytes
-   * that are no frame; the connection is then of no more use.
+   * Decodes the messages that `data` completes and yields them one at a time, because the handling of one message may
+   * raise the size limit for the next. Throws on malformed data; the connection must then be closed.
    */
   *feed(data: Buffer): Generator<PeerMessage> {
     this.buffer = this.buffer.length === 0 ? data : Buffer.concat([this.buffer, data]);
--- a/src/peer/mesh.ts
+++ b/src/peer/mesh.ts
@@ -1,6 +1,7 @@
 /**
- * Messages between the controllers, whatever they say. Each node keeps one connection to each other one, on which its own
- * requests leave and their responses come back; the requests of the others come in on connections that these have opened.
+ * Transport for messages between controllers, independent of their content. Each node keeps one connection to every
+ * other node, for its own requests and the responses to them; requests of other nodes arrive on the connections that
+ * they opened.
  */
 
 import type { Clock } from '../clock/clock.js';
@@ -11,22 +12,22 @@
 
 export { PeerRejectedError } from './peerlink.js';
 
-/** The other controllers, by the names of their nodes. */
+/** Connections to the other controllers, addressed by node name. */
 export interface Mesh {
   /**
-   * Sends a request to another node and resolves with its response. Rejects with `PeerRejectedError` when the node failed
-   * it or is too slow, with `UnreachableError` when the node did not respond at all.
+   * Sends a request to another node and resolves with its response. Rejects with `PeerRejectedError` if the node
+   * responded with an error or is alive but too slow, and with `UnreachableError` if the node did not respond at all.
    */
   request(node: string, op: string, args: unknown, timeoutMs: number): Promise<unknown>;
-  /** Sends a message that has no response; it may be lost. */
+  /** Sends a notification, without a response and without guaranteed delivery. */
   notify(node: string, op: string, args: unknown): void;
-  /** Whether the connection to another node is established, as far as this side knows. */
+  /** Returns whether the connection to a node is established; a lost one may not have been detected yet. */
   connected(node: string): boolean;
-  /** Whether the last attempt to connect was refused: nobody listens there, or a packet filter says so. */
+  /** Returns whether the last connection attempt was refused: no listener, or a rejection by a packet filter. */
   refused(node: string): boolean;
 }
 
-/** The mesh over TCP. */
+/** Implements `Mesh` over TCP. */
 export class PeerMesh implements Mesh {
   private readonly links = new Map<string, PeerLink>();
   private server: PeerServer | null = null;
@@ -36,16 +37,16 @@
     private readonly self: string,
     private readonly peers: readonly Peer[],
     private readonly onError: (error: unknown) => void,
-    /** A connection has been ended that did not identify itself as a controller. */
-    private readonly onRejected: (why: string) => void,
+    /** Called when a connection is closed because it did not identify itself as a controller. */
+    private readonly onRejected: (reason: string) => void,
   ) {}
 
-  /** Connects to the peers and listens for them. Resolves once it listens; rejects when the address cannot be bound. */
-  listen(at: Endpoint, handler: PeerHandler): Promise<void> {
+  /** Connects to the peers and listens for their connections. Rejects if the address cannot be bound. */
+  listen(endpoint: Endpoint, handler: PeerHandler): Promise<void> {
     const { clock, self, peers, onError, onRejected } = this;
     this.server = new PeerServer(clock, new Set(peers.map((p) => p.node)), { handler, onError, onRejected });
     for (const peer of peers) this.links.set(peer.node, new PeerLink(clock, self, peer));
-    return this.server.listen(at);
+    return this.server.listen(endpoint);
   }
 
   request(node: string, op: string, args: unknown, timeoutMs: number): Promise<unknown> {
@@ -67,7 +68,7 @@
     return this.links.get(node)?.refused === true;
   }
 
-  /** Ends all connections, for good. */
+  /** Stops listening and closes all connections without reconnecting. */
   close(): void {
     this.server?.close();
     for (const link of this.links.values()) link.close();
--- a/src/peer/peerlink.ts
+++ b/src/peer/peerlink.ts
@@ -1,4 +1,6 @@
-/** The outgoing connection to one peer: requests and notifications leave on it, and responses come back. */
+/**
+ * The outgoing connection to one peer, which carries this node's requests and notifications and the peer's responses.
+ */
 
 import net from 'node:net';
 import type { Clock, Timer } from '../clock/clock.js';
@@ -6,7 +8,9 @@
 import { SpartrayError, UnreachableError } from '../errors/errors.js';
 import { encodeFrame, FrameReader, MAX_UNSENT_BYTES, type PeerMessage } from './frames.js';
 
-/** The peer responded that it cannot do it, or is alive and does not respond in time: it is not to be asked again. */
+/**
+ * An error response of the peer, or a time-out while the peer is alive. The request must not be retried at this peer.
+ */
 export class PeerRejectedError extends SpartrayError {}
 
 interface PendingRequest {
@@ -15,12 +19,12 @@
   readonly timeout: Timer;
 }
 
-/** A connection that is not established by then is given up. */
+/** Time limit for establishing a connection. */
 const CONNECT_TIMEOUT_MS = 1500;
-/** Pause between the end of a connection and the next attempt. */
+/** Delay between the end of a connection, or of an attempt to connect, and the next attempt. */
 const RECONNECT_DELAY_MS = 300;
 
-/** One outgoing connection to a peer, opened again whenever it breaks. */
+/** An outgoing connection to a peer that reconnects after every failure. */
 export class PeerLink {
   private socket: net.Socket | null = null;
   private ready = false;
@@ -30,7 +34,7 @@
   private lastAttemptRefused = false;
   private readonly pending = new Map<number, PendingRequest>();
 
-  /** Connects at once; `self` is the name that this node gives as its own. */
+  /** Starts connecting; `self` is the name by which this node identifies itself to the peer. */
   constructor(
     private readonly clock: Clock,
     private readonly self: string,
@@ -39,7 +43,7 @@
     this.connect();
   }
 
-  /** As `Mesh.request`. */
+  /** Implements `Mesh.request` for this peer. */
   request(op: string, args: unknown, timeoutMs: number): Promise<unknown> {
     return new Promise((resolve, reject) => {
       if (!this.ready) {
@@ -57,32 +61,33 @@
     });
   }
 
-  /** As `Mesh.notify`. */
+  /** Implements `Mesh.notify` for this peer. */
   notify(op: string, args: unknown): void {
     if (this.ready) this.write({ op, a: args });
   }
 
-  /** Whether the connection is established, as far as this side knows. */
+  /** Whether the connection is established; its loss may not have been detected yet. */
   get connected(): boolean {
     return this.ready;
   }
 
-  /** Whether the last attempt to connect was refused. */
+  /** Whether the last connection attempt was refused. */
   get refused(): boolean {
     return this.lastAttemptRefused;
   }
 
-  /** Ends the connection, for good. */
+  /** Closes the connection without reconnecting. */
   close(): void {
     this.closed = true;
     this.socket?.destroy();
   }
 
-  /** What a request fails with that was sent at `sentAt` and got no response in time. */
+  /** Returns the error for a request sent at `sentAt` that timed out; reconnects if nothing was received since. */
   private onRequestTimeout(sentAt: number): Error {
-    // A node that answers others is only slow. To ask it once more in another way would make it slower still.
+    // The peer has sent other responses since, so it is alive but slow. A retry by another route would slow it more.
     if (this.lastReceivedAt > sentAt) return new PeerRejectedError(`${this.peer.node} is busy`);
-    // A cut may hold packets for minutes; a new connection finds out sooner that it is over.
+    // A network partition can delay packets on this connection for minutes, even after it has healed. A new connection
+    // detects sooner that the peer is reachable again.
     this.socket?.destroy();
     return new UnreachableError(`${this.peer.node} does not answer`);
   }
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -1,4 +1,6 @@
-/** Incoming connections of the other controllers: who may connect, and how requests are answered. */
+/**
+ * Incoming connections of the other controllers: identification of the peer, connection limits and request handling.
+ */
 
 import net from 'node:net';
 import type { Clock, Timer } from '../clock/clock.js';
@@ -6,33 +8,35 @@
 import { ProtocolViolationError, UnavailableError } from '../errors/errors.js';
 import { encodeFrame, FrameReader, MAX_UNSENT_BYTES, type PeerMessage } from './frames.js';
 
-/** Handles a request or notification of the peer `from`; what it returns is the response to a request. */
+/** Handles a request or notification of the peer `from`; the returned value is the response to a request. */
 export type PeerHandler = (op: string, args: unknown, from: string) => Promise<unknown> | unknown;
 
-/** What the incoming connections report to. */
+/** The request handler and the error callbacks of a `PeerServer`. */
 export interface PeerServerOptions {
   readonly handler: PeerHandler;
   readonly onError: (error: unknown) => void;
-  /** A connection has been ended that did not identify itself as a controller; `why` is for the log. */
-  readonly onRejected: (why: string) => void;
+  /**
+   * Called when a connection is closed because it did not identify itself as a controller; `reason` is for the log.
+   */
+  readonly onRejected: (reason: string) => void;
 }
 
-/** Whoever connects must identify itself within this time, and is accepted only under the name of another controller. */
+/** A client must identify itself within this time; only the names of the other controllers are accepted. */
 const HELLO_TIMEOUT_MS = 3000;
-/** The longest frame before that. */
+/** Maximum length of a frame before the client has identified itself. */
 const MAX_HELLO_BYTES = 1024;
 const MAX_ANONYMOUS = 16;
-/** Connections of one controller: a new one, and the one before that may be cut off without knowing it. */
+/** Connections per controller: the current one and its predecessor, whose loss may not have been detected yet. */
 const MAX_PER_PEER = 2;
-/** Requests of one connection that are being answered at once. */
+/** Maximum number of requests and notifications of one connection that are handled concurrently. */
 const MAX_IN_PROGRESS = 512;
 
-/** Listens for the other controllers and serves their connections. */
+/** Accepts connections of the other controllers and serves their requests. */
 export class PeerServer {
   private readonly server: net.Server;
   private readonly connections: IncomingConnections;
 
-  /** `peers` are the names of the controllers that may connect. */
+  /** Creates a server that accepts only controllers whose names are in `peers`. */
   constructor(clock: Clock, peers: ReadonlySet<string>, options: PeerServerOptions) {
     this.connections = new IncomingConnections(peers);
     this.server = net.createServer(
@@ -42,25 +46,25 @@
     this.server.on('error', options.onError);
   }
 
-  /** Resolves once the server is listening; rejects when the address cannot be bound. */
-  listen(at: Endpoint): Promise<void> {
+  /** Starts listening; rejects if the address cannot be bound. */
+  listen(endpoint: Endpoint): Promise<void> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
-      this.server.listen({ host: at.host, port: at.port }, () => {
+      this.server.listen({ host: endpoint.host, port: endpoint.port }, () => {
         this.server.off('error', reject);
         resolve();
       });
     });
   }
 
-  /** Stops listening and ends all connections, for good. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.server.close();
     this.connections.destroyAll();
   }
 }
 
-/** The open sockets, each group in the order in which they connected; a new one ends the oldest beyond the bound. */
+/** The open sockets, anonymous or by peer, the oldest first. Beyond a group's limit, the oldest one is closed. */
 class IncomingConnections {
   private readonly anonymous = new Set<net.Socket>();
   private readonly byPeer = new Map<string, Set<net.Socket>>();
@@ -71,13 +75,13 @@
     return this.peers.has(name);
   }
 
-  /** Adds a connection that has not identified itself yet. */
+  /** Adds a connection whose client has not identified itself yet. */
   add(socket: net.Socket): void {
     this.anonymous.add(socket);
     destroyOldest(this.anonymous, MAX_ANONYMOUS);
   }
 
-  /** A connection has identified itself as that of a peer. */
+  /** Moves a connection from the anonymous ones to those of the peer that its client has named. */
   identify(socket: net.Socket, peer: string): void {
     this.anonymous.delete(socket);
     const sockets = this.byPeer.get(peer);
@@ -85,18 +89,19 @@
     else destroyOldest(sockets.add(socket), MAX_PER_PEER);
   }
 
-  /** A connection has ended; `peer` is null if it had not identified itself. */
+  /** Removes a closed connection; `peer` is null if its client had not identified itself. */
   remove(socket: net.Socket, peer: string | null): void {
     this.anonymous.delete(socket);
     if (peer !== null) this.byPeer.get(peer)?.delete(socket);
   }
 
   destroyAll(): void {
-    for (const sockets of [this.anonymous, ...this.byPeer.values()]) for (const s of sockets) s.destroy();
+    for (const sockets of [this.anonymous, ...this.byPeer.values()])
+      for (const socket of sockets) socket.destroy();
   }
 }
 
-/** Ends the oldest sockets as long as there are more than `max`. */
+/** Closes the oldest sockets beyond `max`. */
 function destroyOldest(sockets: Set<net.Socket>, max: number): void {
   for (const socket of sockets) {
     if (sockets.size <= max) return;
@@ -105,11 +110,11 @@
   }
 }
 
-/** One incoming connection, from the accept to its end. */
+/** An incoming connection: identifies the peer, then handles its requests and notifications. */
 class IncomingConnection {
   private readonly reader = new FrameReader(MAX_HELLO_BYTES);
   private readonly helloTimeout: Timer;
-  /** Null until the other side has identified itself. */
+  /** The name of the peer; null until it has identified itself. */
   private peer: string | null = null;
   private inProgress = 0;
 
@@ -136,7 +141,7 @@
         if (!('op' in message)) continue;
         if (message.op === 'hello') this.onHello(String(message.a));
         else if (this.peer === null) throw new ProtocolViolationError('request before hello');
-        else void this.answer(message, this.peer);
+        else void this.handle(message, this.peer);
       }
     } catch (error) {
       if (this.peer === null) this.options.onRejected(String(error));
@@ -150,12 +155,12 @@
       throw new ProtocolViolationError(`hello with unknown name ${name.slice(0, 80)}`);
     this.peer = name;
     this.helloTimeout.cancel();
-    this.reader.allowAll();
+    this.reader.allowFullSize();
     this.connections.identify(this.socket, name);
   }
 
-  /** Handles a request or, without `q`, a notification. */
-  private async answer(message: { q?: number; op: string; a: unknown }, from: string): Promise<void> {
+  /** Handles a request or, if `q` is missing, a notification. */
+  private async handle(message: { q?: number; op: string; a: unknown }, from: string): Promise<void> {
     let response: PeerMessage | null = null;
     this.inProgress++;
     try {
--- a/src/program/commandline.ts
+++ b/src/program/commandline.ts
@@ -1,29 +1,29 @@
-/** The controller's command line: its options, its exit codes, and how it reports what makes it exit. */
+/** The controller's command line: options, exit codes and the reporting of fatal errors. */
 
 import { Command, InvalidArgumentError, Option } from 'commander';
 import { LEVELS } from '../config/log.js';
 import { version } from '../config/version.js';
 
-/** The command line or the settings file cannot be used. */
+/** Exit code for an invalid command line or settings file. */
 export const EXIT_SETTINGS = 2;
-/** An address to listen at cannot be bound. */
+/** Exit code if a listening address cannot be bound. */
 export const EXIT_BIND = 3;
 
-/** The options of the controller's command line, as `commander` hands them over. */
+/** Options of the controller's command line as parsed by `commander`. */
 export interface ControllerOptions {
   /** Path of the settings file. */
   readonly config: string;
-  /** Only validate the settings, then exit. */
+  /** Validate the settings and exit. */
   readonly check?: boolean;
-  /** One of `LEVELS`. */
+  /** Log level: one of `LEVELS`. */
   readonly logLevel: string;
-  /** Factor by which all clocks run fast; 1 outside of trials. */
+  /** Factor by which all clocks are accelerated; 1 except in tests on a single machine. */
   readonly clockSpeed: number;
   /** Serve HTCondor submit files. */
   readonly condor?: boolean;
-  /** The team of processes without an accounting group. */
+  /** Team of HTCondor processes without an accounting group. */
   readonly condorTeam?: string;
-  /** `host:port` to which descriptions of jobs made here are uploaded. */
+  /** `host:port` to which the descriptions of jobs created by this controller are uploaded. */
   readonly depot?: string;
   /** Keep a warm standby for every shard. */
   readonly standby?: boolean;
@@ -31,30 +31,33 @@
   readonly endWithStdin?: boolean;
 }
 
-/** Reports an error on standard error and exits the process. */
+/** Prints an error to standard error and exits the process. */
 export function exitWithError(code: number, message: string): never {
   process.stderr.write(`spartray: ${message}\n`);
   process.exit(code);
 }
 
 function parseClockSpeed(text: string): number {
-  const times = Number(text);
-  if (!(times >= 1 && times <= 100)) throw new InvalidArgumentError('from 1 to 100');
-  return times;
+  const factor = Number(text);
+  if (!(factor >= 1 && factor <= 100)) throw new InvalidArgumentError('from 1 to 100');
+  return factor;
 }
 
-/** The controller's command; `action` runs with the parsed options. Wrong options exit with `EXIT_SETTINGS`. */
+/**
+ * Creates the controller's command, which runs `action` with the parsed options. Invalid options exit with
+ * `EXIT_SETTINGS`.
+ */
 export function controllerCommand(action: (options: ControllerOptions) => Promise<void>): Command {
   return new Command('spartray')
     .description('A controller of the spartray cluster scheduler.')
     .version(version())
-    .requiredOption('--config <file>', 'settings file that the platform hands over (TOML)')
+    .requiredOption('--config <file>', 'settings file of the platform (TOML)')
     .option('--check', 'check the settings and exit')
     .addOption(
-      new Option('--log-level <level>', 'amount of logging').choices(LEVELS).env('LOG_LEVEL').default('info'),
+      new Option('--log-level <level>', 'log level').choices(LEVELS).env('LOG_LEVEL').default('info'),
     )
     .addOption(
-      new Option('--clock-speed <times>', 'run all clocks so many times as fast (trials on one machine)')
+      new Option('--clock-speed <times>', 'factor by which all clocks are accelerated (tests on one machine)')
         .argParser(parseClockSpeed)
         .default(1),
     )
@@ -64,19 +67,24 @@
       ),
     )
     .addOption(
-      new Option('--condor-team <team>', 'the team of processes without an accounting group').env(
+      new Option('--condor-team <team>', 'team of HTCondor processes without an accounting group').env(
         'SPARTRAY_CONDOR_TEAM',
       ),
     )
     .addOption(
-      new Option('--depot <host:port>', 'where descriptions of jobs made here are uploaded').env(
-        'SPARTRAY_DEPOT',
+      new Option(
+        '--depot <host:port>',
+        'upload address for the descriptions of jobs created by this controller',
+      ).env('SPARTRAY_DEPOT'),
+    )
+    .addOption(
+      new Option('--standby', 'keep a warm standby for every shard (docs/standby.md)').env(
+        'SPARTRAY_STANDBY',
       ),
     )
     .addOption(
-      new Option('--standby', 'a warm standby for every shard (docs/standby.md)').env('SPARTRAY_STANDBY'),
+      new Option('--end-with-stdin', 'shut down at the end of standard input (tests on one machine)'),
     )
-    .addOption(new Option('--end-with-stdin', 'end when the standard input does (trials on one machine)'))
     .addHelpText('after', '\nCommands beside the controller: spartray help')
     .action(action)
     .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : EXIT_SETTINGS));
--- a/src/program/compose.ts
+++ b/src/program/compose.ts
@@ -1,4 +1,4 @@
-/** What a controller process consists of and how its parts are wired; nothing is listening or running yet. */
+/** Creates the components of a controller process and connects them, without starting them. */
 
 import { randomUUID } from 'node:crypto';
 import { Api, classifyRequest } from '../api/routes.js';
@@ -16,28 +16,30 @@
 import { StateStore } from '../state/statestore.js';
 import type { ControllerOptions } from './commandline.js';
 
-/** Connections to one worker at once: most orders go one after the other. */
+/**
+ * Maximum number of connections to a worker; a few suffice because most commands to a worker are sent sequentially.
+ */
 const SOCKETS_PER_WORKER = 4;
-/** The longest answer of the key-value store or the cloud. */
-const MAX_SERVICE_ANSWER_BYTES = 32 * 1024 * 1024;
-/** The longest answer of a worker or of any other service. */
-const MAX_WORKER_ANSWER_BYTES = 1024 * 1024;
-/** The longest body of a request of a user or worker. */
+/** Maximum size of a response of the key-value store or the cloud. */
+const MAX_SERVICE_RESPONSE_BYTES = 32 * 1024 * 1024;
+/** Maximum size of a response of a worker or of any other service. */
+const MAX_WORKER_RESPONSE_BYTES = 1024 * 1024;
+/** Maximum size of the body of a request of a user or worker. */
 const MAX_REQUEST_BYTES = 64 * 1024;
 const REQUEST_TIMEOUT_MS = 10_000;
 const IDLE_TIMEOUT_MS = 90_000;
 
-/** The parts of a controller process that its lifecycle starts and stops. */
+/** The components of a controller process that the program starts and stops. */
 export interface Controller {
   readonly clock: Clock;
   readonly node: ControllerNode;
   /** Connections to the other controllers. */
   readonly mesh: PeerMesh;
-  /** Serves users and workers. */
+  /** HTTP server for users and workers. */
   readonly server: HttpServer;
 }
 
-/** Makes all parts of a controller; optional ones are loaded only where the options enable them. */
+/** Creates all components of a controller; loads optional ones only if the options enable them. */
 export async function composeController(
   settings: Settings,
   options: ControllerOptions,
@@ -60,9 +62,10 @@
     api.mounts.set('/condor/', (request) => service.handle(request));
     service.start();
   }
-  const onError = (error: unknown) => log.error({ err: error }, 'error');
+  const onError = (error: unknown) =>
+    log.error({ err: error }, 'unexpected error in the peer or HTTP server');
   const mesh = new PeerMesh(clock, settings.node, settings.peers, onError, (why) =>
-    log.debug({ why }, 'connection to the peer address refused'),
+    log.debug({ why }, 'connection to the peer address closed: the client is not a known controller'),
   );
   const server = new HttpServer(clock, (request) => api.handle(request), {
     maxConnections: allocateSockets(settings.limits.maxSockets).incoming,
@@ -71,24 +74,31 @@
     requestMs: REQUEST_TIMEOUT_MS,
     idleMs: IDLE_TIMEOUT_MS,
     onError,
-    onOverload: (counts, open) => log.warn({ ...counts, open }, 'connections short'),
+    onOverload: (counts, open) =>
+      log.warn(
+        { ...counts, open },
+        'connection slots short: connections refused or evicted, or requests deferred',
+      ),
   });
   return { clock, node, mesh, server };
 }
 
-/** What the parts of the node share: clients of the services around it, and the tables of names. */
+/**
+ * Creates the context that the components share: settings, name tables, and clients of external services and workers.
+ */
 function composeContext(settings: Settings, clock: Clock, log: Log): ControllerContext {
   const sockets = allocateSockets(settings.limits.maxSockets);
   const services = new HttpClient(clock, {
     maxSockets: sockets.services,
-    // A cloud that trickles must not keep a lease from renewal.
-    maxSocketsTo: (addr) => (addr === settings.cloud ? Math.ceil(sockets.services / 4) : sockets.services),
-    bodyBytes: MAX_SERVICE_ANSWER_BYTES,
+    // A slow cloud must not occupy all sockets, because lease renewals at the key-value store need them too.
+    maxSocketsPerAddress: (addr) =>
+      addr === settings.cloud ? Math.ceil(sockets.services / 4) : sockets.services,
+    bodyBytes: MAX_SERVICE_RESPONSE_BYTES,
   });
   const workers = new HttpClient(clock, {
     maxSockets: sockets.workers,
-    maxSocketsTo: () => SOCKETS_PER_WORKER,
-    bodyBytes: MAX_WORKER_ANSWER_BYTES,
+    maxSocketsPerAddress: () => SOCKETS_PER_WORKER,
+    bodyBytes: MAX_WORKER_RESPONSE_BYTES,
   });
   const names = new NameTables();
   for (const team of settings.teams) names.teams.index(team.name);
@@ -111,7 +121,7 @@
   };
 }
 
-/** Loaded on demand: optional parts cost nothing where they are not enabled. */
+/** Loads the HTCondor components on demand, so that they cost nothing where they are disabled. */
 async function loadCondor() {
   const [{ ClassAdMatcher }, { CondorService }] = await Promise.all([
     import('../condor/matcher.js'),
--- a/src/program/controllerprogram.ts
+++ b/src/program/controllerprogram.ts
@@ -1,4 +1,4 @@
-/** The controller as a program: checks its settings, starts and listens, and leaves the cluster when it is ended. */
+/** The controller program: validates the settings, starts the controller, and hands its shards over on shutdown. */
 
 import { nodeLease } from '../config/bounds.js';
 import { type Log, makeLog } from '../config/log.js';
@@ -12,8 +12,8 @@
 } from './commandline.js';
 import { type Controller, composeController } from './compose.js';
 
-/** A planned end waits no longer than this for the shards to be handed over. */
-const LEAVE_MS = 2000;
+/** Maximum time for the handover of the shards on a planned shutdown. */
+const LEAVE_TIMEOUT_MS = 2000;
 
 async function main(options: ControllerOptions): Promise<void> {
   const settings = readSettings(options.config);
@@ -33,27 +33,31 @@
 function reportCheck(settings: Settings): void {
   process.stdout.write('settings are valid\n');
   const { missingMs } = nodeLease(settings.workers);
-  if (missingMs > 0) process.stdout.write(`${cancelTimeTooShort(missingMs)}\n`);
+  if (missingMs > 0) process.stdout.write(`${cancelTimeWarning(missingMs)}\n`);
 }
 
-function cancelTimeTooShort(missingMs: number): string {
+function cancelTimeWarning(missingMs: number): string {
   return `workers.cancel_s is ${Math.ceil(missingMs / 1000)} s too short for workers.lease_s: tasks of a cancelled job may outlast it in an outage`;
 }
 
 async function run(settings: Settings, options: ControllerOptions): Promise<void> {
   const log = makeLog(options.logLevel, settings.node);
-  process.on('uncaughtException', (error) => log.error({ err: error }, 'uncaught'));
-  process.on('unhandledRejection', (error) => log.error({ err: error }, 'unhandled'));
+  process.on('uncaughtException', (error) =>
+    log.error({ err: error }, 'uncaught exception; the process continues'),
+  );
+  process.on('unhandledRejection', (error) =>
+    log.error({ err: error }, 'unhandled promise rejection; the process continues'),
+  );
   const { leaseMs, missingMs } = nodeLease(settings.workers);
-  if (missingMs > 0) log.warn({ leaseMs, missingMs }, cancelTimeTooShort(missingMs));
+  if (missingMs > 0) log.warn({ leaseMs, missingMs }, cancelTimeWarning(missingMs));
   const controller = await composeController(settings, options, log);
   await listen(controller, settings);
   log.info('listening');
-  leaveWhenEnded(controller, options, log);
+  leaveOnShutdown(controller, options, log);
   await controller.node.start(controller.mesh);
 }
 
-/** The other controllers' address first: a node that users reach can already ask its peers. */
+/** Listens for peers before users, so that a node that users can reach is already able to query its peers. */
 async function listen({ node, mesh, server }: Controller, settings: Settings): Promise<void> {
   try {
     await mesh.listen(settings.peerListen, (op, args, from) => node.serve(op, args, from));
@@ -63,17 +67,17 @@
   }
 }
 
-/** A signal, or the end of standard input where it is asked for, hands the shards over and then exits. */
-function leaveWhenEnded({ clock, node }: Controller, options: ControllerOptions, log: Log): void {
+/** Hands the shards over and exits on a signal or, if `endWithStdin` is set, at the end of standard input. */
+function leaveOnShutdown({ clock, node }: Controller, options: ControllerOptions, log: Log): void {
   let leaving = false;
   const leave = (why: string) => {
     if (leaving) return;
     leaving = true;
-    log.info({ why }, 'leaving');
-    clock.after(LEAVE_MS, () => process.exit(0));
+    log.info({ why }, 'shutting down: handing over the shards');
+    clock.after(LEAVE_TIMEOUT_MS, () => process.exit(0));
     void node
       .leave()
-      .catch((error) => log.info({ err: error }, 'left without handing over'))
+      .catch((error) => log.info({ err: error }, 'handover of the shards failed; exiting without it'))
       .finally(() => process.exit(0));
   };
   for (const signal of ['SIGTERM', 'SIGINT'] as const) process.once(signal, () => leave(signal));
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,11 +1,12 @@
 /**
- * Requests to the cloud and its responses. Its words: `flavor` is a machine type, `yard` a zone, `loaner` a spot machine,
- * `booking` the id of a rental request, `workers` machines; the fields below have the term.
+ * Encodes requests to the cloud and decodes its responses. The protocol calls a machine type `flavor`, a zone `yard`,
+ * a spot machine `loaner`, the id of a rental request `booking`, and machines `workers`. The types below use the
+ * standard terms; where a field has another name in the protocol, its comment gives that name in backquotes.
  */
 
 import * as v from 'valibot';
 
-/** A machine type (`flavors[]`) that the cloud offers. */
+/** A machine type offered by the cloud: an element of `flavors`. */
 export interface MachineType {
   /** `label`. */
   name: string;
@@ -13,24 +14,24 @@
   /** `cards`. */
   gpus: number;
   memoryGb: number;
-  /** `localGb`: disk for images. */
+  /** `localGb`: disk space for cached images. */
   cacheGb: number;
   /** `pullGbPerS`: the rate at which images are fetched. */
   fetchGbPerS: number;
-  /** Per hour. */
+  /** Price per hour. */
   price: number;
-  /** `lowPrice`: the price of a spot machine. */
+  /** `lowPrice`: the price per hour of a spot machine. */
   spotPrice: number;
-  /** `readyS`: from the rental to the first heartbeat. */
+  /** `readyS`: time from the rental to the first heartbeat. */
   bootS: number;
   /** `yards`. */
   zones: string[];
 }
 
-/** A rented machine (`workers[]`) as the cloud lists it. */
+/** A rented machine in the cloud's list: an element of `workers`. */
 export interface ListedMachine {
   id: string;
-  /** `host:port` of its worker; empty until it has one. */
+  /** `host:port` of its worker; empty while it has none. */
   addr: string;
   /** `flavor`. */
   type: string;
@@ -38,31 +39,31 @@
   zone: string;
   /** `loaner`. */
   spot: boolean;
-  /** `status`, in which `starting` is booting. */
+  /** `status`, where `starting` means booting. */
   state: 'booting' | 'running' | 'failed';
-  /** `heldS`: time since it was rented. */
+  /** `heldS`: time since the rental. */
   ageS: number;
 }
 
-const num = v.pipe(v.number(), v.finite(), v.minValue(0));
+const nonNegative = v.pipe(v.number(), v.finite(), v.minValue(0));
 const typesBody = v.object({
   flavors: v.array(
     v.object({
       label: v.string(),
-      cpus: num,
-      cards: v.optional(num, 0),
-      memoryGb: num,
-      localGb: v.optional(num, 0),
-      pullGbPerS: v.optional(num, 1),
-      price: num,
-      lowPrice: v.optional(num, 0),
-      readyS: num,
+      cpus: nonNegative,
+      cards: v.optional(nonNegative, 0),
+      memoryGb: nonNegative,
+      localGb: v.optional(nonNegative, 0),
+      pullGbPerS: v.optional(nonNegative, 1),
+      price: nonNegative,
+      lowPrice: v.optional(nonNegative, 0),
+      readyS: nonNegative,
       yards: v.array(v.string()),
     }),
   ),
 });
 
-/** The response to `CLOUD_PATHS.types`; null when it is malformed. */
+/** Decodes the response to `CLOUD_PATHS.types`; returns null if it is malformed. */
 export function readTypes(body: unknown): MachineType[] | null {
   const parsed = v.safeParse(typesBody, body);
   if (!parsed.success) return null;
@@ -95,7 +96,7 @@
   more: v.optional(v.boolean(), false),
 });
 
-/** One page (`more`: not the last) of the response to `listPath`; null when it is malformed. */
+/** Decodes a page of machines (`listPath`); returns null if it is malformed. `more`: further pages follow. */
 export function readList(body: unknown): { machines: ListedMachine[]; more: boolean } | null {
   const parsed = v.safeParse(listBody, body);
   if (!parsed.success) return null;
@@ -115,13 +116,13 @@
 
 const rentedBody = v.object({ workers: v.array(v.string()) });
 
-/** The response to a rental: the ids of the machines (`workers`); null when it is malformed. */
+/** Decodes the response to a rental: the ids of the rented machines (`workers`); returns null if it is malformed. */
 export function readRented(body: unknown): string[] | null {
   const parsed = v.safeParse(rentedBody, body);
   return parsed.success ? parsed.output.workers : null;
 }
 
-/** The body of a rental: `booking` is the request's id, by which a repeated request is recognised. */
+/** Encodes a rental. `request` (`booking`) is the id of the request, by which the cloud detects a retry. */
 export function writeRental(
   request: string,
   type: string,
@@ -132,31 +133,31 @@
   return { booking: request, flavor: type, yard: zone, loaner: spot, count };
 }
 
-/** The body of a release: the ids of the machines (`workers`). */
+/** Encodes a release: the ids of the machines (`workers`). */
 export function writeRelease(machines: string[]): object {
   return { workers: machines };
 }
 
-/** The path of a page of the list: machines after an id (`since`), at most `limit` (`most`). */
+/** Returns the path of a page of machines: those after an id (`since`), at most `limit` (`most`) of them. */
 export function listPath(after: string | null, limit: number): string {
   const since = after === null ? '' : `since=${encodeURIComponent(after)}&`;
   return `${CLOUD_PATHS.machines}?${since}most=${limit}`;
 }
 
-/** The paths of the cloud; a POST to `machines` rents. */
+/** Paths of the cloud's API; a POST to `machines` rents machines. */
 export const CLOUD_PATHS = {
   types: '/flavors',
   machines: '/machines',
   release: '/machines/release',
 } as const;
-/** The most machines of one rental. */
+/** Maximum number of machines per rental. */
 export const RENT_LIMIT = 50;
-/** The most machines of one release. */
+/** Maximum number of machines per release. */
 export const RELEASE_LIMIT = 100;
 
-// --- the cloud's side
+// --- The cloud's side of the protocol.
 
-/** The cloud's side of `readTypes`. */
+/** Encodes the response that `readTypes` decodes. */
 export function writeTypes(types: readonly MachineType[]): object {
   return {
     flavors: types.map((t) => ({
@@ -176,7 +177,7 @@
 
 const STATUS_WORDS = { booting: 'starting', running: 'running', failed: 'failed' } as const;
 
-/** The cloud's side of `readList`. */
+/** Encodes the response that `readList` decodes. */
 export function writeList(machines: readonly ListedMachine[], more: boolean): object {
   return {
     workers: machines.map((m) => ({
@@ -200,9 +201,9 @@
   count: v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(RENT_LIMIT)),
 });
 
-/** A request to rent `count` machines of one kind. */
+/** A request to rent `count` machines of the same type, zone and spot setting. */
 export interface Rental {
-  /** `booking`: an id; a request that is repeated under it rents nothing more. */
+  /** `booking`: the idempotency key; a retry with the same key rents no further machines. */
   request: string;
   /** `flavor`. */
   type: string;
@@ -213,18 +214,18 @@
   count: number;
 }
 
-/** The cloud's side of `writeRental`; null when it is malformed. */
+/** Decodes what `writeRental` encodes; returns null if it is malformed. */
 export function readRental(body: unknown): Rental | null {
-  const p = v.safeParse(rentalBody, body);
-  if (!p.success) return null;
-  const { booking, flavor, yard, loaner, count } = p.output;
+  const parsed = v.safeParse(rentalBody, body);
+  if (!parsed.success) return null;
+  const { booking, flavor, yard, loaner, count } = parsed.output;
   return { request: booking, type: flavor, zone: yard, spot: loaner, count };
 }
 
 const releaseBody = v.object({ workers: v.pipe(v.array(v.string()), v.maxLength(RELEASE_LIMIT)) });
 
-/** The cloud's side of `writeRelease`; null when it is malformed. */
+/** Decodes what `writeRelease` encodes; returns null if it is malformed. */
 export function readRelease(body: unknown): string[] | null {
-  const p = v.safeParse(releaseBody, body);
-  return p.success ? p.output.workers : null;
+  const parsed = v.safeParse(releaseBody, body);
+  return parsed.success ? parsed.output.workers : null;
 }
--- a/src/wire/condor.ts
+++ b/src/wire/condor.ts
@@ -1,18 +1,18 @@
-/** Responses about clusters of HTCondor submit files; these fields are the words of the wire too. */
+/** Types of the responses about HTCondor clusters. Their field names are those of the protocol. */
 
-/** The state of a process (proc) of a cluster, by HTCondor's terms. */
+/** The state of a process (proc) of a cluster, in HTCondor's terms. */
 export type ProcState = 'idle' | 'running' | 'held' | 'removed' | 'completed';
 
-/** One cluster, as users see it, with the number of its processes in each state. */
+/** A cluster as shown to users, with the number of its processes in each state. */
 export interface ClusterView {
   cluster: number;
   user: string;
-  /** Name of the batch, if it has one. */
+  /** Batch name; null if the cluster has none. */
   batch: string | null;
-  /** When it was submitted: seconds since 1970. */
+  /** Submission time in seconds since 1970. */
   at: number;
   procs: number;
-  /** Processes that are jobs by now. */
+  /** Number of processes for which a job has been created. */
   jobs: number;
   state: 'active' | 'removing' | 'over';
   idle: number;
@@ -22,38 +22,38 @@
   completed: number;
 }
 
-/** One process, as users see it. */
+/** A process as shown to users. */
 export interface ProcView {
   cluster: number;
   proc: number;
   user: string;
   state: ProcState;
-  /** Id of the job that it becomes. */
+  /** Id of the job that is created for the process. */
   job: string;
   cmd: string;
   priority: number;
   memoryMb: number;
-  /** When its cluster was submitted: seconds since 1970. */
+  /** Submission time of the cluster in seconds since 1970. */
   at: number;
-  /** Why it is held or removed. */
+  /** Reason for being held or removed; null if there is none. */
   reason: string | null;
 }
 
-/** Why a process runs or waits: what its requirements match. */
+/** Analysis of a process: the machines that its requirements match, and the reason why it waits. */
 export interface AnalysisView {
   cluster: number;
   proc: number;
   state: string;
-  /** Number of kinds of machines (type, zone, spot or not) that there are. */
+  /** Number of machine kinds: combinations of type, zone and spot or not. */
   kinds: number;
-  /** Number of those that match all of the requirements. */
+  /** Number of machine kinds that satisfy the whole requirements expression. */
   matches: number;
-  /** The clauses of the requirements, each with the number of kinds that match it and the value that comes nearest. */
+  /** Clauses of the requirements, each with the number of matching kinds and, if there are none, the nearest value. */
   clauses: { text: string; matches: number; nearest?: string }[];
   reason: string | null;
-  /** The ClassAd of the process. */
+  /** ClassAd of the process. */
   ad: string;
 }
 
-/** Path of the clusters; `/ID` and `/ID/ACTION` are below it. */
+/** Path of the clusters, with the subpaths `/ID` and `/ID/ACTION`. */
 export const CONDOR_PATH = '/condor/clusters';
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -1,11 +1,12 @@
 /**
- * Requests to the key-value store and its responses. Its words: `path` is a key, `stamp` the version of an entry, `ledgerRev`
- * the revision of the whole store, `permit` a lease, `set` and `drop` a put and a delete.
+ * Encodes requests to the key-value store and decodes its responses. The protocol calls a key `path`, the version of
+ * an entry `stamp`, the revision of the whole store `ledgerRev`, a lease `permit`, a put `set` and a delete `drop`.
+ * The types below use the standard terms.
  */
 
 import * as v from 'valibot';
 
-/** A stored value. */
+/** A key with its value and version. */
 export interface Entry {
   /** `path`. */
   key: string;
@@ -14,18 +15,21 @@
   version: number;
 }
 
-/** What must hold for a transaction to be applied. */
+/** A precondition of a transaction. */
 export interface Condition {
   /** `path`. */
   key: string;
-  /** `stamp`: the version that the key must have; 0 when there must be no entry. */
+  /** `stamp`: the required version of the key; 0 requires that there is no entry. */
   version: number;
 }
 
-/** One write of a transaction: `set`, with the lease (`permit`) that the entry ends with, or `drop`. */
+/**
+ * A write of a transaction: a put (`set`) or a delete (`drop`). An entry with a `lease` (`permit`) is deleted with
+ * it.
+ */
 export type Write = { put: string; value: unknown; lease?: number } | { delete: string };
 
-/** A change that a watch reports: `set` or `drop`. */
+/** A change reported by a watch: a put (`set`) or a delete (`drop`). */
 export type Change =
   | { key: string; value: unknown; version: number }
   | { key: string; gone: true; version: number };
@@ -48,30 +52,35 @@
 const txnBody = v.object({ ledgerRev: v.number(), failed: v.optional(v.array(v.string())) });
 const leaseBody = v.object({ permit: v.number() });
 
-/** The response to a GET of `STATE_PATHS.key`; null when it is malformed. */
+/** Decodes the response to a GET of `STATE_PATHS.key`; returns null if it is malformed. */
 export function readEntry(body: unknown): Entry | null {
-  const p = v.safeParse(entry, body);
-  return p.success ? { key: p.output.path, value: p.output.value, version: p.output.stamp } : null;
+  const parsed = v.safeParse(entry, body);
+  return parsed.success
+    ? { key: parsed.output.path, value: parsed.output.value, version: parsed.output.stamp }
+    : null;
 }
 
-/** One page of a list (`more`: not the last) and the store's revision (`ledgerRev`); null when it is malformed. */
+/**
+ * Decodes a page of entries and the store's revision (`ledgerRev`); returns null if it is malformed. `more`: further
+ * pages follow.
+ */
 export function readEntries(body: unknown): { entries: Entry[]; more: boolean; revision: number } | null {
-  const p = v.safeParse(listBody, body);
-  if (!p.success) return null;
+  const parsed = v.safeParse(listBody, body);
+  if (!parsed.success) return null;
   return {
-    entries: p.output.entries.map((e) => ({ key: e.path, value: e.value, version: e.stamp })),
-    more: p.output.more,
-    revision: p.output.ledgerRev,
+    entries: parsed.output.entries.map((e) => ({ key: e.path, value: e.value, version: e.stamp })),
+    more: parsed.output.more,
+    revision: parsed.output.ledgerRev,
   };
 }
 
-/** The response to a watch: changes (`events`) up to a revision (`ledgerRev`); null when it is malformed. */
+/** Decodes the changes (`events`) of a watch up to a revision (`ledgerRev`); returns null if they are malformed. */
 export function readChanges(body: unknown): { revision: number; changes: Change[] } | null {
-  const p = v.safeParse(watchBody, body);
-  if (!p.success) return null;
+  const parsed = v.safeParse(watchBody, body);
+  if (!parsed.success) return null;
   return {
-    revision: p.output.ledgerRev,
-    changes: p.output.events.map((e) =>
+    revision: parsed.output.ledgerRev,
+    changes: parsed.output.events.map((e) =>
       'set' in e
         ? { key: e.set, value: e.value, version: e.stamp }
         : { key: e.drop, gone: true as const, version: e.stamp },
@@ -79,19 +88,22 @@
   };
 }
 
-/** The response to a transaction: the revision, and the keys whose conditions `failed`; null when it is malformed. */
+/**
+ * Decodes the response to a transaction: the revision, and the keys whose conditions `failed`. Returns null if it is
+ * malformed.
+ */
 export function readTxn(body: unknown): { revision: number; failed: string[] } | null {
-  const p = v.safeParse(txnBody, body);
-  return p.success ? { revision: p.output.ledgerRev, failed: p.output.failed ?? [] } : null;
+  const parsed = v.safeParse(txnBody, body);
+  return parsed.success ? { revision: parsed.output.ledgerRev, failed: parsed.output.failed ?? [] } : null;
 }
 
-/** The response to a request for a lease: its id (`permit`); null when it is malformed. */
+/** Decodes the response to a lease request: the lease's id (`permit`); returns null if it is malformed. */
 export function readLease(body: unknown): number | null {
-  const p = v.safeParse(leaseBody, body);
-  return p.success ? p.output.permit : null;
+  const parsed = v.safeParse(leaseBody, body);
+  return parsed.success ? parsed.output.permit : null;
 }
 
-/** The body of a transaction: all of `writes`, if all of `when` hold. */
+/** Encodes a transaction, which applies all `writes` if all conditions in `when` hold, and none otherwise. */
 export function writeTxn(when: Condition[], writes: Write[]): object {
   return {
     when: when.map((c) => ({ path: c.key, stamp: c.version })),
@@ -104,7 +116,7 @@
   };
 }
 
-/** The paths of the key-value store; `most` bounds a page, `under` is a prefix of keys. */
+/** Paths of the key-value store's API. `under` is a prefix of keys, `most` the maximum size of a page. */
 export const STATE_PATHS = {
   key: (key: string) => `/keys/${key}`,
   list: (prefix: string, after: string | null, limit: number) =>
@@ -117,12 +129,12 @@
     `/watch?under=${encodeURIComponent(prefix)}&since=${since}&waitMs=${waitMs}`,
 };
 
-/** The body of a request for a lease of `ttlMs` milliseconds. */
+/** Encodes a request for a lease with a time to live of `ttlMs` milliseconds. */
 export function writeLeaseRequest(ttlMs: number): object {
   return { ttlMs };
 }
 
-// --- the key-value store's side
+// --- The key-value store's side of the protocol.
 
 const txnRequest = v.object({
   when: v.optional(v.array(v.object({ path: v.string(), stamp: v.number() })), []),
@@ -137,20 +149,20 @@
   ),
 });
 
-/** The key-value store's side of `writeTxn`; null when it is malformed. */
+/** Decodes what `writeTxn` encodes; returns null if it is malformed. */
 export function readTxnRequest(body: unknown): { when: Condition[]; writes: Write[] } | null {
-  const p = v.safeParse(txnRequest, body);
-  if (!p.success) return null;
+  const parsed = v.safeParse(txnRequest, body);
+  if (!parsed.success) return null;
   return {
-    when: p.output.when.map((c) => ({ key: c.path, version: c.stamp })),
-    writes: p.output.writes.map((w): Write => {
+    when: parsed.output.when.map((c) => ({ key: c.path, version: c.stamp })),
+    writes: parsed.output.writes.map((w): Write => {
       if ('drop' in w) return { delete: w.drop };
       return { put: w.set, value: w.value, ...(w.permit !== undefined && { lease: w.permit }) };
     }),
   };
 }
 
-/** The key-value store's side of `readEntry`; `lease` (`permit`) is the one that the entry ends with. */
+/** Encodes an entry for `readEntry`; `lease` (`permit`) is the lease with which the entry is deleted, if any. */
 export function writeEntry(e: Entry, lease: number | null): object {
   return {
     path: e.key,
@@ -160,17 +172,17 @@
   };
 }
 
-/** The key-value store's side of `readEntries`. */
+/** Encodes the response that `readEntries` decodes. */
 export function writeEntries(entries: Entry[], more: boolean, revision: number): object {
   return { entries: entries.map((e) => writeEntry(e, null)), more, ledgerRev: revision };
 }
 
-/** One of the `events` of a watch. */
+/** Encodes an element of the `events` of a watch. */
 export function writeChange(c: Change): object {
   return 'gone' in c ? { drop: c.key, stamp: c.version } : { set: c.key, value: c.value, stamp: c.version };
 }
 
-/** The key-value store's side of `readChanges`. */
+/** Encodes the response that `readChanges` decodes. */
 export function writeChanges(changes: Change[], revision: number): object {
   return { ledgerRev: revision, events: changes.map(writeChange) };
 }
@@ -189,8 +201,8 @@
   ttlMs: v.pipe(v.number(), v.minValue(100), v.maxValue(600_000)),
 });
 
-/** The key-value store's side of `writeLeaseRequest`: the milliseconds; null when it is malformed. */
+/** Decodes what `writeLeaseRequest` encodes and returns `ttlMs`; returns null if it is malformed. */
 export function readLeaseRequest(body: unknown): number | null {
-  const p = v.safeParse(leaseRequest, body);
-  return p.success ? p.output.ttlMs : null;
+  const parsed = v.safeParse(leaseRequest, body);
+  return parsed.success ? parsed.output.ttlMs : null;
 }
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -1,31 +1,32 @@
 /**
- * Submissions, job lists and other requests of users, and the responses. The words of the wire stop in this package: the
- * fields of the types below have the term, and their comments the word where it is another one.
+ * Decodes the requests of users, such as submissions and job lists, and encodes the responses. The types below use
+ * the standard terms; where a field has another name in the protocol, its comment gives that name in backquotes. Only
+ * the modules in this directory know the names of the protocol.
  */
 
 import * as v from 'valibot';
 
 /**
- * `shape`: independent tasks (`sweep`), tasks that run only together (`ensemble`), or tasks that run until they are cancelled
- * (`standing`).
+ * `shape`: independent tasks (`sweep`), tasks that must run simultaneously (`ensemble`), or tasks that run until they
+ * are cancelled (`standing`).
  */
 export type JobKind = 'array' | 'gang' | 'service';
-/** `status`, in which a cancelled job is `aborted`. */
+/** `status`, where `aborted` means cancelled. */
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
 
-/** Priorities, higher before lower. */
+/** Job priorities; a higher number is scheduled before a lower one. */
 export const PRIORITY = { low: 0, normal: 1, high: 2, production: 3 } as const;
 
-/** A job as it was submitted; amounts are for one task, times in seconds. */
+/** The specification of a submitted job. Amounts are per task, times are in seconds. */
 export interface JobSpec {
   id: string;
-  /** `jobClass`: jobs of a class resemble each other. */
+  /** `jobClass`: a name for similar jobs. */
   class: string;
   /** `owner`. */
   team: string;
   /** `shape`. */
   kind: JobKind;
-  /** `urgency`, as one of `PRIORITY`. */
+  /** `urgency`: one of the values of `PRIORITY`. */
   priority: number;
   /** `pieces`: the number of tasks. */
   tasks: number;
@@ -33,35 +34,35 @@
   /** `cards`. */
   gpus: number;
   memoryGb: number;
-  /** `flavors`: the machine types it may run on; null allows all. */
+  /** `flavors`: the allowed machine types; null allows all. */
   types: string[] | null;
-  /** `yard`: the only zone that it may run in. */
+  /** `yard`: the only allowed zone; null allows all. */
   zone: string | null;
-  /** All tasks run in one zone, whichever. */
+  /** Whether all tasks must run in the same zone, which may be any. */
   oneZone: boolean;
-  /** At most half of the tasks run in one zone at once. */
+  /** Whether at most half of the tasks may run in the same zone at the same time. */
   spread: boolean;
-  /** `loaner`: it may run on spot machines. */
+  /** `loaner`: whether the tasks may run on spot machines. */
   spot: boolean;
   /** `bundle`. */
   image: string;
   /** `pullGb`: size of the image. */
   imageGb: number;
-  /** `expectedS`: how long a task is expected to run. */
+  /** `expectedS`: expected run time of a task. */
   estimateS: number;
-  /** `saveEveryS`: interval of checkpoints; 0: it has none. */
+  /** `saveEveryS`: checkpoint interval; 0 if the tasks save no checkpoints. */
   checkpointS: number;
-  /** `savingS`: how long a checkpoint takes. */
+  /** `savingS`: time to save a checkpoint. */
   saveS: number;
-  /** `dueS`: the job is to be done within this time of its submission. */
+  /** `dueS`: time from the submission to the deadline for all tasks; null if there is no deadline. */
   deadlineS: number | null;
-  /** `waitsOn`: jobs that have to be done before any task of this one starts. */
+  /** `waitsOn`: ids of the jobs that must be done before any task of this job starts. */
   after: string[];
-  /** Further requirements on machines, as match expressions; not part of a submission. */
+  /** Further requirements on machines as match expressions; not part of a user's submission. */
   match?: MatchSpec;
 }
 
-/** Match expressions over a machine's attributes alone (ClassAd syntax). */
+/** Match expressions in ClassAd syntax that refer only to a machine's attributes. */
 export interface MatchSpec {
   requirements: string;
   rank: string | null;
@@ -69,12 +70,12 @@
 
 const JOB_ID = /^wk-[A-Za-z0-9_-]{1,64}$/;
 const name = v.pipe(v.string(), v.minLength(1), v.maxLength(200));
-/** The longest body of a submission does not hold more of them. */
-const MAX_AFTER = 16_384;
+/** Maximum number of dependencies of a job; the maximum size of a submission has no room for more. */
+const MAX_DEPENDENCIES = 16_384;
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(1e9));
-/** Kinds of jobs by the words of `shape`. */
+/** Job kinds by the values of `shape`. */
 export const KINDS = { sweep: 'array', ensemble: 'gang', standing: 'service' } as const;
-/** Priorities by the words of `urgency`. */
+/** Priorities by the values of `urgency`. */
 export const PRIORITIES = {
   production: PRIORITY.production,
   urgent: PRIORITY.high,
@@ -103,43 +104,43 @@
   saveEveryS: amount,
   savingS: amount,
   dueS: v.nullish(v.pipe(v.number(), v.finite(), v.gtValue(0))),
-  waitsOn: v.nullish(v.pipe(v.array(v.pipe(v.string(), v.regex(JOB_ID))), v.maxLength(MAX_AFTER))),
+  waitsOn: v.nullish(v.pipe(v.array(v.pipe(v.string(), v.regex(JOB_ID))), v.maxLength(MAX_DEPENDENCIES))),
 });
 
-/** Reads a submission; a string says what is wrong with it. */
+/** Decodes and validates a submission; returns a description of the first error if it is invalid. */
 export function readJob(body: unknown): JobSpec | string {
   const parsed = v.safeParse(jobBody, body);
   if (!parsed.success) {
     const issue = parsed.issues[0];
     return `${v.getDotPath(issue) ?? 'body'}: ${issue.message}`;
   }
-  const b = parsed.output;
+  const submission = parsed.output;
   return {
-    id: b.id,
-    class: b.jobClass,
-    team: b.owner,
-    kind: KINDS[b.shape],
-    priority: PRIORITIES[b.urgency],
-    tasks: b.pieces,
-    cpus: b.cpus,
-    gpus: b.cards,
-    memoryGb: b.memoryGb,
-    types: b.flavors ?? null,
-    zone: b.yard ?? null,
-    oneZone: b.oneZone,
-    spread: b.spread,
-    spot: b.loaner,
-    image: b.bundle,
-    imageGb: b.pullGb,
-    estimateS: b.expectedS,
-    checkpointS: b.saveEveryS,
-    saveS: b.savingS,
-    deadlineS: b.dueS ?? null,
-    after: [...new Set(b.waitsOn ?? [])],
+    id: submission.id,
+    class: submission.jobClass,
+    team: submission.owner,
+    kind: KINDS[submission.shape],
+    priority: PRIORITIES[submission.urgency],
+    tasks: submission.pieces,
+    cpus: submission.cpus,
+    gpus: submission.cards,
+    memoryGb: submission.memoryGb,
+    types: submission.flavors ?? null,
+    zone: submission.yard ?? null,
+    oneZone: submission.oneZone,
+    spread: submission.spread,
+    spot: submission.loaner,
+    image: submission.bundle,
+    imageGb: submission.pullGb,
+    estimateS: submission.expectedS,
+    checkpointS: submission.saveEveryS,
+    saveS: submission.savingS,
+    deadlineS: submission.dueS ?? null,
+    after: [...new Set(submission.waitsOn ?? [])],
   };
 }
 
-/** Whether a text has the form of a job's id. */
+/** Returns whether a string has the form of a job id. */
 export function isJobId(id: string): boolean {
   return JOB_ID.test(id);
 }
@@ -148,48 +149,48 @@
   return status === 'cancelled' ? 'aborted' : status;
 }
 
-/** The response to a submission or a cancellation. */
+/** Encodes the response to a submission or a cancellation. */
 export function writeAccepted(id: string, status: JobStatus): object {
   return { id, status: statusWord(status) };
 }
 
-/** The response to a status request: number of tasks `done` and `running`. */
+/** Encodes the response to a status request; `done` and `running` are numbers of tasks. */
 export function writeStatus(id: string, status: JobStatus, done: number, running: number): object {
   return { id, status: statusWord(status), done, running };
 }
 
-/** The paths of a controller for users: `jobs`, `jobs/ID` and `jobs/ID/cancel`. */
+/** Paths of a controller's API for users; `cancel` is the last segment of the path of a job's cancellation. */
 export const USER_PATHS = { jobs: '/api/jobs', cancel: 'abort', health: '/healthz' } as const;
 
-// --- the users' side
+// --- The users' side of the protocol.
 
 const KIND_WORDS = { array: 'sweep', gang: 'ensemble', service: 'standing' } as const;
 const PRIORITY_WORDS = ['low', 'standard', 'urgent', 'production'] as const;
 
-/** A submission, as a user sends it. */
-export function writeJob(s: JobSpec): object {
+/** Encodes a submission. */
+export function writeJob(spec: JobSpec): object {
   return {
-    id: s.id,
-    jobClass: s.class,
-    owner: s.team,
-    shape: KIND_WORDS[s.kind],
-    urgency: PRIORITY_WORDS[s.priority] ?? 'standard',
-    pieces: s.tasks,
-    cpus: s.cpus,
-    cards: s.gpus,
-    memoryGb: s.memoryGb,
-    bundle: s.image,
-    pullGb: s.imageGb,
-    flavors: s.types,
-    yard: s.zone,
-    oneZone: s.oneZone,
-    spread: s.spread,
-    loaner: s.spot,
-    expectedS: s.estimateS,
-    saveEveryS: s.checkpointS,
-    savingS: s.saveS,
-    dueS: s.deadlineS,
-    ...(s.after.length > 0 && { waitsOn: s.after }),
+    id: spec.id,
+    jobClass: spec.class,
+    owner: spec.team,
+    shape: KIND_WORDS[spec.kind],
+    urgency: PRIORITY_WORDS[spec.priority] ?? 'standard',
+    pieces: spec.tasks,
+    cpus: spec.cpus,
+    cards: spec.gpus,
+    memoryGb: spec.memoryGb,
+    bundle: spec.image,
+    pullGb: spec.imageGb,
+    flavors: spec.types,
+    yard: spec.zone,
+    oneZone: spec.oneZone,
+    spread: spec.spread,
+    loaner: spec.spot,
+    expectedS: spec.estimateS,
+    saveEveryS: spec.checkpointS,
+    savingS: spec.saveS,
+    dueS: spec.deadlineS,
+    ...(spec.after.length > 0 && { waitsOn: spec.after }),
   };
 }
 
@@ -200,12 +201,13 @@
   running: v.optional(v.number(), 0),
 });
 
-/** The status of a job, as users see it. */
+/** The status of a job as shown to users. */
 export interface JobView {
   id: string;
   status: JobStatus;
-  /** Number of tasks that are done, and of those that are running. */
+  /** Number of finished tasks. */
   done: number;
+  /** Number of running tasks. */
   running: number;
 }
 
@@ -213,14 +215,14 @@
   return word === 'aborted' ? 'cancelled' : word;
 }
 
-/** The users' side of `writeStatus`; null when it is malformed. */
+/** Decodes what `writeStatus` encodes; returns null if it is malformed. */
 export function readStatus(body: unknown): JobView | null {
   const parsed = v.safeParse(statusBody, body);
   if (!parsed.success) return null;
   return { ...parsed.output, status: statusOf(parsed.output.status) };
 }
 
-/** One unfinished job of a list. */
+/** An unfinished job in a job list. */
 export interface ListedJob extends JobView {
   /** `owner`. */
   team: string;
@@ -237,7 +239,7 @@
   more: v.boolean(),
 });
 
-/** The users' side of `writeJobList`; null when it is malformed. */
+/** Decodes what `writeJobList` encodes; returns null if it is malformed. */
 export function readJobList(body: unknown): { jobs: ListedJob[]; more: boolean } | null {
   const parsed = v.safeParse(listBody, body);
   if (!parsed.success) return null;
@@ -251,7 +253,7 @@
   return { jobs, more: parsed.output.more };
 }
 
-/** One page of the unfinished jobs; `more`: it is not the last. */
+/** Encodes a page of unfinished jobs; `more` means that further pages follow. */
 export function writeJobList(jobs: readonly ListedJob[], more: boolean): object {
   return {
     jobs: jobs.map(({ team, class: jobClass, tasks, ...view }) => ({
@@ -266,13 +268,13 @@
 
 const healthBody = v.object({ revision: v.number() });
 
-/** The response of a healthy controller: up to which revision of the key-value store it knows the cluster's records. */
+/** Encodes the response of a healthy controller; its copy of the key-value store's records is at `revision`. */
 export function writeHealth(revision: number): object {
   return { ok: true, revision };
 }
 
-/** The revision in the response to a health check; null when there is none. */
+/** Decodes the revision in the response to a health check; returns null if there is none. */
 export function readHealth(body: unknown): number | null {
-  const p = v.safeParse(healthBody, body);
-  return p.success ? p.output.revision : null;
+  const parsed = v.safeParse(healthBody, body);
+  return parsed.success ? parsed.output.revision : null;
 }
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -1,16 +1,17 @@
 /**
- * Heartbeats of the workers, and the commands to them. Their words: `piece` is a task (`JOB/INDEX`), `try` an attempt, `shift`
- * the incarnation of a worker, `tally` the sequence number of a heartbeat, `baton` the fencing token of a machine's owner.
+ * Decodes the heartbeats of workers and encodes the commands to them. The protocol calls a task `piece`
+ * (`JOB/INDEX`), an attempt `try`, the incarnation of a worker `shift`, the sequence number of a heartbeat `tally`,
+ * and the fencing token of a machine's owner `baton`. The types below use the standard terms.
  */
 
 import * as v from 'valibot';
 
-/** `status` of a task; `pulling` is fetching, `ended` is exited. */
+/** `status` of a task, where `pulling` means fetching and `ended` means exited. */
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
-/** Why a task exited, or did not start: `cause`, whose words are in `CAUSES`. */
+/** The reason why a task exited or did not start: `cause`, whose values are listed in `CAUSES`. */
 export type ExitCause = 'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown';
 
-/** A task on a machine, as its heartbeats report it (`pieces[]`). */
+/** The status of a task in a heartbeat: an element of `pieces`. */
 export interface TaskStatus {
   /** `piece` up to the last slash. */
   job: string;
@@ -20,17 +21,17 @@
   attempt: number;
   /** `status`. */
   state: TaskState;
-  /** Null unless it has exited. */
+  /** Null unless the task has exited. */
   cause: ExitCause | null;
-  /** `kept`: its checkpoint was saved when it exited. */
+  /** `kept`: whether its checkpoint was saved when it exited. */
   saved: boolean;
 }
 
-/** What a worker reports of itself and of all its tasks. */
+/** A worker's report on its machine and all of its tasks. */
 export interface Heartbeat {
   /** `worker`. */
   machine: string;
-  /** `host:port` at which the worker takes commands. */
+  /** `host:port` at which the worker accepts commands. */
   addr: string;
   /** `flavor`. */
   type: string;
@@ -38,19 +39,22 @@
   zone: string;
   /** `loaner`. */
   spot: boolean;
-  /** `shift`: grows whenever the worker starts anew, without tasks. */
+  /** `shift`: increases with every restart of the worker, after which it has no tasks. */
   incarnation: number;
-  /** `tally`: grows with each heartbeat of an incarnation. */
+  /** `tally`: increases with every heartbeat of an incarnation. */
   sequence: number;
-  /** `baton`: the highest token that the worker has received. */
+  /** `baton`: the highest fencing token that the worker has received. */
   fencingToken: number;
-  /** `recallS`: seconds until the cloud takes the (spot) machine back; null if it has not announced that. */
+  /** `recallS`: seconds until the cloud reclaims the (spot) machine; null if it has not announced a reclamation. */
   reclaimInS: number | null;
   /** `pieces`. */
   tasks: TaskStatus[];
 }
 
-/** A command to a worker: `run` (start), `kill` (stop; `windDownS` is the grace), or `clear` (forget an exited task). */
+/**
+ * A command to a worker: start (`run`), stop with a grace period (`kill`, `windDownS`) or forget an exited task
+ * (`clear`).
+ */
 export type WorkerCommand =
   | { op: 'start'; job: string; index: number; attempt: number }
   | { op: 'stop'; job: string; index: number; attempt: number; graceS: number }
@@ -97,68 +101,68 @@
   ),
 });
 
-/** The name of a task on the wire: `piece`. */
+/** Returns the name of a task in the protocol (`piece`). */
 export function taskName(job: string, index: number): string {
   return `${job}/${index}`;
 }
 
-/** A heartbeat; null when it is malformed. */
+/** Decodes a heartbeat; returns null if it is malformed. */
 export function readHeartbeat(body: unknown): Heartbeat | null {
   const parsed = v.safeParse(reportBody, body);
   if (!parsed.success) return null;
-  const b = parsed.output;
+  const report = parsed.output;
   const tasks: TaskStatus[] = [];
-  for (const p of b.pieces) {
-    const slash = p.piece.lastIndexOf('/');
-    const state = STATES[p.status];
-    // An unknown state still means the task is on the machine.
+  for (const piece of report.pieces) {
+    const slash = piece.piece.lastIndexOf('/');
+    const state = STATES[piece.status];
+    // A task in an unknown state still occupies the machine, so it is treated as running.
     tasks.push({
-      job: p.piece.slice(0, slash),
-      index: Number(p.piece.slice(slash + 1)),
-      attempt: p.try,
+      job: piece.piece.slice(0, slash),
+      index: Number(piece.piece.slice(slash + 1)),
+      attempt: piece.try,
       state: state ?? 'running',
-      cause: state === 'exited' ? (CAUSES[p.cause ?? ''] ?? 'error') : null,
-      saved: p.kept === true,
+      cause: state === 'exited' ? (CAUSES[piece.cause ?? ''] ?? 'error') : null,
+      saved: piece.kept === true,
     });
   }
   return {
-    machine: b.worker,
-    addr: b.addr,
-    type: b.flavor,
-    zone: b.yard,
-    spot: b.loaner,
-    incarnation: b.shift,
-    sequence: b.tally,
-    fencingToken: b.baton,
-    reclaimInS: b.recallS ?? null,
+    machine: report.worker,
+    addr: report.addr,
+    type: report.flavor,
+    zone: report.yard,
+    spot: report.loaner,
+    incarnation: report.shift,
+    sequence: report.tally,
+    fencingToken: report.baton,
+    reclaimInS: report.recallS ?? null,
     tasks,
   };
 }
 
-function writeCommand(o: WorkerCommand): object {
-  const base = { verb: VERBS[o.op], piece: taskName(o.job, o.index), try: o.attempt };
-  return o.op === 'stop' ? { ...base, windDownS: o.graceS } : base;
+function writeCommand(command: WorkerCommand): object {
+  const base = { verb: VERBS[command.op], piece: taskName(command.job, command.index), try: command.attempt };
+  return command.op === 'stop' ? { ...base, windDownS: command.graceS } : base;
 }
 
-/** The response to a heartbeat. */
-export function writeHeartbeatResponse(token: number, orders: WorkerCommand[]): object {
-  return { baton: token, orders: orders.map(writeCommand) };
+/** Encodes the response to a heartbeat. */
+export function writeHeartbeatResponse(token: number, commands: WorkerCommand[]): object {
+  return { baton: token, orders: commands.map(writeCommand) };
 }
 
-/** Commands that are sent to a worker between its heartbeats. */
-export function writeCommands(token: number, session: number, orders: WorkerCommand[]): object {
-  return { baton: token, shift: session, orders: orders.map(writeCommand) };
+/** Encodes commands that are sent to a worker between its heartbeats. */
+export function writeCommands(token: number, incarnation: number, commands: WorkerCommand[]): object {
+  return { baton: token, shift: incarnation, orders: commands.map(writeCommand) };
 }
 
-/** The response to a heartbeat for another node (`foreman`); null when it is not known which. */
+/** Encodes the response to a heartbeat that another node (`foreman`) must receive; `node` is null if it is unknown. */
 export function writeRedirect(node: string | null): object {
   return node === null ? {} : { foreman: node };
 }
 
-/** The path of a controller for workers (`heartbeat`), and those of a worker. */
+/** Paths of the worker protocol: `heartbeat` at a controller, `commands` and `status` at a worker. */
 export const WORKER_PATHS = { heartbeat: '/v1/report', commands: '/do', status: '/show' } as const;
 
-// --- the worker's side
+// --- The worker's side of the protocol.
 
 const STATE_WORDS = inverse(STATES);
 const CAUSE_WORDS = inverse(CAUSES);
@@ -168,19 +172,19 @@
   return Object.fromEntries(Object.entries(words).map(([word, term]) => [term, word])) as Record<T, string>;
 }
 
-/** The worker's side of `readHeartbeat`. */
-export function writeHeartbeat(r: Heartbeat): object {
+/** Encodes a heartbeat for `readHeartbeat`. */
+export function writeHeartbeat(heartbeat: Heartbeat): object {
   return {
-    worker: r.machine,
-    addr: r.addr,
-    flavor: r.type,
-    yard: r.zone,
-    loaner: r.spot,
-    shift: r.incarnation,
-    tally: r.sequence,
-    baton: r.fencingToken,
-    recallS: r.reclaimInS,
-    pieces: r.tasks.map((t) => ({
+    worker: heartbeat.machine,
+    addr: heartbeat.addr,
+    flavor: heartbeat.type,
+    yard: heartbeat.zone,
+    loaner: heartbeat.spot,
+    shift: heartbeat.incarnation,
+    tally: heartbeat.sequence,
+    baton: heartbeat.fencingToken,
+    recallS: heartbeat.reclaimInS,
+    pieces: heartbeat.tasks.map((t) => ({
       piece: taskName(t.job, t.index),
       try: t.attempt,
       status: STATE_WORDS[t.state],
@@ -206,7 +210,7 @@
   ),
 });
 
-/** The worker's side of `writeHeartbeatResponse` and `writeCommands`; null when it is malformed. */
+/** Decodes what `writeHeartbeatResponse` and `writeCommands` encode; returns null if it is malformed. */
 export function readCommands(
   body: unknown,
 ): { token: number | null; session: number | null; orders: WorkerCommand[] } | null {
@@ -216,18 +220,22 @@
   return {
     token: baton ?? null,
     session: shift ?? null,
-    orders: orders.map((o): WorkerCommand => {
-      const slash = o.piece.lastIndexOf('/');
-      const base = { job: o.piece.slice(0, slash), index: Number(o.piece.slice(slash + 1)), attempt: o.try };
-      const op = OPS[o.verb];
-      return op === 'stop' ? { op, ...base, graceS: o.windDownS } : { op, ...base };
+    orders: orders.map((command): WorkerCommand => {
+      const slash = command.piece.lastIndexOf('/');
+      const base = {
+        job: command.piece.slice(0, slash),
+        index: Number(command.piece.slice(slash + 1)),
+        attempt: command.try,
+      };
+      const op = OPS[command.verb];
+      return op === 'stop' ? { op, ...base, graceS: command.windDownS } : { op, ...base };
     }),
   };
 }
 
 const redirectBody = v.object({ foreman: v.nullish(v.string()) });
 
-/** The worker's side of `writeRedirect`; null when it is malformed too. */
+/** Decodes what `writeRedirect` encodes; returns null if the node is unknown or the body is malformed. */
 export function readRedirect(body: unknown): string | null {
   const parsed = v.safeParse(redirectBody, body);
   return parsed.success ? (parsed.output.foreman ?? null) : null;
--- a/tests/api/submission.test.ts
+++ b/tests/api/submission.test.ts
@@ -6,10 +6,10 @@
 const TEXT = ['id', 'jobClass', 'owner', 'shape', 'urgency', 'bundle'];
 const AMOUNTS = ['cpus', 'cards', 'memoryGb', 'pullGb', 'expectedS', 'saveEveryS', 'savingS'];
 const FLAGS = ['oneZone', 'spread', 'loaner'];
-const MAY_BE_NULL = ['flavors', 'yard', 'dueS', 'waitsOn'];
+const NULLABLE = ['flavors', 'yard', 'dueS', 'waitsOn'];
 
-/** What no field of a submission may be, as it stands in its JSON. */
-function wrongValues(field: string): string[] {
+/** Returns invalid values for a field of a submission, as JSON. */
+function invalidValues(field: string): string[] {
   if (TEXT.includes(field)) return ['null', '7', '""', '["x"]', '{}', 'true'];
   if (AMOUNTS.includes(field)) return ['null', '"4"', '-1', '1e999', '-1e999', '[4]', 'true'];
   if (FLAGS.includes(field)) return ['null', '0', '"true"', '{}'];
@@ -20,7 +20,7 @@
   return ['"wk-2"', '[7]', '["nothing"]', '{}'];
 }
 
-test('a submission that lacks a field, or in which one is not as it may be, is malformed at every node and leaves nothing', async () => {
+test('every node rejects a submission with a missing or invalid field and stores nothing', async () => {
   const { c } = await busy(1);
   const post = async (node: string, text: string) =>
     (
@@ -28,39 +28,39 @@
         c.nodes.get(node)!.api.handle({ ...c.request('POST', '/api/jobs'), body: Buffer.from(text) }),
       )
     ).status;
-  const good = job('wk-9', { waitsOn: null }) as Record<string, unknown>;
-  const fields = Object.keys(good);
-  assert.deepEqual(fields.sort(), [...TEXT, ...AMOUNTS, ...FLAGS, 'pieces', ...MAY_BE_NULL].sort());
-  let turn = 0;
-  const node = () => NODES[turn++ % NODES.length]!;
+  const valid = job('wk-9', { waitsOn: null }) as Record<string, unknown>;
+  const fields = Object.keys(valid);
+  assert.deepEqual(fields.sort(), [...TEXT, ...AMOUNTS, ...FLAGS, 'pieces', ...NULLABLE].sort());
+  let nextNode = 0;
+  const node = () => NODES[nextNode++ % NODES.length]!;
   for (const field of fields) {
-    const { [field]: _, ...without } = good;
-    if (!MAY_BE_NULL.includes(field))
+    const { [field]: _, ...without } = valid;
+    if (!NULLABLE.includes(field))
       assert.equal(await post(node(), JSON.stringify(without)), 400, `without ${field}`);
-    for (const value of wrongValues(field)) {
+    for (const value of invalidValues(field)) {
       const text = JSON.stringify({ ...without, [field]: '§' }).replace('"§"', value);
       assert.equal(await post(node(), text), 400, `${field}: ${value}`);
     }
   }
-  for (const text of ['', 'x', '[]', 'null', '7', '{', JSON.stringify([good])])
+  for (const text of ['', 'x', '[]', 'null', '7', '{', JSON.stringify([valid])])
     assert.equal(await post(node(), text), 400, text);
-  assert.equal(await status(c, 'n0', 'wk-9'), 404, 'nothing of it is there');
-  // A malformed request under the id of an accepted job changes nothing of it.
-  assert.equal(await post('n0', JSON.stringify({ ...good, id: 'wk-1', pieces: 'many' })), 400);
+  assert.equal(await status(c, 'n0', 'wk-9'), 404, 'no job was created');
+  // A malformed submission with the id of an accepted job does not change that job.
+  assert.equal(await post('n0', JSON.stringify({ ...valid, id: 'wk-1', pieces: 'many' })), 400);
   for (const n of NODES) assert.equal(await status(c, n, 'wk-1'), 'running');
-  // What may be null may be left out as well.
-  const { flavors: _f, yard: _y, dueS: _d, waitsOn: _w, ...least } = good;
-  assert.equal(await post('n1', JSON.stringify(least)), 201);
+  // Nullable fields may also be omitted.
+  const { flavors: _f, yard: _y, dueS: _d, waitsOn: _w, ...minimal } = valid;
+  assert.equal(await post('n1', JSON.stringify(minimal)), 201);
 });
 
-test('what can never run is refused for good by every node, and what was accepted once never is', async () => {
+test('every node rejects a job that can never run, but not the resubmission of an accepted job', async () => {
   const c = new FakeCluster(NODES);
   c.teams = [{ name: 'red', cpus: 16, cpusMax: 32, gpus: 0, gpusMax: 2 }];
   for (let i = 0; i < 3; i++) c.addWorker('c8', 'a');
   c.moreTypes.push(['c64', 64, 0]);
   for (const n of NODES) c.startNode(n);
   await c.clock.advance(8000);
-  for (const [why, change] of [
+  for (const [reason, change] of [
     ['its team is unknown', { owner: 'nobody' }],
     ['a task is larger than any machine', { cpus: 65 }],
     ['a task is larger than the type that it allows', { cpus: 9, flavors: ['c8'] }],
@@ -75,43 +75,46 @@
     ],
   ] as const)
     for (const n of NODES) {
-      const wire = job('wk-bad', change);
-      assert.equal((await c.call(n, 'POST', '/api/jobs', wire)).status, 422, `${why}, at ${n}`);
+      const submission = job('wk-bad', change);
+      assert.equal((await c.call(n, 'POST', '/api/jobs', submission)).status, 422, `${reason}, at ${n}`);
       assert.equal(await status(c, n, 'wk-bad'), 404);
     }
-  // An array is taken although all of it at once would be beyond the limit.
+  // An array is accepted even if all of its tasks together exceed the team's limit.
   assert.equal((await c.call('n0', 'POST', '/api/jobs', job('wk-1', { pieces: 100, cpus: 8 }))).status, 201);
   const large = job('wk-2', { cpus: 30, flavors: ['c64'] });
   assert.equal((await c.call('n1', 'POST', '/api/jobs', large)).status, 201);
-  const over = job('wk-3', { cpus: 1 });
-  assert.equal((await c.call('n1', 'POST', '/api/jobs', over)).status, 201);
+  const cancelled = job('wk-3', { cpus: 1 });
+  assert.equal((await c.call('n1', 'POST', '/api/jobs', cancelled)).status, 201);
   assert.equal((await c.call('n2', 'POST', '/api/jobs/wk-3/abort')).status, 200);
-  // The type goes, and the nodes learn of it: what was accepted is known all the same.
+  // After the nodes have learned that the machine type was withdrawn, accepted jobs are still known.
   c.moreTypes.pop();
   await c.clock.advance(40_000);
   assert.equal((await c.call('n0', 'POST', '/api/jobs', { ...large, id: 'wk-4' })).status, 422);
   for (const n of NODES) {
-    const r = await c.call(n, 'POST', '/api/jobs', large);
-    assert.deepEqual([r.status, (r.body as { status: string }).status], [200, 'queued']);
-    const again = await c.call(n, 'POST', '/api/jobs', { ...over, cpus: 900 });
-    assert.deepEqual([again.status, (again.body as { status: string }).status], [200, 'aborted']);
+    const response = await c.call(n, 'POST', '/api/jobs', large);
+    assert.deepEqual([response.status, (response.body as { status: string }).status], [200, 'queued']);
+    const cancelledResponse = await c.call(n, 'POST', '/api/jobs', { ...cancelled, cpus: 900 });
+    assert.deepEqual(
+      [cancelledResponse.status, (cancelledResponse.body as { status: string }).status],
+      [200, 'aborted'],
+    );
   }
 });
 
-test('a job that is done stays done, whoever cancels it, wherever and however often', async () => {
+test('a done job stays done despite repeated cancellations at every node', async () => {
   const { c, k } = await busy(1);
   const abort = async (n: string) => {
-    const r = await c.call(n, 'POST', '/api/jobs/wk-1/abort');
-    return [r.status, (r.body as { status?: string }).status];
+    const response = await c.call(n, 'POST', '/api/jobs/wk-1/abort');
+    return [response.status, (response.body as { status?: string }).status];
   };
   for (const w of c.workers) for (const a of [...w.attempts]) w.end(a.task, 'done');
   assert.ok(await c.clock.until(() => c.state.value('job/wk-1') !== undefined, 10_000));
   for (const n of [...NODES, ...NODES]) assert.deepEqual(await abort(n), [200, 'done']);
-  // Also by those who have it from its record alone, when its owner has ended.
-  const old = c.owner(k)!;
-  c.killNode(old);
-  for (const n of NODES.filter((x) => x !== old)) assert.deepEqual(await abort(n), [200, 'done']);
-  c.startNode(old);
+  // Nodes that know the job only from its stored record, after its owner was killed, answer the same.
+  const oldOwner = c.owner(k)!;
+  c.killNode(oldOwner);
+  for (const n of NODES.filter((x) => x !== oldOwner)) assert.deepEqual(await abort(n), [200, 'done']);
+  c.startNode(oldOwner);
   await c.clock.advance(9000);
   for (const n of NODES) {
     assert.deepEqual(await abort(n), [200, 'done']);
--- a/tests/http/connectionadmission.test.ts
+++ b/tests/http/connectionadmission.test.ts
@@ -7,28 +7,28 @@
   type ConnectionSlot,
 } from '../../src/http/connectionadmission.js';
 
-/** An admission with its open slots. */
+/** A `ConnectionAdmission` with its open and evicted slots. */
 class Connections {
   readonly admission: ConnectionAdmission;
   readonly open: ConnectionSlot[] = [];
   evicted: ConnectionSlot[] = [];
 
-  constructor(places: number) {
-    this.admission = new ConnectionAdmission(places);
+  constructor(capacity: number) {
+    this.admission = new ConnectionAdmission(capacity);
   }
 
   admit(address: string): ConnectionSlot | null {
-    const gone = () => {
+    const evict = () => {
       this.evicted.push(slot!);
       this.open.splice(this.open.indexOf(slot!), 1);
     };
-    const slot: ConnectionSlot | null = this.admission.admit(address, gone);
+    const slot: ConnectionSlot | null = this.admission.admit(address, evict);
     if (slot) this.open.push(slot);
     return slot;
   }
 
-  /** A connection that has completed a request. */
-  proven(address: string, kind: ClientKind): ConnectionSlot {
+  /** Admits a connection and completes a request of the given kind on it. */
+  admitIdentified(address: string, kind: ClientKind): ConnectionSlot {
     const slot = this.admit(address)!;
     slot.initialDataRead = true;
     this.admission.tryServe(slot, kind);
@@ -37,33 +37,33 @@
   }
 }
 
-test('strangers of the address with most of them go first, then idle users, workers last', () => {
+test('first evicts unidentified connections of the address with the most, then idle users, workers last', () => {
   const server = new Connections(40);
-  for (let i = 0; i < 20; i++) server.proven(`10.1.0.${i}`, 'worker');
-  const users = [...Array(10).keys()].map((i) => server.proven(`10.2.0.${i}`, 'user'));
-  const loner = server.admit('10.3.0.1')!;
-  loner.initialDataRead = true;
+  for (let i = 0; i < 20; i++) server.admitIdentified(`10.1.0.${i}`, 'worker');
+  const users = [...Array(10).keys()].map((i) => server.admitIdentified(`10.2.0.${i}`, 'user'));
+  const single = server.admit('10.3.0.1')!;
+  single.initialDataRead = true;
   for (let i = 0; i < 4; i++) server.admit('10.3.0.2')!.initialDataRead = true;
-  while (server.open.length < 38) server.proven('10.4.0.1', 'health');
-  for (let i = 0; i < 3; i++) server.proven(`10.1.1.${i}`, 'worker');
+  while (server.open.length < 38) server.admitIdentified('10.4.0.1', 'health');
+  for (let i = 0; i < 3; i++) server.admitIdentified(`10.1.1.${i}`, 'worker');
   assert.deepEqual(new Set(server.evicted.map((s) => s.address)), new Set(['10.3.0.2']));
   server.evicted = [];
-  for (let i = 0; i < 2; i++) server.proven(`10.1.2.${i}`, 'worker');
-  assert.ok(server.evicted.includes(loner) && server.evicted.every((s) => s.kind === 'unidentified'));
+  for (let i = 0; i < 2; i++) server.admitIdentified(`10.1.2.${i}`, 'worker');
+  assert.ok(server.evicted.includes(single) && server.evicted.every((s) => s.kind === 'unidentified'));
   server.evicted = [];
-  // One of these users has just asked again, so that it is idle for the shortest time.
+  // The first user has just completed another request, so it is the most recently used one.
   server.admission.tryServe(users[0]!, 'user');
   server.admission.onAnswered(users[0]!, 'user');
-  for (let i = 0; i < 9; i++) server.proven(`10.1.3.${i}`, 'worker');
+  for (let i = 0; i < 9; i++) server.admitIdentified(`10.1.3.${i}`, 'worker');
   assert.deepEqual(server.evicted, users.slice(1));
-  server.proven('10.1.4.0', 'worker');
+  server.admitIdentified('10.1.4.0', 'worker');
   assert.equal(server.evicted.at(-1), users[0]);
-  server.proven('10.1.5.0', 'worker');
+  server.admitIdentified('10.1.5.0', 'worker');
   assert.equal(server.evicted.at(-1)!.address, '10.1.0.0');
 });
 
-// Guards against users' requests that wait for something taking all places, so that no report comes in.
-test('users whose requests are being answered leave places for workers and health checks', () => {
+// Guards against slow user requests occupying all slots, so that no heartbeat is received.
+test('reserves slots for workers and health checks while user requests are in progress', () => {
   const server = new Connections(50);
   let served = 0;
   for (let i = 0; i < 60; i++) {
@@ -75,21 +75,21 @@
   }
   assert.equal(served, 30);
   assert.equal(server.admission.counts.deferred, 30);
-  for (let i = 0; i < 18; i++) assert.ok(server.admit(`10.1.0.${i}`), 'a worker is let in');
+  for (let i = 0; i < 18; i++) assert.ok(server.admit(`10.1.0.${i}`), 'a worker is admitted');
 });
 
-// Guards against a process that stood still ending connections whose requests have been waiting to be read.
-test('a burst that came before anything could be read costs no worker its place, nor itself while there is room', () => {
+// Guards against a stalled process closing connections whose requests have arrived but have not been read yet.
+test('a burst of connections with unread data evicts no worker and is kept while slots are free', () => {
   const server = new Connections(100);
-  for (let i = 0; i < 40; i++) server.proven(`10.1.0.${i}`, 'worker');
+  for (let i = 0; i < 40; i++) server.admitIdentified(`10.1.0.${i}`, 'worker');
   for (let i = 0; i < 200; i++) server.admit('10.9.0.1');
   assert.ok(server.open.filter((s) => s.address === '10.9.0.1').length >= 35);
   assert.deepEqual(server.evicted, []);
   const newcomer = server.admit('10.1.0.50');
-  assert.ok(newcomer, 'another address comes in beside the burst');
+  assert.ok(newcomer, 'a connection from another address is admitted during the burst');
 });
 
-test('whatever comes, places are kept and a worker goes only when nobody else can', () => {
+test('never exceeds the capacity and evicts a worker only if no other connection can be evicted', () => {
   const step = fc.record({
     what: fc.constantFrom('enter', 'look', 'engage', 'serve', 'settle', 'leave'),
     who: fc.nat(200),
@@ -97,33 +97,39 @@
     kind: fc.constantFrom('user' as const, 'worker' as const, 'health' as const),
   });
   fc.assert(
-    fc.property(fc.integer({ min: 4, max: 30 }), fc.array(step, { maxLength: 300 }), (places, steps) => {
-      const server = new Connections(places);
-      const claims = new Set<ConnectionSlot>();
+    fc.property(fc.integer({ min: 4, max: 30 }), fc.array(step, { maxLength: 300 }), (capacity, steps) => {
+      const server = new Connections(capacity);
+      const inProgress = new Set<ConnectionSlot>();
       for (const s of steps) {
         const slot = server.open[s.who % Math.max(1, server.open.length)];
         if (s.what === 'enter') {
-          const others = server.open.filter((o) => o.kind !== 'worker' && o.kind !== 'health');
-          const easy = others.some((o) => (o.kind === 'unidentified' ? o.initialDataRead : !o.answeringUser));
+          const nonWorkers = server.open.filter((o) => o.kind !== 'worker' && o.kind !== 'health');
+          const hasEvictable = nonWorkers.some((o) =>
+            o.kind === 'unidentified' ? o.initialDataRead : !o.answeringUser,
+          );
           server.evicted = [];
           server.admit(`10.0.0.${s.address}`);
-          if (easy) assert.ok(!server.evicted.some((v) => v.kind === 'worker'), 'a worker went too early');
+          if (hasEvictable)
+            assert.ok(
+              !server.evicted.some((v) => v.kind === 'worker'),
+              'a worker was evicted while another connection could be',
+            );
         } else if (!slot) continue;
         else if (s.what === 'look') slot.initialDataRead = true;
         else if (s.what === 'engage') server.admission.onRequestStarted(slot);
-        else if (s.what === 'serve' && !claims.has(slot)) {
-          if (server.admission.tryServe(slot, s.kind)) claims.add(slot);
-        } else if (s.what === 'settle' && claims.has(slot)) {
+        else if (s.what === 'serve' && !inProgress.has(slot)) {
+          if (server.admission.tryServe(slot, s.kind)) inProgress.add(slot);
+        } else if (s.what === 'settle' && inProgress.has(slot)) {
           server.admission.onAnswered(slot, s.kind);
-          claims.delete(slot);
+          inProgress.delete(slot);
         } else if (s.what === 'leave') {
           server.open.splice(server.open.indexOf(slot), 1);
           server.admission.release(slot);
         }
-        assert.ok(server.open.length <= places);
+        assert.ok(server.open.length <= capacity);
         assert.equal(server.admission.openCount, server.open.length);
         const served = server.open.filter((o) => o.answeringUser).length;
-        assert.ok(served <= Math.ceil(places * 0.6), `${served} of ${places} served`);
+        assert.ok(served <= Math.ceil(capacity * 0.6), `${served} of ${capacity} served`);
       }
       for (const slot of [...server.open]) server.admission.release(slot);
       assert.equal(server.admission.openCount, 0);
--- a/tests/http/parser.test.ts
+++ b/tests/http/parser.test.ts
@@ -7,21 +7,21 @@
 const request = () => new MessageParser('request', LIMITS);
 const all = (parser: MessageParser, text: string) => parser.feed(Buffer.from(text, 'latin1'));
 
-test('a request split at any byte is read the same', () => {
+test('parses a request split at any byte identically', () => {
   const text =
     'POST /a?b=c HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhelloGET / HTTP/1.1\r\nHost: x\r\n\r\n';
   for (let cut = 1; cut < text.length; cut++) {
     const parser = request();
     const got = [...all(parser, text.slice(0, cut)), ...all(parser, text.slice(cut))];
     assert.equal(got.length, 2, `cut at ${cut}`);
-    assert.deepEqual(got[0]!.start, ['POST', '/a?b=c', 'HTTP/1.1']);
+    assert.deepEqual(got[0]!.startLine, ['POST', '/a?b=c', 'HTTP/1.1']);
     assert.equal(got[0]!.body.toString(), 'hello');
-    assert.equal(got[1]!.start[0], 'GET');
-    assert.ok(!parser.midway);
+    assert.equal(got[1]!.startLine[0], 'GET');
+    assert.ok(!parser.messageInProgress);
   }
 });
 
-test('chunked bodies are joined, byte by byte too', () => {
+test('joins chunked bodies received byte by byte', () => {
   const text =
     'POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nTrailer: z\r\n\r\n';
   const parser = request();
@@ -30,7 +30,7 @@
   assert.equal(got[0]!.body.toString(), 'abcde');
 });
 
-test('hostile input is refused with the status that says why', () => {
+test('rejects malformed or oversized input with the matching status', () => {
   const cases: [string, number][] = [
     ['GET\r\n\r\n', 400],
     ['GET / HTTP/2.0\r\n\r\n', 400],
@@ -58,20 +58,20 @@
   }
 });
 
-test('a response without a length ends when its connection does', () => {
+test('completes a response without a length at the end of its connection', () => {
   const parser = new MessageParser('response', LIMITS);
   assert.equal(all(parser, 'HTTP/1.1 200 OK\r\n\r\nabc').length, 0);
   assert.equal(parser.finish()?.body.toString(), 'abc');
 });
 
-test('interim answers are passed over', () => {
+test('skips interim responses', () => {
   const parser = new MessageParser('response', LIMITS);
   const got = all(parser, 'HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok');
   assert.equal(got.length, 1);
   assert.equal(got[0]!.body.toString(), 'ok');
 });
 
-/** Everything that one message or stretch of rubbish may look like. */
+// Generators of valid messages and malformed input.
 const token = fc.stringMatching(/^[!#$%&'*+.^_`|~0-9A-Za-z-]{1,12}$/);
 const value = fc.stringMatching(/^[\x21-\x7e]{0,20}$/);
 const payload = fc.uint8Array({ maxLength: 70 }).map((b) => Buffer.from(b).toString('latin1'));
@@ -88,13 +88,13 @@
     ),
   fc.constant('\r\n'),
 );
-const well = fc
+const validMessage = fc
   .tuple(token, value, fc.array(fc.tuple(token, value), { maxLength: 4 }), framed)
   .map(
     ([m, p, headers, rest]) =>
       `${m} /${p} HTTP/1.1\r\nHost: x\r\n${headers.map(([n, v]) => `${n}: ${v}\r\n`).join('')}${rest}`,
   );
-const rubbish = fc.oneof(
+const malformed = fc.oneof(
   payload,
   fc.constantFrom('\r\n\r\n', '\r', '\n', '0\r\n', 'Host: x\r\n', ' HTTP/1.1\r\n', 'Content-Length: 9\r\n'),
   fc.constantFrom(
@@ -105,26 +105,29 @@
     'y'.repeat(1024),
   ),
 );
-const stream = fc.array(fc.oneof({ weight: 3, arbitrary: well }, { weight: 2, arbitrary: rubbish }), {
-  maxLength: 8,
-});
+const stream = fc.array(
+  fc.oneof({ weight: 3, arbitrary: validMessage }, { weight: 2, arbitrary: malformed }),
+  {
+    maxLength: 8,
+  },
+);
 
-/** What a parser makes of bytes that come in pieces: its messages, and how it refuses the rest. */
-function read(pieces: Buffer[]): { messages: unknown[]; refused: number } {
+/** Parses input in pieces; returns the messages and the status for the rest (0 if there was no failure). */
+function read(pieces: Buffer[]): { messages: unknown[]; rejectedWith: number } {
   const parser = request();
   const messages: unknown[] = [];
   for (const piece of pieces) {
     for (const m of parser.feed(piece))
-      messages.push([m.start, [...m.headers], m.body.toString('latin1'), m.keepAlive]);
-    // Twice the body at the most, since its room grows by doubling, and what is left of a head or a line.
-    assert.ok(parser.held <= 2 * LIMITS.bodyBytes + 256 + 2 * 1024, `${parser.held} bytes are held`);
+      messages.push([m.startLine, [...m.headers], m.body.toString('latin1'), m.keepAlive]);
+    // At most twice the body, because its buffer grows by doubling, plus the rest of a head or a line.
+    assert.ok(parser.heldBytes <= 2 * LIMITS.bodyBytes + 256 + 2 * 1024, `${parser.heldBytes} bytes held`);
   }
-  return { messages, refused: parser.failure?.status ?? 0 };
+  return { messages, rejectedWith: parser.failure?.status ?? 0 };
 }
 
-// Guards against two readers of the same bytes seeing different requests, and against what a stranger sends ending or
-// filling a process.
-test('whatever bytes come, however they are split, the same messages are read and the same is refused', () => {
+// Guards against request smuggling (two parsers seeing different requests in the same bytes) and against input of
+// untrusted clients that crashes the process or exhausts its memory.
+test('parses and rejects any input identically, however it is split', () => {
   fc.assert(
     fc.property(stream, fc.array(fc.nat(60), { maxLength: 40 }), (texts, cuts) => {
       const bytes = Buffer.from(texts.join(''), 'latin1');
--- a/tests/peer/mesh.test.ts
+++ b/tests/peer/mesh.test.ts
@@ -15,11 +15,12 @@
   return port;
 }
 
-// Guards against strangers at the peer address: 64 connections that say nothing once kept every other controller out.
-test('connections that do not say who they are keep no controller out', async () => {
+// Guards against unidentified clients exhausting the peer listener: 64 silent connections once blocked all other
+// controllers.
+test('unidentified connections do not block a controller from connecting', async () => {
   const clock = new FakeClock();
   const [a, b] = [await freePort(), await freePort()];
-  const made = (self: string, peer: string, to: number) =>
+  const createMesh = (self: string, peer: string, to: number) =>
     new PeerMesh(
       clock,
       self,
@@ -27,37 +28,38 @@
       (error) => assert.fail(String(error)),
       () => undefined,
     );
-  const one = made('n1', 'n2', b);
+  const one = createMesh('n1', 'n2', b);
   await one.listen({ host: '127.0.0.1', port: a }, (op, args, from) => ({ op, args, from }));
-  const strangers = [...Array(200)].map(() => net.connect(a, '127.0.0.1').on('error', () => undefined));
-  await Promise.all(strangers.map((s) => once(s, 'connect')));
-  const liar = net.connect(a, '127.0.0.1').on('error', () => undefined);
-  liar.write(encodeFrame({ op: 'hello', a: 'n9' }));
-  await once(liar, 'close');
-  const rude = net.connect(a, '127.0.0.1').on('error', () => undefined);
-  rude.write(encodeFrame({ q: 1, op: 'status', a: {} }));
-  await once(rude, 'close');
-  const long = net.connect(a, '127.0.0.1').on('error', () => undefined);
-  long.write(encodeFrame({ op: 'hello', a: 'n2'.padEnd(5000) }));
-  await once(long, 'close');
+  const unidentified = [...Array(200)].map(() => net.connect(a, '127.0.0.1').on('error', () => undefined));
+  await Promise.all(unidentified.map((s) => once(s, 'connect')));
+  const unknownName = net.connect(a, '127.0.0.1').on('error', () => undefined);
+  unknownName.write(encodeFrame({ op: 'hello', a: 'n9' }));
+  await once(unknownName, 'close');
+  const withoutHello = net.connect(a, '127.0.0.1').on('error', () => undefined);
+  withoutHello.write(encodeFrame({ q: 1, op: 'status', a: {} }));
+  await once(withoutHello, 'close');
+  const oversizedHello = net.connect(a, '127.0.0.1').on('error', () => undefined);
+  oversizedHello.write(encodeFrame({ op: 'hello', a: 'n2'.padEnd(5000) }));
+  await once(oversizedHello, 'close');
 
-  const two = made('n2', 'n1', a);
+  const two = createMesh('n2', 'n1', a);
   await two.listen({ host: '127.0.0.1', port: b }, () => null);
-  let got: unknown = null;
-  // The name and a long question come in one piece: the name has to be taken first.
-  for (let i = 0; i < 2000 && got === null; i++) {
+  let response: unknown = null;
+  // The hello and a long request may arrive in one read: the hello must be handled first, since it raises the size
+  // limit.
+  for (let i = 0; i < 2000 && response === null; i++) {
     await new Promise((resolve) => setImmediate(resolve));
-    got = await two
+    response = await two
       .request('n1', 'give', { machine: 'm-1', text: 'x'.repeat(20_000) }, 1000)
       .catch(() => null);
   }
-  assert.deepEqual((got as { op: string; from: string }).op, 'give');
-  assert.deepEqual((got as { op: string; from: string }).from, 'n2');
-  const left = strangers.filter((s) => !s.destroyed);
-  assert.ok(left.length <= 16, `${left.length} strangers are still there`);
-  const ended = left.map((s) => once(s, 'close'));
+  assert.deepEqual((response as { op: string; from: string }).op, 'give');
+  assert.deepEqual((response as { op: string; from: string }).from, 'n2');
+  const remaining = unidentified.filter((s) => !s.destroyed);
+  assert.ok(remaining.length <= 16, `${remaining.length} unidentified connections are still open`);
+  const closed = remaining.map((s) => once(s, 'close'));
   await clock.advance(3100);
-  await Promise.all(ended);
+  await Promise.all(closed);
   one.close();
   two.close();
 });
--- a/tests/wire/wire.test.ts
+++ b/tests/wire/wire.test.ts
@@ -7,7 +7,7 @@
 import { readHeartbeat } from '../../src/wire/workers.js';
 import { job } from '../support/cluster.js';
 
-test('a submission with a missing, wrong or out-of-range field is refused by name', () => {
+test('rejects a submission with a missing, mistyped or out-of-range field and names the field', () => {
   assert.equal(typeof readJob(job('wk-1')), 'object');
   const bad: [object, string][] = [
     [{ id: 'x-1' }, 'id'],
@@ -23,15 +23,15 @@
     [{ flavors: 'c8' }, 'flavors'],
   ];
   for (const [change, field] of bad) {
-    const said = readJob({ ...job('wk-1'), ...change });
-    assert.equal(typeof said, 'string', field);
-    assert.ok((said as string).startsWith(field), `${said}`);
+    const error = readJob({ ...job('wk-1'), ...change });
+    assert.equal(typeof error, 'string', field);
+    assert.ok((error as string).startsWith(field), `${error}`);
   }
   const { flavors: _f, yard: _y, dueS: _d, ...rest } = job('wk-1') as Record<string, unknown>;
-  assert.equal(typeof readJob(rest), 'object', 'what may be null may be left out');
+  assert.equal(typeof readJob(rest), 'object', 'nullable fields may be omitted');
 });
 
-test('garbage from a worker is dropped, unknown fields and states are not', () => {
+test('rejects malformed heartbeats but accepts unknown fields and task states', () => {
   const report = {
     worker: 'm-1',
     addr: '10.0.0.1:9000',
@@ -61,21 +61,21 @@
   }
 });
 
-test('done tasks come back from their chunks, for the largest job in the smallest values', () => {
-  const per = chunkTasks(8);
+test('restores the set of done tasks of the largest job from chunks that fit the smallest value limit', () => {
+  const tasksPerChunk = chunkTasks(8);
   const set = new TaskSet(100_000);
   for (let i = 0; i < 100_000; i += 7) set.add(i);
   const copy = new TaskSet(100_000);
-  for (let n = 0; n * per < 100_000; n++) {
-    const text = set.chunk(n * per, per);
+  for (let n = 0; n * tasksPerChunk < 100_000; n++) {
+    const text = set.chunk(n * tasksPerChunk, tasksPerChunk);
     assert.ok(text.length < 8 * 1024 - 64);
-    copy.load(n * per, text);
+    copy.load(n * tasksPerChunk, text);
   }
   assert.equal(copy.count, set.count);
   assert.ok(copy.has(99_995) && !copy.has(99_996));
 });
 
-test('peer frames survive any split, and garbage ends the connection only', () => {
+test('decodes peer frames split at any byte and throws on malformed data', () => {
   const frames = Buffer.concat([
     encodeFrame({ q: 1, op: 'status', a: { id: 'wk-1' } }),
     encodeFrame({ r: 1, a: null }),
@@ -87,7 +87,7 @@
   assert.throws(() => [...new FrameReader().feed(Buffer.from([255, 255, 255, 255, 0]))]);
 });
 
-test('a bad settings file is refused by the name of the field', () => {
+test('rejects an invalid settings file and names the field', () => {
   const good = `
 node = "w0"
 zone = "a"
@@ -119,7 +119,8 @@
 max_sockets = 800
 `;
   assert.equal(parseSettings(good).workers.leaseS, 20);
-  // What the state service will allow later is kept from the start on, also where it is more than now.
+  // Lower limits that the key-value store announces for later (`state.next`) are applied from the start; higher ones
+  // are not.
   const { stateLimits } = parseSettings(good);
   const next = good.replace(
     /(\[params\.state\][^[]*)/,
@@ -128,13 +129,13 @@
   assert.notEqual(next, good);
   assert.deepEqual(parseSettings(next).stateLimits, { ...stateLimits, valueKb: 2 });
   assert.equal(parseSettings(next).layoutKb, stateLimits.valueKb);
-  const says = (text: string, what: RegExp) =>
+  const assertRejected = (text: string, message: RegExp) =>
     assert.throws(
       () => parseSettings(text),
-      (e) => e instanceof SettingsError && what.test(e.message),
+      (e) => e instanceof SettingsError && message.test(e.message),
     );
-  says(good.replace('lease_s = 20.0', 'lease_s = -1'), /params\.workers\.lease_s/);
-  says(good.replace('bind = "127.0.0.1:1"', 'bind = "here"'), /^bind/);
-  says(good.replace('initial_size = 3', ''), /params\.initial_size/);
-  says('node = ', /TOML/);
+  assertRejected(good.replace('lease_s = 20.0', 'lease_s = -1'), /params\.workers\.lease_s/);
+  assertRejected(good.replace('bind = "127.0.0.1:1"', 'bind = "here"'), /^bind/);
+  assertRejected(good.replace('initial_size = 3', ''), /params\.initial_size/);
+  assertRejected('node = ', /TOML/);
 });
