--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -102,8 +102,7 @@
     if (!this.context.catalog.known) return later(503, 1, 'machine types are not known yet');
     const reason = this.findRejectionReason(spec);
     if (reason !== null) {
-      // A job that has been accepted is not rejected by a repeated submission, even if no machine type fits it any
-      // more.
+      // An accepted job is not rejected when it is submitted again, even if no machine type fits it any more.
       const entry = await this.node.locate(spec.id);
       if (!entry) return { status: 422, body: { error: reason } };
     }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -15,8 +15,7 @@
 }
 
 /**
- * Thrown if no usable response was received. `sent` is false only if the request is certain never to reach the
- * server.
+ * Thrown if no usable response was received. `sent` is false only if the request certainly never reaches the server.
  */
 export class HttpRequestError extends UnreachableError {
   constructor(
--- a/src/http/connectionadmission.ts
+++ b/src/http/connectionadmission.ts
@@ -84,8 +84,7 @@
   admit(address: string, evict: () => void): ConnectionSlot | null {
     const sameAddress = this.unidentified.get(address);
     if (sameAddress && sameAddress.size >= this.maxUnidentifiedPerAddress && !this.evictOldest(sameAddress)) {
-      // Even the oldest may have an unread request, so none is evicted. More are admitted only while slots are not
-      // scarce.
+      // Even the oldest may have an unread request, so it is kept. More are admitted only while slots are not scarce.
       if (this.nearCapacity) return this.refuse();
     }
     if (this.open >= this.capacity - SPARE_SLOTS && !this.evictFor(address)) {
@@ -180,7 +179,7 @@
 
   /** Evicts the oldest of an address's unidentified connections if its initial data have been read. */
   private evictOldest(set: ReadonlySet<ConnectionSlot>): boolean {
-    // Only the first is examined: the others are newer, so if its initial data are unread, theirs most likely are too.
+    // Only the oldest is examined: the others are newer, so if its initial data have not been read, theirs have not.
     for (const slot of set) return slot.initialDataRead && this.evict(slot);
     return false;
   }
@@ -219,8 +218,8 @@
   }
 
   /**
-   * Evicts the least recently used connection that has no request being answered. A user with an incomplete request is
-   * protected no more than an unidentified connection with one.
+   * Evicts the least recently used connection that has no request being answered. An incomplete request does not
+   * protect a user's connection, just as it does not protect an unidentified one.
    */
   private evictUnanswered(slots: ReadonlySet<ConnectionSlot>): boolean {
     for (const slot of slots) if (!slot.answeringUser) return this.evict(slot);
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -140,7 +140,7 @@
     this.sweepTask = startPeriodicTask(clock, SWEEP_INTERVAL_MS, () => this.sweep());
   }
 
-  /** Starts listening and resolves with the port; rejects if the address cannot be bound. */
+  /** Starts listening. Resolves with the port once it listens; rejects if the address cannot be bound. */
   listen(host: string, port: number): Promise<number> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
--- a/src/peer/mesh.ts
+++ b/src/peer/mesh.ts
@@ -41,7 +41,9 @@
     private readonly onRejected: (reason: string) => void,
   ) {}
 
-  /** Connects to the peers and listens for their connections. Rejects if the address cannot be bound. */
+  /**
+   * Connects to the peers and listens for theirs. Resolves once it listens; rejects if the address cannot be bound.
+   */
   listen(endpoint: Endpoint, handler: PeerHandler): Promise<void> {
     const { clock, self, peers, onError, onRejected } = this;
     this.server = new PeerServer(clock, new Set(peers.map((p) => p.node)), { handler, onError, onRejected });
--- a/src/peer/peerserver.ts
+++ b/src/peer/peerserver.ts
@@ -46,7 +46,7 @@
     this.server.on('error', options.onError);
   }
 
-  /** Starts listening; rejects if the address cannot be bound. */
+  /** Starts listening. Resolves once it listens; rejects if the address cannot be bound. */
   listen(endpoint: Endpoint): Promise<void> {
     return new Promise((resolve, reject) => {
       this.server.once('error', reject);
--- a/src/program/compose.ts
+++ b/src/program/compose.ts
@@ -1,4 +1,4 @@
-/** Creates the components of a controller process and connects them, without starting them. */
+/** Creates the components of a controller process and connects them; none of them is listening yet. */
 
 import { randomUUID } from 'node:crypto';
 import { Api, classifyRequest } from '../api/routes.js';
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -67,17 +67,17 @@
 export function readTypes(body: unknown): MachineType[] | null {
   const parsed = v.safeParse(typesBody, body);
   if (!parsed.success) return null;
-  return parsed.output.flavors.map((f) => ({
-    name: f.label,
-    cpus: f.cpus,
-    gpus: f.cards,
-    memoryGb: f.memoryGb,
-    cacheGb: f.localGb,
-    fetchGbPerS: f.pullGbPerS > 0 ? f.pullGbPerS : 0.1,
-    price: f.price,
-    spotPrice: f.lowPrice,
-    bootS: f.readyS,
-    zones: f.yards,
+  return parsed.output.flavors.map((flavor) => ({
+    name: flavor.label,
+    cpus: flavor.cpus,
+    gpus: flavor.cards,
+    memoryGb: flavor.memoryGb,
+    cacheGb: flavor.localGb,
+    fetchGbPerS: flavor.pullGbPerS > 0 ? flavor.pullGbPerS : 0.1,
+    price: flavor.price,
+    spotPrice: flavor.lowPrice,
+    bootS: flavor.readyS,
+    zones: flavor.yards,
   }));
 }
 
@@ -102,14 +102,14 @@
   if (!parsed.success) return null;
   return {
     more: parsed.output.more,
-    machines: parsed.output.workers.map((w) => ({
-      id: w.id,
-      addr: w.addr ?? '',
-      type: w.flavor,
-      zone: w.yard,
-      spot: w.loaner,
-      state: w.status === 'starting' ? 'booting' : w.status === 'failed' ? 'failed' : 'running',
-      ageS: w.heldS,
+    machines: parsed.output.workers.map((worker) => ({
+      id: worker.id,
+      addr: worker.addr ?? '',
+      type: worker.flavor,
+      zone: worker.yard,
+      spot: worker.loaner,
+      state: worker.status === 'starting' ? 'booting' : worker.status === 'failed' ? 'failed' : 'running',
+      ageS: worker.heldS,
     })),
   };
 }
@@ -160,17 +160,17 @@
 /** Encodes the response that `readTypes` decodes. */
 export function writeTypes(types: readonly MachineType[]): object {
   return {
-    flavors: types.map((t) => ({
-      label: t.name,
-      cpus: t.cpus,
-      cards: t.gpus,
-      memoryGb: t.memoryGb,
-      localGb: t.cacheGb,
-      pullGbPerS: t.fetchGbPerS,
-      price: t.price,
-      lowPrice: t.spotPrice,
-      readyS: t.bootS,
-      yards: t.zones,
+    flavors: types.map((type) => ({
+      label: type.name,
+      cpus: type.cpus,
+      cards: type.gpus,
+      memoryGb: type.memoryGb,
+      localGb: type.cacheGb,
+      pullGbPerS: type.fetchGbPerS,
+      price: type.price,
+      lowPrice: type.spotPrice,
+      readyS: type.bootS,
+      yards: type.zones,
     })),
   };
 }
@@ -180,14 +180,14 @@
 /** Encodes the response that `readList` decodes. */
 export function writeList(machines: readonly ListedMachine[], more: boolean): object {
   return {
-    workers: machines.map((m) => ({
-      id: m.id,
-      addr: m.addr,
-      flavor: m.type,
-      yard: m.zone,
-      loaner: m.spot,
-      status: STATUS_WORDS[m.state],
-      heldS: m.ageS,
+    workers: machines.map((machine) => ({
+      id: machine.id,
+      addr: machine.addr,
+      flavor: machine.type,
+      yard: machine.zone,
+      loaner: machine.spot,
+      status: STATUS_WORDS[machine.state],
+      heldS: machine.ageS,
     })),
     more,
   };
--- a/src/wire/state.ts
+++ b/src/wire/state.ts
@@ -24,8 +24,8 @@
 }
 
 /**
- * A write of a transaction: a put (`set`) or a delete (`drop`). An entry with a `lease` (`permit`) is deleted with
- * it.
+ * A write of a transaction: a delete (`drop`), or a put (`set`) of an entry that is deleted with its lease
+ * (`permit`), if any.
  */
 export type Write = { put: string; value: unknown; lease?: number } | { delete: string };
 
--- a/tests/api/submission.test.ts
+++ b/tests/api/submission.test.ts
@@ -54,12 +54,12 @@
 });
 
 test('every node rejects a job that can never run, but not the resubmission of an accepted job', async () => {
-  const c = new FakeCluster(NODES);
-  c.teams = [{ name: 'red', cpus: 16, cpusMax: 32, gpus: 0, gpusMax: 2 }];
-  for (let i = 0; i < 3; i++) c.addWorker('c8', 'a');
-  c.moreTypes.push(['c64', 64, 0]);
-  for (const n of NODES) c.startNode(n);
-  await c.clock.advance(8000);
+  const cluster = new FakeCluster(NODES);
+  cluster.teams = [{ name: 'red', cpus: 16, cpusMax: 32, gpus: 0, gpusMax: 2 }];
+  for (let i = 0; i < 3; i++) cluster.addWorker('c8', 'a');
+  cluster.moreTypes.push(['c64', 64, 0]);
+  for (const n of NODES) cluster.startNode(n);
+  await cluster.clock.advance(8000);
   for (const [reason, change] of [
     ['its team is unknown', { owner: 'nobody' }],
     ['a task is larger than any machine', { cpus: 65 }],
@@ -76,24 +76,31 @@
   ] as const)
     for (const n of NODES) {
       const submission = job('wk-bad', change);
-      assert.equal((await c.call(n, 'POST', '/api/jobs', submission)).status, 422, `${reason}, at ${n}`);
-      assert.equal(await status(c, n, 'wk-bad'), 404);
+      assert.equal(
+        (await cluster.call(n, 'POST', '/api/jobs', submission)).status,
+        422,
+        `${reason}, at ${n}`,
+      );
+      assert.equal(await status(cluster, n, 'wk-bad'), 404);
     }
   // An array is accepted even if all of its tasks together exceed the team's limit.
-  assert.equal((await c.call('n0', 'POST', '/api/jobs', job('wk-1', { pieces: 100, cpus: 8 }))).status, 201);
+  assert.equal(
+    (await cluster.call('n0', 'POST', '/api/jobs', job('wk-1', { pieces: 100, cpus: 8 }))).status,
+    201,
+  );
   const large = job('wk-2', { cpus: 30, flavors: ['c64'] });
-  assert.equal((await c.call('n1', 'POST', '/api/jobs', large)).status, 201);
+  assert.equal((await cluster.call('n1', 'POST', '/api/jobs', large)).status, 201);
   const cancelled = job('wk-3', { cpus: 1 });
-  assert.equal((await c.call('n1', 'POST', '/api/jobs', cancelled)).status, 201);
-  assert.equal((await c.call('n2', 'POST', '/api/jobs/wk-3/abort')).status, 200);
+  assert.equal((await cluster.call('n1', 'POST', '/api/jobs', cancelled)).status, 201);
+  assert.equal((await cluster.call('n2', 'POST', '/api/jobs/wk-3/abort')).status, 200);
   // After the nodes have learned that the machine type was withdrawn, accepted jobs are still known.
-  c.moreTypes.pop();
-  await c.clock.advance(40_000);
-  assert.equal((await c.call('n0', 'POST', '/api/jobs', { ...large, id: 'wk-4' })).status, 422);
+  cluster.moreTypes.pop();
+  await cluster.clock.advance(40_000);
+  assert.equal((await cluster.call('n0', 'POST', '/api/jobs', { ...large, id: 'wk-4' })).status, 422);
   for (const n of NODES) {
-    const response = await c.call(n, 'POST', '/api/jobs', large);
+    const response = await cluster.call(n, 'POST', '/api/jobs', large);
     assert.deepEqual([response.status, (response.body as { status: string }).status], [200, 'queued']);
-    const cancelledResponse = await c.call(n, 'POST', '/api/jobs', { ...cancelled, cpus: 900 });
+    const cancelledResponse = await cluster.call(n, 'POST', '/api/jobs', { ...cancelled, cpus: 900 });
     assert.deepEqual(
       [cancelledResponse.status, (cancelledResponse.body as { status: string }).status],
       [200, 'aborted'],
--- a/tests/http/connectionadmission.test.ts
+++ b/tests/http/connectionadmission.test.ts
@@ -100,29 +100,29 @@
     fc.property(fc.integer({ min: 4, max: 30 }), fc.array(step, { maxLength: 300 }), (capacity, steps) => {
       const server = new Connections(capacity);
       const inProgress = new Set<ConnectionSlot>();
-      for (const s of steps) {
-        const slot = server.open[s.who % Math.max(1, server.open.length)];
-        if (s.what === 'enter') {
+      for (const action of steps) {
+        const slot = server.open[action.who % Math.max(1, server.open.length)];
+        if (action.what === 'enter') {
           const nonWorkers = server.open.filter((o) => o.kind !== 'worker' && o.kind !== 'health');
           const hasEvictable = nonWorkers.some((o) =>
             o.kind === 'unidentified' ? o.initialDataRead : !o.answeringUser,
           );
           server.evicted = [];
-          server.admit(`10.0.0.${s.address}`);
+          server.admit(`10.0.0.${action.address}`);
           if (hasEvictable)
             assert.ok(
               !server.evicted.some((v) => v.kind === 'worker'),
               'a worker was evicted while another connection could be',
             );
         } else if (!slot) continue;
-        else if (s.what === 'look') slot.initialDataRead = true;
-        else if (s.what === 'engage') server.admission.onRequestStarted(slot);
-        else if (s.what === 'serve' && !inProgress.has(slot)) {
-          if (server.admission.tryServe(slot, s.kind)) inProgress.add(slot);
-        } else if (s.what === 'settle' && inProgress.has(slot)) {
-          server.admission.onAnswered(slot, s.kind);
+        else if (action.what === 'look') slot.initialDataRead = true;
+        else if (action.what === 'engage') server.admission.onRequestStarted(slot);
+        else if (action.what === 'serve' && !inProgress.has(slot)) {
+          if (server.admission.tryServe(slot, action.kind)) inProgress.add(slot);
+        } else if (action.what === 'settle' && inProgress.has(slot)) {
+          server.admission.onAnswered(slot, action.kind);
           inProgress.delete(slot);
-        } else if (s.what === 'leave') {
+        } else if (action.what === 'leave') {
           server.open.splice(server.open.indexOf(slot), 1);
           server.admission.release(slot);
         }
--- a/tests/http/parser.test.ts
+++ b/tests/http/parser.test.ts
@@ -4,19 +4,19 @@
 import { MessageParser } from '../../src/http/parser.js';
 
 const LIMITS = { headerBytes: 512, bodyBytes: 64 };
-const request = () => new MessageParser('request', LIMITS);
-const all = (parser: MessageParser, text: string) => parser.feed(Buffer.from(text, 'latin1'));
+const requestParser = () => new MessageParser('request', LIMITS);
+const feed = (parser: MessageParser, text: string) => parser.feed(Buffer.from(text, 'latin1'));
 
 test('parses a request split at any byte identically', () => {
   const text =
     'POST /a?b=c HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhelloGET / HTTP/1.1\r\nHost: x\r\n\r\n';
   for (let cut = 1; cut < text.length; cut++) {
-    const parser = request();
-    const got = [...all(parser, text.slice(0, cut)), ...all(parser, text.slice(cut))];
-    assert.equal(got.length, 2, `cut at ${cut}`);
-    assert.deepEqual(got[0]!.startLine, ['POST', '/a?b=c', 'HTTP/1.1']);
-    assert.equal(got[0]!.body.toString(), 'hello');
-    assert.equal(got[1]!.startLine[0], 'GET');
+    const parser = requestParser();
+    const messages = [...feed(parser, text.slice(0, cut)), ...feed(parser, text.slice(cut))];
+    assert.equal(messages.length, 2, `cut at ${cut}`);
+    assert.deepEqual(messages[0]!.startLine, ['POST', '/a?b=c', 'HTTP/1.1']);
+    assert.equal(messages[0]!.body.toString(), 'hello');
+    assert.equal(messages[1]!.startLine[0], 'GET');
     assert.ok(!parser.messageInProgress);
   }
 });
@@ -24,10 +24,10 @@
 test('joins chunked bodies received byte by byte', () => {
   const text =
     'POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nTrailer: z\r\n\r\n';
-  const parser = request();
-  const got = [...text].flatMap((c) => all(parser, c));
-  assert.equal(got.length, 1);
-  assert.equal(got[0]!.body.toString(), 'abcde');
+  const parser = requestParser();
+  const messages = [...text].flatMap((c) => feed(parser, c));
+  assert.equal(messages.length, 1);
+  assert.equal(messages[0]!.body.toString(), 'abcde');
 });
 
 test('rejects malformed or oversized input with the matching status', () => {
@@ -52,23 +52,26 @@
     [`POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n${'T: x\r\n'.repeat(200)}`, 431],
   ];
   for (const [text, status] of cases) {
-    const parser = request();
-    assert.equal(all(parser, text).length, 0);
+    const parser = requestParser();
+    assert.equal(feed(parser, text).length, 0);
     assert.equal(parser.failure?.status, status, text);
   }
 });
 
 test('completes a response without a length at the end of its connection', () => {
   const parser = new MessageParser('response', LIMITS);
-  assert.equal(all(parser, 'HTTP/1.1 200 OK\r\n\r\nabc').length, 0);
+  assert.equal(feed(parser, 'HTTP/1.1 200 OK\r\n\r\nabc').length, 0);
   assert.equal(parser.finish()?.body.toString(), 'abc');
 });
 
 test('skips interim responses', () => {
   const parser = new MessageParser('response', LIMITS);
-  const got = all(parser, 'HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok');
-  assert.equal(got.length, 1);
-  assert.equal(got[0]!.body.toString(), 'ok');
+  const messages = feed(
+    parser,
+    'HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok',
+  );
+  assert.equal(messages.length, 1);
+  assert.equal(messages[0]!.body.toString(), 'ok');
 });
 
 // Generators of valid messages and malformed input.
@@ -113,8 +116,8 @@
 );
 
 /** Parses input in pieces; returns the messages and the status for the rest (0 if there was no failure). */
-function read(pieces: Buffer[]): { messages: unknown[]; rejectedWith: number } {
-  const parser = request();
+function parsePieces(pieces: Buffer[]): { messages: unknown[]; rejectedWith: number } {
+  const parser = requestParser();
   const messages: unknown[] = [];
   for (const piece of pieces) {
     for (const m of parser.feed(piece))
@@ -138,9 +141,9 @@
         from += cut;
       }
       pieces.push(bytes.subarray(from));
-      const single = read([...bytes].map((b) => Buffer.from([b])));
-      assert.deepEqual(read(pieces), single);
-      assert.deepEqual(read([bytes]), single);
+      const single = parsePieces([...bytes].map((b) => Buffer.from([b])));
+      assert.deepEqual(parsePieces(pieces), single);
+      assert.deepEqual(parsePieces([bytes]), single);
     }),
     { seed: 20261201, numRuns: 500 },
   );
--- a/tests/http/server.test.ts
+++ b/tests/http/server.test.ts
@@ -20,7 +20,7 @@
   const socket = net.connect({ port, host: '127.0.0.1', localAddress });
   return socket.on('error', () => undefined);
 };
-const get = (path: string) => `GET ${path} HTTP/1.1\r\nHost: a\r\n\r\n`;
+const getRequest = (path: string) => `GET ${path} HTTP/1.1\r\nHost: a\r\n\r\n`;
 
 /** Sends a request and resolves with the status of the response, or 0 if the connection closes without one. */
 async function send(socket: net.Socket, text: string): Promise<number> {
@@ -31,7 +31,7 @@
 
 /** Resolves when a socket has closed; unlike `once`, does not reject on a connection error. */
 const closed = (socket: net.Socket) => new Promise((resolve) => socket.once('close', resolve));
-const turn = () => new Promise((resolve) => setImmediate(resolve));
+const nextLoopIteration = () => new Promise((resolve) => setImmediate(resolve));
 
 // Guards against unused connections keeping users and workers out of a controller that serves more than its share.
 test('near the connection limit evicts the longest idle connection for a new one', async () => {
@@ -42,15 +42,15 @@
   for (let i = 0; i < 3; i++) {
     const socket = connect(port);
     open.push(socket);
-    assert.equal(await send(socket, get('/')), 200);
+    assert.equal(await send(socket, getRequest('/')), 200);
     await clock.advance(100);
   }
-  assert.equal(await send(open[0]!, get('/')), 200);
+  assert.equal(await send(open[0]!, getRequest('/')), 200);
   const evicted = closed(open[1]!);
   for (let i = 0; i < 10; i++) {
     const newConnection = connect(port);
     open.push(newConnection);
-    assert.equal(await send(newConnection, get('/')), 200);
+    assert.equal(await send(newConnection, getRequest('/')), 200);
     await clock.advance(100);
   }
   await evicted;
@@ -92,11 +92,11 @@
           socket = connect(port, at);
           sockets.set(at, socket);
         }
-        assert.equal(await send(socket, get('/report')), 200, `${at} in round ${round}`);
+        assert.equal(await send(socket, getRequest('/report')), 200, `${at} in round ${round}`);
       }),
     );
     const probe = connect(port, '127.0.9.9');
-    assert.equal(await send(probe, get('/healthz')), 200);
+    assert.equal(await send(probe, getRequest('/healthz')), 200);
     probe.destroy();
     await clock.advance(500);
   }
@@ -120,7 +120,7 @@
   slow.write(post.slice(0, 20));
   steady.write(post);
   await Promise.all([once(slow, 'connect'), once(steady, 'connect')]);
-  for (let i = 0; i < 20; i++) await turn();
+  for (let i = 0; i < 20; i++) await nextLoopIteration();
   // The process stalls: no connection may be closed because of data that the process itself did not read.
   stalledMs += 30_000;
   await clock.advance(1000);
@@ -128,7 +128,7 @@
   for (let i = 0; i < 6; i++) {
     slow.write('x');
     steady.write('y'.repeat(600));
-    for (let j = 0; j < 20; j++) await turn();
+    for (let j = 0; j < 20; j++) await nextLoopIteration();
     await clock.advance(1000);
     if (i === 2) assert.ok(!slow.destroyed);
   }
@@ -146,8 +146,8 @@
   unread.pause();
   const ended = closed(unread);
   for (let i = 0; i < 3000 && !unread.destroyed; i++) {
-    unread.write(get('/'));
-    await turn();
+    unread.write(getRequest('/'));
+    await nextLoopIteration();
     if (i % 50 === 49) await clock.advance(1000);
   }
   await ended;
@@ -172,7 +172,7 @@
   assert.equal(await send(connect(port), 'GET / HTTP/1.1\r\nHost: a\r\nExpect: cake\r\n\r\n'), 417);
   assert.equal(await send(connect(port), 'GET / HTTP/1.0\r\n\r\n'), 200);
   const pipelined = connect(port);
-  pipelined.write(`${get('/')}rubbish\r\n\r\n`);
+  pipelined.write(`${getRequest('/')}rubbish\r\n\r\n`);
   let text = '';
   pipelined.on('data', (data) => {
     text += data;
--- a/tests/peer/mesh.test.ts
+++ b/tests/peer/mesh.test.ts
@@ -19,7 +19,7 @@
 // controllers.
 test('unidentified connections do not block a controller from connecting', async () => {
   const clock = new FakeClock();
-  const [a, b] = [await freePort(), await freePort()];
+  const [port1, port2] = [await freePort(), await freePort()];
   const createMesh = (self: string, peer: string, to: number) =>
     new PeerMesh(
       clock,
@@ -28,28 +28,30 @@
       (error) => assert.fail(String(error)),
       () => undefined,
     );
-  const one = createMesh('n1', 'n2', b);
-  await one.listen({ host: '127.0.0.1', port: a }, (op, args, from) => ({ op, args, from }));
-  const unidentified = [...Array(200)].map(() => net.connect(a, '127.0.0.1').on('error', () => undefined));
+  const mesh1 = createMesh('n1', 'n2', port2);
+  await mesh1.listen({ host: '127.0.0.1', port: port1 }, (op, args, from) => ({ op, args, from }));
+  const unidentified = [...Array(200)].map(() =>
+    net.connect(port1, '127.0.0.1').on('error', () => undefined),
+  );
   await Promise.all(unidentified.map((s) => once(s, 'connect')));
-  const unknownName = net.connect(a, '127.0.0.1').on('error', () => undefined);
+  const unknownName = net.connect(port1, '127.0.0.1').on('error', () => undefined);
   unknownName.write(encodeFrame({ op: 'hello', a: 'n9' }));
   await once(unknownName, 'close');
-  const withoutHello = net.connect(a, '127.0.0.1').on('error', () => undefined);
+  const withoutHello = net.connect(port1, '127.0.0.1').on('error', () => undefined);
   withoutHello.write(encodeFrame({ q: 1, op: 'status', a: {} }));
   await once(withoutHello, 'close');
-  const oversizedHello = net.connect(a, '127.0.0.1').on('error', () => undefined);
+  const oversizedHello = net.connect(port1, '127.0.0.1').on('error', () => undefined);
   oversizedHello.write(encodeFrame({ op: 'hello', a: 'n2'.padEnd(5000) }));
   await once(oversizedHello, 'close');
 
-  const two = createMesh('n2', 'n1', a);
-  await two.listen({ host: '127.0.0.1', port: b }, () => null);
+  const mesh2 = createMesh('n2', 'n1', port1);
+  await mesh2.listen({ host: '127.0.0.1', port: port2 }, () => null);
   let response: unknown = null;
-  // The hello and a long request may arrive in one read: the hello must be handled first, since it raises the size
+  // The hello and a long request may arrive in mesh1 read: the hello must be handled first, since it raises the size
   // limit.
   for (let i = 0; i < 2000 && response === null; i++) {
     await new Promise((resolve) => setImmediate(resolve));
-    response = await two
+    response = await mesh2
       .request('n1', 'give', { machine: 'm-1', text: 'x'.repeat(20_000) }, 1000)
       .catch(() => null);
   }
@@ -60,6 +62,6 @@
   const closed = remaining.map((s) => once(s, 'close'));
   await clock.advance(3100);
   await Promise.all(closed);
-  one.close();
-  two.close();
+  mesh1.close();
+  mesh2.close();
 });
--- a/tests/wire/wire.test.ts
+++ b/tests/wire/wire.test.ts
@@ -9,7 +9,7 @@
 
 test('rejects a submission with a missing, mistyped or out-of-range field and names the field', () => {
   assert.equal(typeof readJob(job('wk-1')), 'object');
-  const bad: [object, string][] = [
+  const invalid: [object, string][] = [
     [{ id: 'x-1' }, 'id'],
     [{ pieces: 0 }, 'pieces'],
     [{ pieces: 1.5 }, 'pieces'],
@@ -22,7 +22,7 @@
     [{ dueS: 0 }, 'dueS'],
     [{ flavors: 'c8' }, 'flavors'],
   ];
-  for (const [change, field] of bad) {
+  for (const [change, field] of invalid) {
     const error = readJob({ ...job('wk-1'), ...change });
     assert.equal(typeof error, 'string', field);
     assert.ok((error as string).startsWith(field), `${error}`);
@@ -88,7 +88,7 @@
 });
 
 test('rejects an invalid settings file and names the field', () => {
-  const good = `
+  const valid = `
 node = "w0"
 zone = "a"
 bind = "127.0.0.1:1"
@@ -118,15 +118,15 @@
 memory_mb = 178.0
 max_sockets = 800
 `;
-  assert.equal(parseSettings(good).workers.leaseS, 20);
+  assert.equal(parseSettings(valid).workers.leaseS, 20);
   // Lower limits that the key-value store announces for later (`state.next`) are applied from the start; higher ones
   // are not.
-  const { stateLimits } = parseSettings(good);
-  const next = good.replace(
+  const { stateLimits } = parseSettings(valid);
+  const next = valid.replace(
     /(\[params\.state\][^[]*)/,
     '$1\n[params.state.next]\nvalue_kb = 2.0\nrps = 1e9\n',
   );
-  assert.notEqual(next, good);
+  assert.notEqual(next, valid);
   assert.deepEqual(parseSettings(next).stateLimits, { ...stateLimits, valueKb: 2 });
   assert.equal(parseSettings(next).layoutKb, stateLimits.valueKb);
   const assertRejected = (text: string, message: RegExp) =>
@@ -134,8 +134,8 @@
       () => parseSettings(text),
       (e) => e instanceof SettingsError && message.test(e.message),
     );
-  assertRejected(good.replace('lease_s = 20.0', 'lease_s = -1'), /params\.workers\.lease_s/);
-  assertRejected(good.replace('bind = "127.0.0.1:1"', 'bind = "here"'), /^bind/);
-  assertRejected(good.replace('initial_size = 3', ''), /params\.initial_size/);
+  assertRejected(valid.replace('lease_s = 20.0', 'lease_s = -1'), /params\.workers\.lease_s/);
+  assertRejected(valid.replace('bind = "127.0.0.1:1"', 'bind = "here"'), /^bind/);
+  assertRejected(valid.replace('initial_size = 3', ''), /params\.initial_size/);
   assertRejected('node = ', /TOML/);
 });
