--- a/src/emulator/balancer.ts
+++ b/src/emulator/balancer.ts
@@ -3,19 +3,20 @@
 import type { Requester } from '../http/client.js';
 import { USER_PATHS } from '../wire/users.js';
 
-const PROBE_MS = 1000;
-const CONNECT_MS = 500;
-const TRIES = 3;
-const FAILED_ROW = 2;
+/** Time between two health probes of a controller, and the time-out of each. */
+const PROBE_INTERVAL_MS = 1000;
+const CONNECT_TIMEOUT_MS = 500;
+const MAX_CONNECT_ATTEMPTS = 3;
+const UNHEALTHY_AFTER_FAILURES = 2;
 
 interface Target {
   addr: string;
   healthy: boolean;
   failures: number;
-  open: number;
+  openConnections: number;
 }
 
-/** The users' way in: connections go to a healthy controller, those with fewer connections first. */
+/** Load balancer for users: forwards connections to healthy controllers, trying those with fewer connections first. */
 export class Balancer {
   private readonly server = net.createServer({ noDelay: true }, (socket) => void this.accept(socket));
   private readonly targets: Target[];
@@ -27,10 +28,10 @@
     private readonly http: Requester,
     addrs: readonly string[],
   ) {
-    this.targets = addrs.map((addr) => ({ addr, healthy: false, failures: 0, open: 0 }));
+    this.targets = addrs.map((addr) => ({ addr, healthy: false, failures: 0, openConnections: 0 }));
   }
 
-  get healthy(): number {
+  get healthyCount(): number {
     return this.targets.filter((t) => t.healthy).length;
   }
 
@@ -52,46 +53,48 @@
 
   private async probe(): Promise<void> {
     await Promise.all(
-      this.targets.map(async (t) => {
+      this.targets.map(async (target) => {
         const status = await this.http
-          .request(t.addr, 'GET', USER_PATHS.health, null, PROBE_MS)
+          .request(target.addr, 'GET', USER_PATHS.health, null, PROBE_INTERVAL_MS)
           .then((r) => r.status)
           .catch(() => 0);
-        t.failures = status === 200 ? 0 : t.failures + 1;
-        if (t.failures === 0) t.healthy = true;
-        else if (t.failures >= FAILED_ROW) t.healthy = false;
+        target.failures = status === 200 ? 0 : target.failures + 1;
+        if (target.failures === 0) target.healthy = true;
+        else if (target.failures >= UNHEALTHY_AFTER_FAILURES) target.healthy = false;
       }),
     );
-    this.timer = this.clock.after(PROBE_MS, () => void this.probe());
+    this.timer = this.clock.after(PROBE_INTERVAL_MS, () => void this.probe());
   }
 
-  private async accept(user: net.Socket): Promise<void> {
-    this.sockets.add(user);
-    user.on('close', () => this.sockets.delete(user));
-    user.on('error', () => user.destroy());
-    const order = this.targets.filter((t) => t.healthy).sort((a, b) => a.open - b.open);
-    for (const t of order.slice(0, TRIES)) {
-      const to = await this.connect(t.addr);
-      if (!to) continue;
-      t.open++;
-      this.sockets.add(to);
-      to.on('close', () => {
-        t.open--;
-        this.sockets.delete(to);
-        user.destroy();
+  private async accept(client: net.Socket): Promise<void> {
+    this.sockets.add(client);
+    client.on('close', () => this.sockets.delete(client));
+    client.on('error', () => client.destroy());
+    const candidates = this.targets
+      .filter((t) => t.healthy)
+      .sort((a, b) => a.openConnections - b.openConnections);
+    for (const target of candidates.slice(0, MAX_CONNECT_ATTEMPTS)) {
+      const upstream = await this.connect(target.addr);
+      if (!upstream) continue;
+      target.openConnections++;
+      this.sockets.add(upstream);
+      upstream.on('close', () => {
+        target.openConnections--;
+        this.sockets.delete(upstream);
+        client.destroy();
       });
-      user.on('close', () => to.destroy());
-      user.pipe(to).pipe(user);
+      client.on('close', () => upstream.destroy());
+      client.pipe(upstream).pipe(client);
       return;
     }
-    user.destroy();
+    client.destroy();
   }
 
   private connect(addr: string): Promise<net.Socket | null> {
     const [host, port] = addr.split(':');
     return new Promise((resolve) => {
       const socket = net.connect({ host, port: Number(port), noDelay: true });
-      const timer = this.clock.after(CONNECT_MS, () => socket.destroy());
+      const timer = this.clock.after(CONNECT_TIMEOUT_MS, () => socket.destroy());
       socket.once('connect', () => {
         timer.cancel();
         resolve(socket);
--- a/src/emulator/bucket.ts
+++ b/src/emulator/bucket.ts
@@ -1,25 +1,25 @@
 import type { Clock } from '../clock/clock.js';
 
-/** A rate with bursts, as the services count it. */
-export class Bucket {
-  private filled: number | null = null;
-  private at = 0;
+/** Token bucket that limits the rate of an emulated service and allows bursts of `burstS` seconds. */
+export class TokenBucket {
+  private tokens: number | null = null;
+  private refilledAt = 0;
 
   constructor(
     private readonly clock: Clock,
     private readonly burstS: number,
   ) {}
 
-  /** Takes so many, or none; `rate` a second, and may change at any moment. */
+  /** Takes `count` tokens and returns true, or takes none. `rate` is per second and may change between calls. */
   take(count: number, rate: number): boolean {
     if (rate === Number.POSITIVE_INFINITY) return true;
     const now = this.clock.now();
-    const most = rate * this.burstS;
-    this.filled = Math.min(most, (this.filled ?? most) + ((now - this.at) / 1000) * rate);
-    this.at = now;
-    // What is larger than a burst goes when the whole burst is there.
-    if (this.filled < Math.min(count, most)) return false;
-    this.filled -= count;
+    const capacity = rate * this.burstS;
+    this.tokens = Math.min(capacity, (this.tokens ?? capacity) + ((now - this.refilledAt) / 1000) * rate);
+    this.refilledAt = now;
+    // A request larger than the capacity is admitted when the bucket is full, and leaves a negative balance.
+    if (this.tokens < Math.min(count, capacity)) return false;
+    this.tokens -= count;
     return true;
   }
 }
--- a/src/emulator/cloud.ts
+++ b/src/emulator/cloud.ts
@@ -9,34 +9,34 @@
   writeList,
   writeTypes,
 } from '../wire/cloud.js';
-import { Bucket } from './bucket.js';
+import { TokenBucket } from './bucket.js';
 import type { Served } from './state.js';
 
-/** What machines there are, which is no matter of the protocol. */
-export interface Machines {
+/** Source of the emulated machines, separate from the protocol that `CloudService` implements. */
+export interface MachineInventory {
   types(): MachineType[];
-  /** The machines rented, in the order of their names; none when there is no capacity. */
-  rent(r: Rental): string[];
+  /** Rents machines and returns their ids in ascending order; returns none when there is no capacity. */
+  rent(rental: Rental): string[];
   release(machines: string[]): void;
-  /** What a list shows now, in the order of names. */
+  /** Returns the machines that a list shows at present, in ascending order of id. */
   list(): ListedMachine[];
 }
 
-const PAGE_MOST = 500;
+const MAX_PAGE_ENTRIES = 500;
 const BURST_S = 2;
 
-/** A stand-in for the cloud's interface, as its protocol describes it. */
+/** Emulates the cloud's API as its protocol specifies it. */
 export class CloudService {
   down = false;
   requestsPerSecond = Number.POSITIVE_INFINITY;
-  private readonly requests: Bucket;
-  private readonly answered = new Map<string, string[]>();
+  private readonly requests: TokenBucket;
+  private readonly rentalsByRequest = new Map<string, string[]>();
 
   constructor(
     clock: Clock,
-    private readonly machines: Machines,
+    private readonly machines: MachineInventory,
   ) {
-    this.requests = new Bucket(clock, BURST_S);
+    this.requests = new TokenBucket(clock, BURST_S);
   }
 
   serve(method: string, path: string, body: unknown): Served {
@@ -52,19 +52,19 @@
     if (method === 'POST') return this.rent(body);
     const query = new URLSearchParams(path.includes('?') ? path.slice(path.indexOf('?')) : '');
     const since = query.get('since') ?? '';
-    const most = Math.min(PAGE_MOST, Number(query.get('most') ?? PAGE_MOST));
-    const after = this.machines.list().filter((m) => m.id > since);
-    return { status: 200, body: writeList(after.slice(0, most), after.length > most) };
+    const limit = Math.min(MAX_PAGE_ENTRIES, Number(query.get('most') ?? MAX_PAGE_ENTRIES));
+    const remaining = this.machines.list().filter((m) => m.id > since);
+    return { status: 200, body: writeList(remaining.slice(0, limit), remaining.length > limit) };
   }
 
   private rent(body: unknown): Served {
-    const r = readRental(body);
-    if (!r) return { status: 400, body: { error: 'malformed' } };
-    let workers = this.answered.get(r.request);
+    const rental = readRental(body);
+    if (!rental) return { status: 400, body: { error: 'malformed' } };
+    let workers = this.rentalsByRequest.get(rental.request);
     if (!workers) {
-      workers = this.machines.rent(r);
+      workers = this.machines.rent(rental);
       if (workers.length === 0) return { status: 503, body: { error: 'no capacity' } };
-      this.answered.set(r.request, workers);
+      this.rentalsByRequest.set(rental.request, workers);
     }
     return { status: 200, body: { workers } };
   }
--- a/src/emulator/hollow.ts
+++ b/src/emulator/hollow.ts
@@ -5,8 +5,8 @@
 import { Reporter } from './reporter.js';
 import { Worker } from './worker.js';
 
-/** What a hollow worker in a process of its own is told as its only argument. */
-export interface HollowOptions {
+/** Options of a simulated ("hollow") worker process, passed as JSON in its only argument. */
+export interface SimulatedWorkerOptions {
   id: string;
   host: string;
   port: number;
@@ -15,15 +15,15 @@
   leaseS: number;
 }
 
-const BODY_BYTES = 256 * 1024;
+const MAX_BODY_BYTES = 256 * 1024;
 
-/** Runs one hollow worker until standard input ends: all that a worker does for control, and no task. */
-async function main(options: HollowOptions): Promise<void> {
+/** Runs one simulated worker until standard input ends. It speaks the whole control protocol, but runs no tasks. */
+async function main(options: SimulatedWorkerOptions): Promise<void> {
   const { id, host, port, controller, reportS, leaseS } = options;
   const clock = systemClock;
-  const place = { id, addr: `${host}:${port}`, type: 'standard', zone: 'zone-1', spot: false };
-  const http = new HttpClient(clock, { maxSockets: 4, bodyBytes: BODY_BYTES });
-  const worker: Worker = new Worker(clock, place, leaseS, null, () => reporter?.touch());
+  const machine = { id, addr: `${host}:${port}`, type: 'standard', zone: 'zone-1', spot: false };
+  const http = new HttpClient(clock, { maxSockets: 4, bodyBytes: MAX_BODY_BYTES });
+  const worker: Worker = new Worker(clock, machine, leaseS, null, () => reporter?.reportSoon());
   const nodes = [{ node: 'controller', addr: controller }];
   const reporter: Reporter | null = new Reporter(clock, http, new Random(1), worker, nodes, reportS);
   const server = new HttpServer(
@@ -35,7 +35,7 @@
     },
     {
       maxConnections: 16,
-      bodyBytes: BODY_BYTES,
+      bodyBytes: MAX_BODY_BYTES,
       requestMs: 30_000,
       idleMs: 120_000,
       onError: (error) => process.stderr.write(`${error}\n`),
@@ -45,4 +45,4 @@
   process.stdin.on('end', () => process.exit(0)).resume();
 }
 
-await main(JSON.parse(process.argv[2] ?? '{}') as HollowOptions);
+await main(JSON.parse(process.argv[2] ?? '{}') as SimulatedWorkerOptions);
--- a/src/emulator/local.ts
+++ b/src/emulator/local.ts
@@ -12,68 +12,68 @@
 import { CloudService } from './cloud.js';
 import { Market } from './market.js';
 import { Network, type Site } from './network.js';
-import { capacityOf, type NodePlace, type Platform, settingsOf, typesOf } from './platform.js';
-import { PORTS_FOR_SERVICES, PORTS_PER_CONTROLLER, WORKER_PORTS } from './ports.js';
+import { type ControllerEndpoints, capacityOf, type Platform, settingsOf, typesOf } from './platform.js';
+import { PORTS_PER_CONTROLLER, SERVICE_PORT_COUNT, WORKER_PORT_COUNT } from './ports.js';
 import { Random } from './random.js';
 import { PeerRelay } from './relay.js';
 import { Reporter, type ReporterLinks } from './reporter.js';
 import { type Served, StateService, type StoredState } from './state.js';
-import { type Description, Tasks } from './tasks.js';
+import { type JobDescription, Tasks } from './tasks.js';
 import { bodyBytes, Traffic } from './traffic.js';
-import { type Place, Worker } from './worker.js';
+import { type MachineIdentity, Worker } from './worker.js';
 
-/** How a cluster on this machine is started. */
+/** Options for starting a cluster on this machine. */
 export interface LocalOptions {
   platform: Platform;
   controllers: number;
-  /** So many times as fast as the time of day. */
+  /** Factor by which cluster time runs faster than real time. */
   speed: number;
-  /** Settings, logs and what outlives the cluster. */
+  /** Directory for settings files, logs, and the state that persists between runs. */
   data: string;
-  /** The first of the ports that are used. */
+  /** First port of the range that the cluster uses. */
   port: number;
   seed: number;
-  /** The controllers' program and further flags for it. */
+  /** Program that the controllers run; `flags` are passed to it as further arguments. */
   program: string;
-  /** Given to the controllers in turn in place of `program`, for a cluster of several builds. */
+  /** Programs assigned to the controllers round-robin in place of `program`, for a cluster of several builds. */
   programs?: readonly string[];
   flags: readonly string[];
-  /** Told of what goes wrong. */
+  /** Called with a message when something goes wrong. */
   onError: (what: string) => void;
 }
 
-interface Controller extends NodePlace {
+interface Controller extends ControllerEndpoints {
   process: ChildProcess | null;
   starts: number;
 }
 
-interface Machine {
+interface EmulatedMachine {
   worker: Worker;
   reporter: Reporter;
   server: HttpServer;
   site: Site;
 }
 
-interface Stored {
+interface StoredCluster {
   state: StoredState;
-  jobs: Description[];
+  jobs: JobDescription[];
   made: number;
 }
 
 const HOST = '127.0.0.1';
-/** In the data directory: what outlives the cluster. */
+/** File in the data directory that holds the state that persists between runs. */
 export const STATE_FILE = 'state.msgpack';
-const RESTART_MS = 4000;
-const STOP_MS = 3000;
-const SAVE_MS = 2000;
-const HEALTHY_MS = 60_000;
-const uploadBody = v.object({
+const RESTART_DELAY_MS = 4000;
+const STOP_TIMEOUT_MS = 3000;
+const SAVE_INTERVAL_MS = 2000;
+const STARTUP_TIMEOUT_MS = 60_000;
+const uploadSchema = v.object({
   job: v.unknown(),
   runS: v.nullish(v.pipe(v.number(), v.gtValue(0))),
   fails: v.optional(v.boolean(), false),
 });
 
-/** Real controllers between emulated services and workers, all on this machine. */
+/** Cluster of real controller processes with emulated services and workers, all on this machine. */
 export class LocalCluster {
   readonly clock: Clock;
   readonly state: StateService;
@@ -82,9 +82,9 @@
   readonly tasks: Tasks;
   readonly balancer: Balancer;
   readonly network: Network;
-  /** What passes over all links, by kind. */
+  /** Traffic over all links, by kind of message. */
   readonly traffic = new Traffic();
-  readonly machines = new Map<string, Machine>();
+  readonly machines = new Map<string, EmulatedMachine>();
   readonly controllers: Controller[];
   readonly users: string;
   readonly depot: string;
@@ -126,29 +126,29 @@
         types,
         capacity: capacityOf(platform),
         listLagS: platform.cloud.list_lag_s,
-        bootFail: platform.boot_fail,
-        spotPerHour: platform.spot.per_hour,
+        bootFailureShare: platform.boot_fail,
+        spotReclaimsPerHour: platform.spot.per_hour,
         noticeS: platform.spot.notice_s,
       },
       {
-        address: (n) => `${HOST}:${port + PORTS_FOR_SERVICES + (n % WORKER_PORTS)}`,
-        up: (place) => void this.boot(place),
+        address: (n) => `${HOST}:${port + SERVICE_PORT_COUNT + (n % WORKER_PORT_COUNT)}`,
+        up: (identity) => void this.bootMachine(identity),
         notice: (id, seconds) => this.machines.get(id)?.worker.notice(seconds),
-        gone: (id) => this.end(id),
+        gone: (id) => this.removeMachine(id),
       },
     );
     this.cloud = new CloudService(this.clock, this.market);
     this.cloud.requestsPerSecond = platform.cloud.rps;
     this.controllers = Array.from({ length: options.controllers }, (_, i) => {
-      const at = (n: number) => `${HOST}:${port + 2 + i * PORTS_PER_CONTROLLER + n}`;
+      const address = (n: number) => `${HOST}:${port + 2 + i * PORTS_PER_CONTROLLER + n}`;
       return {
         node: `controller-${i}`,
         zone: platform.zones[i % platform.zones.length]!,
-        bind: at(0),
-        peerBind: at(1),
-        state: at(2),
-        cloud: at(3),
-        peerAddr: at(4),
+        bind: address(0),
+        peerBind: address(1),
+        state: address(2),
+        cloud: address(3),
+        peerAddr: address(4),
         process: null,
         starts: 0,
       };
@@ -162,27 +162,30 @@
     );
   }
 
-  /** Starts everything; resolves when a controller is healthy. Fails when a port is taken or none becomes so. */
+  /**
+   * Starts everything and waits for a healthy controller. Fails when a port is taken or no controller becomes healthy
+   * in time.
+   */
   async start(): Promise<void> {
     mkdirSync(this.options.data, { recursive: true });
     this.restore();
-    await this.serve(this.depot, (method, path, body) => this.deposit(method, path, body));
-    for (const c of this.controllers) {
-      const link = { from: this.network.inZone(c.zone), to: this.network.services };
-      await this.serve(c.state, (method, path, body) =>
-        this.through(link, () => this.state.serve(method, path, body, c.node)),
+    await this.startServer(this.depot, (method, path, body) => this.serveDepot(method, path, body));
+    for (const controller of this.controllers) {
+      const link = { from: this.network.inZone(controller.zone), to: this.network.services };
+      await this.startServer(controller.state, (method, path, body) =>
+        this.serveOverLink(link, () => this.state.serve(method, path, body, controller.node)),
       );
-      await this.serve(c.cloud, (method, path, body) =>
-        this.through(link, () => this.cloud.serve(method, path, body)),
+      await this.startServer(controller.cloud, (method, path, body) =>
+        this.serveOverLink(link, () => this.cloud.serve(method, path, body)),
       );
-      await this.relay(c);
+      await this.startRelay(controller);
     }
     await this.balancer.listen(Number(this.users.split(':')[1]));
-    this.market.open();
-    for (const c of this.controllers) this.launch(c);
-    this.save();
-    const until = this.clock.now() + HEALTHY_MS * this.options.speed;
-    while (this.balancer.healthy === 0) {
+    this.market.addInitialMachines();
+    for (const c of this.controllers) this.launchController(c);
+    this.savePeriodically();
+    const until = this.clock.now() + STARTUP_TIMEOUT_MS * this.options.speed;
+    while (this.balancer.healthyCount === 0) {
       if (this.stopping) return;
       if (this.clock.now() > until)
         throw new UnavailableError(`no controller became healthy; see ${this.options.data}/*.log`);
@@ -190,28 +193,31 @@
     }
   }
 
-  /** Ends everything that was started, in good order where that is quick. */
+  /** Stops everything that was started. Controllers that do not exit in time after SIGTERM are killed. */
   async stop(): Promise<void> {
     if (this.stopping) return;
     this.stopping = true;
     await Promise.all(
       this.controllers.map(async ({ process }) => {
         if (!process || process.exitCode !== null || process.signalCode !== null) return;
-        const over = new Promise((resolve) => process.once('exit', resolve));
+        const exited = new Promise((resolve) => process.once('exit', resolve));
         process.kill('SIGTERM');
-        const timer = setTimeout(() => process.kill('SIGKILL'), STOP_MS);
-        await over;
+        const timer = setTimeout(() => process.kill('SIGKILL'), STOP_TIMEOUT_MS);
+        await exited;
         clearTimeout(timer);
       }),
     );
-    for (const id of [...this.machines.keys()]) this.end(id);
+    for (const id of [...this.machines.keys()]) this.removeMachine(id);
     this.balancer.close();
     for (const s of [...this.servers, ...this.relays]) s.close();
     this.http.close();
     this.store();
   }
 
-  /** The controller that is present the longest, by its presence in the key-value store; it watches for others. */
+  /**
+   * Returns the index of the controller that has been present the longest, judged by the version of its presence
+   * record in the key-value store. This controller watches the store and passes the changes on to others.
+   */
   oldestController(): number {
     const versions = this.controllers.map(
       (c) => this.state.items.get(`c/node/${c.node}`)?.version ?? Infinity,
@@ -219,26 +225,26 @@
     return versions.indexOf(Math.min(...versions));
   }
 
-  /** Kills a controller with no warning; it comes back by itself. */
+  /** Kills a controller with SIGKILL; it is restarted automatically. */
   kill(index: number): void {
     this.controllers[index]?.process?.kill('SIGKILL');
   }
 
-  /** The program that a controller runs, by its number. */
+  /** Returns the program that a controller runs, by the controller's index. */
   programOf(index: number): string {
     const { program, programs } = this.options;
     return programs?.[index % programs.length] ?? program;
   }
 
-  private launch(c: Controller): void {
+  private launchController(controller: Controller): void {
     const { data, flags, speed } = this.options;
-    const program = this.programOf(this.controllers.indexOf(c));
-    const file = join(data, `${c.node}.toml`);
-    writeFileSync(file, settingsOf(this.options.platform, c, this.controllers));
-    const log = openSync(join(data, `${c.node}.log`), 'a');
-    // With its standard input gone a controller ends, also when this process is killed.
+    const program = this.programOf(this.controllers.indexOf(controller));
+    const file = join(data, `${controller.node}.toml`);
+    writeFileSync(file, settingsOf(this.options.platform, controller, this.controllers));
+    const log = openSync(join(data, `${controller.node}.log`), 'a');
+    // A controller exits when its standard input closes, so that it also ends when this process is killed.
     const args = ['--max-old-space-size=110', '--max-semi-space-size=2', program, '--end-with-stdin'];
-    c.process = spawn(
+    controller.process = spawn(
       process.execPath,
       [...args, '--clock-speed', String(speed), ...flags, '--config', file],
       {
@@ -246,34 +252,38 @@
       },
     );
     closeSync(log);
-    c.starts++;
-    c.process.on('error', (error) => this.options.onError(`${c.node}: ${error.message}`));
-    c.process.once('exit', (code, signal) => {
+    controller.starts++;
+    controller.process.on('error', (error) => this.options.onError(`${controller.node}: ${error.message}`));
+    controller.process.once('exit', (code, signal) => {
       if (this.stopping) return;
-      this.options.onError(`${c.node} ended (${signal ?? code}); it is started again`);
-      this.clock.after(RESTART_MS, () => {
-        if (!this.stopping) this.launch(c);
+      this.options.onError(`${controller.node} exited (${signal ?? code}) and is being restarted`);
+      this.clock.after(RESTART_DELAY_MS, () => {
+        if (!this.stopping) this.launchController(controller);
       });
     });
   }
 
-  // --- services and workers on sockets
+  // --- servers of the services and workers
 
-  private async serve(
+  private async startServer(
     addr: string,
-    handle: (method: string, path: string, body: unknown) => Served | Promise<Served>,
+    handleRequest: (method: string, path: string, body: unknown) => Served | Promise<Served>,
   ): Promise<HttpServer> {
     const server = new HttpServer(
       this.clock,
-      async (r) => {
+      async (request) => {
         let body: unknown = null;
         try {
-          if (r.body.length > 0) body = JSON.parse(r.body.toString('utf8'));
+          if (request.body.length > 0) body = JSON.parse(request.body.toString('utf8'));
         } catch {
           return { status: 400, body: { error: 'not JSON' } };
         }
-        const reply = await handle(r.method, r.query.size > 0 ? `${r.path}?${r.query}` : r.path, body);
-        return { status: reply.status, body: (reply.body ?? {}) as object };
+        const served = await handleRequest(
+          request.method,
+          request.query.size > 0 ? `${request.path}?${request.query}` : request.path,
+          body,
+        );
+        return { status: served.status, body: (served.body ?? {}) as object };
       },
       {
         maxConnections: 2000,
@@ -288,70 +298,78 @@
     return server;
   }
 
-  private async relay(c: Controller): Promise<void> {
-    const [host, port] = c.peerBind.split(':');
+  private async startRelay(controller: Controller): Promise<void> {
+    const [host, port] = controller.peerBind.split(':');
     const siteOf = (node: string) => {
       const zone = this.controllers.find((other) => other.node === node)?.zone;
       return zone === undefined ? null : this.network.inZone(zone);
     };
-    const target = { node: c.node, host: host!, port: Number(port) };
+    const target = { node: controller.node, host: host!, port: Number(port) };
     const relay = new PeerRelay(this.clock, this.network, this.traffic, target, siteOf);
-    await relay.listen(HOST, Number(c.peerAddr.split(':')[1]));
+    await relay.listen(HOST, Number(controller.peerAddr.split(':')[1]));
     this.relays.push(relay);
   }
 
-  /** Serves a request as from a site to another: late by twice their delay, and never while no message passes. */
-  private async through(
+  /**
+   * Serves a request over the link between two sites: adds the delay of the link in each direction, and never
+   * resolves if a partition separates the sites when the request or the response arrives.
+   */
+  private async serveOverLink(
     link: { from: Site; to: Site },
     serve: () => Served | Promise<Served>,
   ): Promise<Served> {
     const delayMs = this.network.delayMs(link.from, link.to);
-    const unanswered = new Promise<Served>(() => undefined);
+    const noResponse = new Promise<Served>(() => undefined);
     if (delayMs > 0) await pause(this.clock, delayMs);
-    if (this.network.apart(link.from, link.to)) return unanswered;
+    if (this.network.apart(link.from, link.to)) return noResponse;
     const served = await serve();
     if (delayMs > 0) await pause(this.clock, delayMs);
-    return this.network.apart(link.from, link.to) ? unanswered : served;
+    return this.network.apart(link.from, link.to) ? noResponse : served;
   }
 
-  /** Whether orders do not reach a machine: it lost its network, or its part of it is cut off from the services. */
-  private unreached(m: Pick<Machine, 'reporter' | 'site'> | undefined): boolean {
-    return m !== undefined && (m.reporter.cut || this.network.apart(m.site, this.network.services));
+  /**
+   * Returns whether commands cannot reach a machine, because it lost its network or a partition separates its site
+   * from the services.
+   */
+  private isUnreachable(m: Pick<EmulatedMachine, 'reporter' | 'site'> | undefined): boolean {
+    return m !== undefined && (m.reporter.disconnected || this.network.apart(m.site, this.network.services));
   }
 
   private linksOf(site: Site): ReporterLinks {
     const siteOf = new Map(this.controllers.map((c) => [c.node, this.network.inZone(c.zone)]));
     return {
       delayMs: (node) => this.network.delayMs(site, siteOf.get(node)!),
-      apart: (node) => this.network.apart(site, siteOf.get(node)!),
-      answered: (report, answer) => {
+      isSeparated: (node) => this.network.apart(site, siteOf.get(node)!),
+      reportAnswered: (report, answer) => {
         this.traffic.add('worker report', bodyBytes(report));
         this.traffic.add('worker report answer', bodyBytes(answer));
       },
     };
   }
 
-  private command(worker: Worker, method: string, path: string, body: unknown): Served {
+  private serveCommand(worker: Worker, method: string, path: string, body: unknown): Served {
     const served = worker.serve(method, path, body);
     this.traffic.add('worker command', bodyBytes(body));
     this.traffic.add('worker command answer', bodyBytes(served.body));
     return served;
   }
 
-  private async boot(place: Place): Promise<void> {
+  private async bootMachine(identity: MachineIdentity): Promise<void> {
     const { lease_s, report_s } = this.options.platform.workers;
-    const worker: Worker = new Worker(this.clock, place, lease_s, this.tasks, () => reporter?.touch());
-    const site = this.network.inRack(place.zone, Number(place.id.slice(2)));
+    const worker: Worker = new Worker(this.clock, identity, lease_s, this.tasks, () =>
+      reporter?.reportSoon(),
+    );
+    const site = this.network.inRack(identity.zone, Number(identity.id.slice(2)));
     let reporter: Reporter | null = null;
     let server: HttpServer;
     try {
-      server = await this.serve(place.addr, (method, path, body) =>
-        this.unreached(this.machines.get(place.id))
+      server = await this.startServer(identity.addr, (method, path, body) =>
+        this.isUnreachable(this.machines.get(identity.id))
           ? new Promise<Served>(() => undefined)
-          : this.command(worker, method, path, body),
+          : this.serveCommand(worker, method, path, body),
       );
     } catch {
-      // Its port is taken: a machine that never comes up.
+      // The port is taken, so the machine never comes up.
       return;
     }
     reporter = new Reporter(
@@ -363,30 +381,30 @@
       report_s,
       this.linksOf(site),
     );
-    this.machines.set(place.id, { worker, reporter, server, site });
+    this.machines.set(identity.id, { worker, reporter, server, site });
   }
 
-  private end(id: string): void {
-    const m = this.machines.get(id);
-    if (!m) return;
+  private removeMachine(id: string): void {
+    const machine = this.machines.get(id);
+    if (!machine) return;
     this.machines.delete(id);
-    m.reporter.stop();
-    m.worker.die();
-    this.tasks.forget(m.worker);
-    m.server.close();
-    this.servers.splice(this.servers.indexOf(m.server), 1);
+    machine.reporter.stop();
+    machine.worker.die();
+    this.tasks.removeMachine(machine.worker);
+    machine.server.close();
+    this.servers.splice(this.servers.indexOf(machine.server), 1);
   }
 
-  /** Where users upload what workers fetch. */
-  private deposit(method: string, path: string, body: unknown): Served {
+  /** Serves the depot, where users upload the job descriptions that workers fetch. */
+  private serveDepot(method: string, path: string, body: unknown): Served {
     const id = decodeURIComponent(path.replace(/^\/jobs\//, ''));
     if (method === 'GET') {
-      const d = this.tasks.description(id);
-      return d
-        ? { status: 200, body: { job: writeJob(d.spec) } }
+      const description = this.tasks.description(id);
+      return description
+        ? { status: 200, body: { job: writeJob(description.spec) } }
         : { status: 404, body: { error: 'no such job' } };
     }
-    const parsed = v.safeParse(uploadBody, body);
+    const parsed = v.safeParse(uploadSchema, body);
     const spec = parsed.success ? readJob(parsed.output.job) : 'not an upload';
     if (!parsed.success || typeof spec === 'string' || spec.id !== id)
       return { status: 400, body: { error: typeof spec === 'string' ? spec : 'another id' } };
@@ -394,30 +412,34 @@
     return { status: 200, body: {} };
   }
 
-  // --- what outlives the cluster
+  // --- state that persists between runs
 
-  private get file(): string {
+  private get stateFile(): string {
     return join(this.options.data, STATE_FILE);
   }
 
   private restore(): void {
-    if (!existsSync(this.file)) return;
-    const stored = this.packr.unpack(readFileSync(this.file)) as Stored;
+    if (!existsSync(this.stateFile)) return;
+    const stored = this.packr.unpack(readFileSync(this.stateFile)) as StoredCluster;
     this.state.load(stored.state);
-    this.market.made = stored.made;
+    this.market.machinesCreated = stored.made;
     for (const d of stored.jobs) this.tasks.upload(d);
   }
 
   private store(): void {
     const { state, tasks, market } = this;
-    const stored: Stored = { state: state.store(), jobs: tasks.descriptions(), made: market.made };
-    writeFileSync(`${this.file}.new`, this.packr.pack(stored));
-    renameSync(`${this.file}.new`, this.file);
+    const stored: StoredCluster = {
+      state: state.store(),
+      jobs: tasks.descriptions(),
+      made: market.machinesCreated,
+    };
+    writeFileSync(`${this.stateFile}.new`, this.packr.pack(stored));
+    renameSync(`${this.stateFile}.new`, this.stateFile);
   }
 
-  private save(): void {
+  private savePeriodically(): void {
     if (this.stopping) return;
     this.store();
-    this.clock.after(SAVE_MS * this.options.speed, () => this.save());
+    this.clock.after(SAVE_INTERVAL_MS * this.options.speed, () => this.savePeriodically());
   }
 }
--- a/src/emulator/market.ts
+++ b/src/emulator/market.ts
@@ -1,60 +1,60 @@
 import type { Clock, Timer } from '../clock/clock.js';
 import type { ListedMachine, MachineType, Rental } from '../wire/cloud.js';
-import type { Machines } from './cloud.js';
+import type { MachineInventory } from './cloud.js';
 import type { Random } from './random.js';
-import type { Place } from './worker.js';
+import type { MachineIdentity } from './worker.js';
 
-/** How many machines of a type a zone has. */
+/** Number of machines of one type in one zone. */
 export interface Capacity {
   type: string;
   zone: string;
-  /** Machines that can be had at once, ordinary and spot. */
+  /** Maximum number of on-demand machines rented at the same time; `spot` is that of spot machines. */
   count: number;
   spot: number;
-  /** Ordinary machines that are up from the start. */
+  /** Number of on-demand machines that are up from the start. */
   up: number;
 }
 
-/** What the emulated cloud offers, and how it misbehaves. */
+/** Machines that the emulated cloud offers, and its faults. */
 export interface MarketOptions {
   types: MachineType[];
   capacity: Capacity[];
   listLagS: number;
-  /** Of all machines, the share that never comes up. */
-  bootFail: number;
-  /** Spot machines taken back an hour, each; the notice that most of them get. */
-  spotPerHour: number;
+  /** Fraction of the machines that never come up. */
+  bootFailureShare: number;
+  /** Mean number of reclaims per spot machine and hour; `noticeS` is the mean notice, which most of them get. */
+  spotReclaimsPerHour: number;
   noticeS: number;
 }
 
-/** What the emulated cloud tells the cluster about its machines. */
+/** Callbacks by which the emulated cloud reports machine events to the cluster. */
 export interface MarketHooks {
   address(n: number): string;
-  up(place: Place): void;
+  up(identity: MachineIdentity): void;
   notice(id: string, seconds: number): void;
-  /** A machine and all on it are gone. */
+  /** A machine was removed, with everything on it. */
   gone(id: string): void;
 }
 
-interface Rented extends Place {
+interface RentedMachine extends MachineIdentity {
   rentedAt: number;
-  upAt: number;
-  goneAt: number;
+  bootedAt: number;
+  removedAt: number;
   timers: Timer[];
 }
 
-const SILENT = 0.15;
-const GONE_KEPT_MS = 120_000;
-const SLOW_BOOT = 0.04;
+const NO_NOTICE_SHARE = 0.15;
+const REMOVED_RETENTION_MS = 120_000;
+const SLOW_BOOT_SHARE = 0.04;
 
-/** Machines as a cloud has them: capacity, boots that vary, a list that lags, spot machines that are taken back. */
-export class Market implements Machines {
-  readonly machines = new Map<string, Rented>();
-  /** Money spent so far, and machine hours. */
+/** Machine pool of the emulated cloud: limited capacity, varying boot times, a list that lags, and spot reclaims. */
+export class Market implements MachineInventory {
+  readonly machines = new Map<string, RentedMachine>();
+  /** Cost of all rented machines so far. */
   spent = 0;
-  /** No rental is served while it is set. */
-  full = false;
-  made = 0;
+  /** While set, every rental fails for lack of capacity. */
+  rejectRentals = false;
+  machinesCreated = 0;
   private chargedAt: number;
 
   constructor(
@@ -70,26 +70,27 @@
     return this.options.types.map((t) => ({ ...t, spotPrice: t.spotPrice * this.random.between(0.7, 1.3) }));
   }
 
-  /** The machines that are up from the start. */
-  open(): void {
+  /** Adds the machines that are up from the start. */
+  addInitialMachines(): void {
     for (const c of this.options.capacity)
       for (let i = 0; i < c.up; i++) this.add({ type: c.type, zone: c.zone, spot: false }, 0);
   }
 
-  rent(r: Rental): string[] {
-    const limit = this.options.capacity.find((c) => c.type === r.type && c.zone === r.zone);
-    const most = r.spot ? (limit?.spot ?? 0) : (limit?.count ?? 0);
-    let used = 0;
+  rent(rental: Rental): string[] {
+    const limit = this.options.capacity.find((c) => c.type === rental.type && c.zone === rental.zone);
+    const maxCount = rental.spot ? (limit?.spot ?? 0) : (limit?.count ?? 0);
+    let inUse = 0;
     for (const m of this.machines.values())
-      if (m.type === r.type && m.zone === r.zone && m.spot === r.spot && !this.isGone(m)) used++;
-    const count = this.full ? 0 : Math.min(r.count, most - used);
-    const type = this.options.types.find((t) => t.name === r.type);
+      if (m.type === rental.type && m.zone === rental.zone && m.spot === rental.spot && !this.isRemoved(m))
+        inUse++;
+    const count = this.rejectRentals ? 0 : Math.min(rental.count, maxCount - inUse);
+    const type = this.options.types.find((t) => t.name === rental.type);
     const ids: string[] = [];
     for (let i = 0; type && i < count; i++) {
-      let factor = this.random.between(0.6, 1.5);
-      if (this.random.chance(SLOW_BOOT)) factor *= 3;
-      if (this.random.chance(this.options.bootFail)) factor = Number.POSITIVE_INFINITY;
-      ids.push(this.add(r, type.bootS * factor));
+      let bootFactor = this.random.between(0.6, 1.5);
+      if (this.random.chance(SLOW_BOOT_SHARE)) bootFactor *= 3;
+      if (this.random.chance(this.options.bootFailureShare)) bootFactor = Number.POSITIVE_INFINITY;
+      ids.push(this.add(rental, type.bootS * bootFactor));
     }
     return ids;
   }
@@ -99,84 +100,84 @@
   }
 
   list(): ListedMachine[] {
-    const lag = this.options.listLagS * (this.random.chance(0.1) ? this.random.between(1, 2) : 1);
-    const t = this.clock.now() - lag * 1000;
-    const seen: ListedMachine[] = [];
-    for (const m of this.machines.values()) {
-      if (m.rentedAt > t || m.goneAt <= t) continue;
-      const { id, addr, type, zone, spot } = m;
-      const state = m.upAt <= t ? 'running' : 'booting';
-      seen.push({ id, addr, type, zone, spot, state, ageS: (t - m.rentedAt) / 1000 });
+    const lagS = this.options.listLagS * (this.random.chance(0.1) ? this.random.between(1, 2) : 1);
+    const shownAt = this.clock.now() - lagS * 1000;
+    const listed: ListedMachine[] = [];
+    for (const machine of this.machines.values()) {
+      if (machine.rentedAt > shownAt || machine.removedAt <= shownAt) continue;
+      const { id, addr, type, zone, spot } = machine;
+      const state = machine.bootedAt <= shownAt ? 'running' : 'booting';
+      listed.push({ id, addr, type, zone, spot, state, ageS: (shownAt - machine.rentedAt) / 1000 });
     }
-    return seen;
+    return listed;
   }
 
-  /** Charges for what is rented, up to now. */
+  /** Adds the cost of the rented machines since the last call; returns the total so far. */
   charge(): number {
     const hours = (this.clock.now() - this.chargedAt) / 3_600_000;
     this.chargedAt = this.clock.now();
     for (const m of this.machines.values()) {
       const type = this.options.types.find((t) => t.name === m.type);
-      if (type && !this.isGone(m)) this.spent += hours * (m.spot ? type.spotPrice : type.price);
+      if (type && !this.isRemoved(m)) this.spent += hours * (m.spot ? type.spotPrice : type.price);
     }
     return this.spent;
   }
 
-  /** A machine goes, by whoever's doing. */
+  /** Removes a machine, whether it was released, reclaimed or failed. */
   take(id: string): void {
-    const m = this.machines.get(id);
-    if (!m || this.isGone(m)) return;
+    const machine = this.machines.get(id);
+    if (!machine || this.isRemoved(machine)) return;
     this.charge();
-    m.goneAt = this.clock.now();
-    for (const t of m.timers) t.cancel();
+    machine.removedAt = this.clock.now();
+    for (const t of machine.timers) t.cancel();
     this.hooks.gone(id);
-    // The list lags, so that what is gone is still shown for a while.
-    this.clock.after(GONE_KEPT_MS, () => this.machines.delete(id));
+    // Keeps the record for some time, because the lagging list still shows a removed machine.
+    this.clock.after(REMOVED_RETENTION_MS, () => this.machines.delete(id));
   }
 
-  private isGone(m: Rented): boolean {
-    return m.goneAt !== Number.POSITIVE_INFINITY;
+  private isRemoved(m: RentedMachine): boolean {
+    return m.removedAt !== Number.POSITIVE_INFINITY;
   }
 
-  private add(kind: { type: string; zone: string; spot: boolean }, bootS: number): string {
+  private add(machineKind: { type: string; zone: string; spot: boolean }, bootS: number): string {
     this.charge();
-    const n = ++this.made;
+    const n = ++this.machinesCreated;
     const id = `m-${String(n).padStart(6, '0')}`;
     const now = this.clock.now();
-    const { type, zone, spot } = kind;
-    const m: Rented = {
+    const { type, zone, spot } = machineKind;
+    const machine: RentedMachine = {
       id,
       addr: this.hooks.address(n),
       type,
       zone,
       spot,
       rentedAt: now,
-      upAt: now + bootS * 1000,
-      goneAt: Number.POSITIVE_INFINITY,
+      bootedAt: now + bootS * 1000,
+      removedAt: Number.POSITIVE_INFINITY,
       timers: [],
     };
-    this.machines.set(id, m);
+    this.machines.set(id, machine);
     if (bootS !== Number.POSITIVE_INFINITY)
-      m.timers.push(
-        this.clock.after(bootS * 1000, () => this.hooks.up({ id, addr: m.addr, type, zone, spot })),
+      machine.timers.push(
+        this.clock.after(bootS * 1000, () => this.hooks.up({ id, addr: machine.addr, type, zone, spot })),
       );
-    if (spot && this.options.spotPerHour > 0) this.planReclaim(m);
+    if (spot && this.options.spotReclaimsPerHour > 0) this.scheduleReclaim(machine);
     return id;
   }
 
-  private planReclaim(m: Rented): void {
-    const inMs = this.random.gap(3_600_000 / this.options.spotPerHour);
-    const noticeMs = this.random.chance(SILENT)
+  private scheduleReclaim(machine: RentedMachine): void {
+    const delayMs = this.random.exponential(3_600_000 / this.options.spotReclaimsPerHour);
+    const noticeMs = this.random.chance(NO_NOTICE_SHARE)
       ? 0
       : this.options.noticeS * 1000 * this.random.between(0.5, 1.5);
-    m.timers.push(this.clock.after(inMs, () => this.reclaim(m.id, noticeMs)));
+    machine.timers.push(this.clock.after(delayMs, () => this.reclaim(machine.id, noticeMs)));
   }
 
-  /** Takes a machine back, with or without a notice. */
+  /** Reclaims a machine, after a notice if `noticeMs` is above 0. */
   reclaim(id: string, noticeMs: number): void {
-    const m = this.machines.get(id);
-    if (!m || this.isGone(m)) return;
+    const machine = this.machines.get(id);
+    if (!machine || this.isRemoved(machine)) return;
     if (noticeMs > 0) this.hooks.notice(id, noticeMs / 1000);
-    m.timers.push(this.clock.after(noticeMs, () => this.take(id)));
+    machine.timers.push(this.clock.after(noticeMs, () => this.take(id)));
   }
 }
--- a/src/emulator/platform.ts
+++ b/src/emulator/platform.ts
@@ -6,46 +6,55 @@
 import type { Capacity } from './market.js';
 
 const positive = v.pipe(v.number(), v.gtValue(0));
-const amount = v.pipe(v.number(), v.minValue(0));
-const whole = v.pipe(amount, v.integer());
-const text = v.pipe(v.string(), v.minLength(1));
-const share = v.pipe(amount, v.maxValue(1));
-/** A field that may be left out, also when the whole table is. */
-const or = <T extends v.GenericSchema<number, number>>(schema: T, value: number) => v.optional(schema, value);
+const nonNegative = v.pipe(v.number(), v.minValue(0));
+const nonNegativeInteger = v.pipe(nonNegative, v.integer());
+const nonEmptyString = v.pipe(v.string(), v.minLength(1));
+const fraction = v.pipe(nonNegative, v.maxValue(1));
+/** Makes a numeric field optional; the default also applies when the whole table is missing. */
+const withDefault = <T extends v.GenericSchema<number, number>>(schema: T, value: number) =>
+  v.optional(schema, value);
 
-const file = v.object({
-  zones: v.pipe(v.array(text), v.minLength(1)),
-  /** Zones that share a region; left out, all are in one. */
-  regions: v.optional(v.record(text, v.pipe(v.array(text), v.minLength(1))), {}),
-  racks_per_zone: or(v.pipe(whole, v.minValue(1)), 1),
+const platformSchema = v.object({
+  zones: v.pipe(v.array(nonEmptyString), v.minLength(1)),
+  /** Zones by region; if omitted, all zones are in one region. */
+  regions: v.optional(v.record(nonEmptyString, v.pipe(v.array(nonEmptyString), v.minLength(1))), {}),
+  racks_per_zone: withDefault(v.pipe(nonNegativeInteger, v.minValue(1)), 1),
   machine_types: v.pipe(
     v.array(
       v.object({
-        name: text,
+        name: nonEmptyString,
         cpus: positive,
-        gpus: or(amount, 0),
+        gpus: withDefault(nonNegative, 0),
         memory_gb: positive,
         price: positive,
-        spot_price: or(amount, 0),
-        cache_gb: or(positive, 100),
-        fetch_gb_per_s: or(positive, 1),
-        boot_s: or(positive, 30),
+        spot_price: withDefault(nonNegative, 0),
+        cache_gb: withDefault(positive, 100),
+        fetch_gb_per_s: withDefault(positive, 1),
+        boot_s: withDefault(positive, 30),
       }),
     ),
     v.minLength(1),
   ),
   capacity: v.pipe(
-    v.array(v.object({ type: text, zone: text, count: whole, spot: or(whole, 0), up: or(whole, 0) })),
+    v.array(
+      v.object({
+        type: nonEmptyString,
+        zone: nonEmptyString,
+        count: nonNegativeInteger,
+        spot: withDefault(nonNegativeInteger, 0),
+        up: withDefault(nonNegativeInteger, 0),
+      }),
+    ),
     v.minLength(1),
   ),
   teams: v.optional(
     v.array(
       v.object({
-        name: text,
-        cpus: or(amount, 0),
-        cpus_max: or(amount, 0),
-        gpus: or(amount, 0),
-        gpus_max: or(amount, 0),
+        name: nonEmptyString,
+        cpus: withDefault(nonNegative, 0),
+        cpus_max: withDefault(nonNegative, 0),
+        gpus: withDefault(nonNegative, 0),
+        gpus_max: withDefault(nonNegative, 0),
       }),
     ),
     [],
@@ -53,42 +62,56 @@
   objectives: v.optional(v.array(v.record(v.string(), v.union([v.string(), v.number()]))), []),
   workers: v.optional(
     v.object({
-      report_s: or(positive, 3),
-      lease_s: or(positive, 20),
-      gang_wait_s: or(positive, 40),
-      gang_peer_s: or(positive, 5),
-      cancel_s: or(positive, 45),
+      report_s: withDefault(positive, 3),
+      lease_s: withDefault(positive, 20),
+      gang_wait_s: withDefault(positive, 40),
+      gang_peer_s: withDefault(positive, 5),
+      cancel_s: withDefault(positive, 45),
     }),
     {},
   ),
   state: v.optional(
     v.object({
-      rps: or(positive, 150),
-      write_rps: or(positive, 50),
-      value_kb: or(positive, 8),
-      txn_ops: or(v.pipe(whole, v.minValue(1)), 32),
+      rps: withDefault(positive, 150),
+      write_rps: withDefault(positive, 50),
+      value_kb: withDefault(positive, 8),
+      txn_ops: withDefault(v.pipe(nonNegativeInteger, v.minValue(1)), 32),
     }),
     {},
   ),
-  cloud: v.optional(v.object({ rps: or(positive, 10), list_lag_s: or(amount, 5) }), {}),
-  spot: v.optional(v.object({ per_hour: or(amount, 0.4), notice_s: or(amount, 20) }), {}),
-  boot_fail: or(share, 0.01),
-  /** How long a message is under way, in one direction. */
+  cloud: v.optional(
+    v.object({ rps: withDefault(positive, 10), list_lag_s: withDefault(nonNegative, 5) }),
+    {},
+  ),
+  spot: v.optional(
+    v.object({ per_hour: withDefault(nonNegative, 0.4), notice_s: withDefault(nonNegative, 20) }),
+    {},
+  ),
+  boot_fail: withDefault(fraction, 0.01),
+  /** Delay of a message in one direction. */
   network: v.optional(
-    v.object({ same_zone_ms: or(amount, 0), cross_zone_ms: or(amount, 0), cross_region_ms: or(amount, 0) }),
+    v.object({
+      same_zone_ms: withDefault(nonNegative, 0),
+      cross_zone_ms: withDefault(nonNegative, 0),
+      cross_region_ms: withDefault(nonNegative, 0),
+    }),
     {},
   ),
-  /** What a controller is told that it may use. */
+  /** Resource limits that each controller is given. */
   controllers: v.optional(
-    v.object({ cores: or(positive, 1), memory_mb: or(positive, 250), max_sockets: or(positive, 1000) }),
+    v.object({
+      cores: withDefault(positive, 1),
+      memory_mb: withDefault(positive, 250),
+      max_sockets: withDefault(positive, 1000),
+    }),
     {},
   ),
 });
 
-/** What a cluster on one machine consists of, as its file says. */
-export type Platform = v.InferOutput<typeof file>;
+/** Contents of a platform file, which describes a cluster on one machine. */
+export type Platform = v.InferOutput<typeof platformSchema>;
 
-const BUILTIN = `
+const BUILTIN_PLATFORM = `
 zones = ["north", "south"]
 [[machine_types]]
 name = "small"
@@ -152,73 +175,83 @@
 name = "guests"
 `;
 
-/** Reads a platform file; `builtin` is a small one for a first look. Fails with `SettingsError`, which names the field. */
+/**
+ * Reads a platform file; the path `builtin` selects a small example platform. Throws a `SettingsError` that names the
+ * invalid field.
+ */
 export function loadPlatform(path: string): Platform {
   let raw: unknown;
   try {
-    raw = parse(path === 'builtin' ? BUILTIN : readFileSync(path, 'utf8'));
+    raw = parse(path === 'builtin' ? BUILTIN_PLATFORM : readFileSync(path, 'utf8'));
   } catch (error) {
     throw new SettingsError(`${path}: ${error instanceof Error ? error.message.split('\n')[0] : error}`);
   }
-  const p = v.safeParse(file, raw);
-  if (!p.success)
-    throw new SettingsError(`${path}: ${v.getDotPath(p.issues[0]) ?? 'file'}: ${p.issues[0].message}`);
-  for (const [i, c] of p.output.capacity.entries()) {
-    if (!p.output.machine_types.some((t) => t.name === c.type))
+  const parsed = v.safeParse(platformSchema, raw);
+  if (!parsed.success)
+    throw new SettingsError(
+      `${path}: ${v.getDotPath(parsed.issues[0]) ?? 'file'}: ${parsed.issues[0].message}`,
+    );
+  for (const [i, c] of parsed.output.capacity.entries()) {
+    if (!parsed.output.machine_types.some((t) => t.name === c.type))
       throw new SettingsError(`${path}: capacity.${i}.type: no machine type ${c.type}`);
-    if (!p.output.zones.includes(c.zone))
+    if (!parsed.output.zones.includes(c.zone))
       throw new SettingsError(`${path}: capacity.${i}.zone: no zone ${c.zone}`);
   }
-  checkRegions(path, p.output);
-  return p.output;
+  checkRegions(path, parsed.output);
+  return parsed.output;
 }
 
-/** Every zone is in one region, or none is named. */
-function checkRegions(path: string, p: Platform): void {
-  const regions = Object.entries(p.regions);
+/** Checks that every zone is in exactly one region, unless no regions are configured. */
+function checkRegions(path: string, platform: Platform): void {
+  const regions = Object.entries(platform.regions);
   if (regions.length === 0) return;
-  const grouped = regions.flatMap(([, zones]) => zones);
+  const zonesInRegions = regions.flatMap(([, zones]) => zones);
   for (const [region, zones] of regions)
     for (const zone of zones)
-      if (!p.zones.includes(zone)) throw new SettingsError(`${path}: regions.${region}: no zone ${zone}`);
-  for (const zone of p.zones)
-    if (grouped.filter((z) => z === zone).length !== 1)
+      if (!platform.zones.includes(zone))
+        throw new SettingsError(`${path}: regions.${region}: no zone ${zone}`);
+  for (const zone of platform.zones)
+    if (zonesInRegions.filter((z) => z === zone).length !== 1)
       throw new SettingsError(`${path}: regions: ${zone} must be in one region`);
 }
 
-/** The machine types of a platform file, as the cloud lists them. */
-export function typesOf(p: Platform): MachineType[] {
-  return p.machine_types.map((t) => ({
-    name: t.name,
-    cpus: t.cpus,
-    gpus: t.gpus,
-    memoryGb: t.memory_gb,
-    cacheGb: t.cache_gb,
-    fetchGbPerS: t.fetch_gb_per_s,
-    price: t.price,
-    spotPrice: t.spot_price,
-    bootS: t.boot_s,
-    zones: [...new Set(p.capacity.filter((c) => c.type === t.name).map((c) => c.zone))],
+/** Returns the machine types of a platform file in the form in which the cloud lists them. */
+export function typesOf(platform: Platform): MachineType[] {
+  return platform.machine_types.map((machineType) => ({
+    name: machineType.name,
+    cpus: machineType.cpus,
+    gpus: machineType.gpus,
+    memoryGb: machineType.memory_gb,
+    cacheGb: machineType.cache_gb,
+    fetchGbPerS: machineType.fetch_gb_per_s,
+    price: machineType.price,
+    spotPrice: machineType.spot_price,
+    bootS: machineType.boot_s,
+    zones: [...new Set(platform.capacity.filter((c) => c.type === machineType.name).map((c) => c.zone))],
   }));
 }
 
-/** What the zones of a platform file have. */
-export const capacityOf = (p: Platform): Capacity[] => p.capacity;
+/** Returns the machine capacity of the zones of a platform file. */
+export const capacityOf = (platform: Platform): Capacity[] => platform.capacity;
 
-/** Where a controller of an emulated cluster listens. */
-export interface NodePlace {
+/** Addresses of a controller of an emulated cluster. */
+export interface ControllerEndpoints {
   node: string;
   zone: string;
   bind: string;
   peerBind: string;
-  /** Where the other controllers reach it. */
+  /** Address of the relay through which the other controllers reach it. */
   peerAddr: string;
   cloud: string;
   state: string;
 }
 
-/** The settings file of one controller. */
-export function settingsOf(p: Platform, own: NodePlace, all: readonly NodePlace[]): string {
+/** Returns the contents of one controller's settings file. */
+export function settingsOf(
+  platform: Platform,
+  own: ControllerEndpoints,
+  all: readonly ControllerEndpoints[],
+): string {
   return stringify({
     node: own.node,
     zone: own.zone,
@@ -228,15 +261,15 @@
     external: { cloud: own.cloud, state: own.state },
     params: {
       initial_size: all.length,
-      zones: p.zones,
-      regions: p.regions,
+      zones: platform.zones,
+      regions: platform.regions,
       skew_ms: 1000,
-      teams: p.teams,
-      objectives: p.objectives,
-      workers: p.workers,
-      state: p.state,
-      cloud: p.cloud,
-      limits: p.controllers,
+      teams: platform.teams,
+      objectives: platform.objectives,
+      workers: platform.workers,
+      state: platform.state,
+      cloud: platform.cloud,
+      limits: platform.controllers,
     },
   });
 }
--- a/src/emulator/ports.ts
+++ b/src/emulator/ports.ts
@@ -1,8 +1,11 @@
-/** How the ports of an emulated cluster are laid out, from the first one on: services, then workers. */
-export const PORTS_FOR_SERVICES = 200;
-/** For users and for controllers, key-value store, cloud, and links to and from the other controllers. */
+/** Ports at the start of an emulated cluster's port range that are reserved for services; workers' ports follow. */
+export const SERVICE_PORT_COUNT = 200;
+/**
+ * Ports of each controller: one for its API, one for its peer connections, one each to reach the key-value store and
+ * the cloud, and one for the relay through which the other controllers reach it.
+ */
 export const PORTS_PER_CONTROLLER = 5;
-/** Controllers that there are ports for. */
-export const MOST_CONTROLLERS = Math.floor((PORTS_FOR_SERVICES - 2) / PORTS_PER_CONTROLLER);
-/** Machines, those that are gone included, whose addresses do not come twice. */
-export const WORKER_PORTS = 4000;
+/** Maximum number of controllers that the reserved ports suffice for. */
+export const MOST_CONTROLLERS = Math.floor((SERVICE_PORT_COUNT - 2) / PORTS_PER_CONTROLLER);
+/** Number of worker ports; addresses are reused after this many machines, removed ones included. */
+export const WORKER_PORT_COUNT = 4000;
--- a/src/emulator/random.ts
+++ b/src/emulator/random.ts
@@ -1,17 +1,17 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** Seeded draws; the same seed draws the same. */
+/** Seeded random number generator; equal seeds yield equal sequences. */
 export class Random {
   private readonly generator;
 
   constructor(seed: number) {
     this.generator = xoroshiro128plus(seed);
-    // Small seeds begin much alike.
+    // Discards the first numbers, since small seeds yield similar sequences at first.
     for (let i = 0; i < 64; i++) this.next();
   }
 
-  /** From 0 up to 1. */
+  /** Returns a uniformly distributed number from 0 (inclusive) to 1 (exclusive). */
   next(): number {
     return uniformFloat64(this.generator);
   }
@@ -28,8 +28,8 @@
     return list[Math.floor(this.next() * list.length)]!;
   }
 
-  /** Gaps of arrivals that come independently. */
-  gap(mean: number): number {
+  /** Returns an exponentially distributed number, as the gap between independent arrivals. */
+  exponential(mean: number): number {
     return -Math.log(1 - this.next()) * mean;
   }
 }
--- a/src/emulator/relay.ts
+++ b/src/emulator/relay.ts
@@ -4,21 +4,21 @@
 import type { Network, Site } from './network.js';
 import type { Traffic } from './traffic.js';
 
-/** A controller to which a relay passes connections on. */
+/** Controller to which a relay forwards connections. */
 export interface RelayTarget {
-  /** Name of the controller, and where it listens for the others. */
+  /** Name of the controller; it accepts peer connections at `host` and `port`. */
   node: string;
   host: string;
   port: number;
 }
 
-/** How often a connection that is cut off looks whether the links are there again. */
-const CUT_LOOK_MS = 100;
+/** Interval at which a partitioned connection checks whether the partition has ended. */
+const LINK_CHECK_INTERVAL_MS = 100;
 
 /**
- * The links between controllers: each reaches the others through one relay per target, which delays, holds and counts
- * what passes. Who connects is known by its first frame. Across a cut nothing passes: what is under way is held and
- * delivered in order afterwards; a new connection is reset.
+ * Emulates the links between controllers: they reach each controller through one relay, which delays, holds back and
+ * counts the messages. The first frame of a connection identifies the caller. No data passes during a partition: data
+ * in transit is held back and delivered in order afterwards, and new connections are reset.
  */
 export class PeerRelay {
   private readonly server = net.createServer({ noDelay: true }, (socket) => this.accept(socket));
@@ -44,76 +44,76 @@
     for (const s of this.sockets) s.destroy();
   }
 
-  private accept(caller: net.Socket): void {
-    const target = net.connect({ host: this.target.host, port: this.target.port, noDelay: true });
-    for (const s of [caller, target]) {
-      this.sockets.add(s);
-      s.on('error', () => s.destroy());
-      s.on('close', () => this.sockets.delete(s));
+  private accept(callerSocket: net.Socket): void {
+    const targetSocket = net.connect({ host: this.target.host, port: this.target.port, noDelay: true });
+    for (const socket of [callerSocket, targetSocket]) {
+      this.sockets.add(socket);
+      socket.on('error', () => socket.destroy());
+      socket.on('close', () => this.sockets.delete(socket));
     }
-    caller.on('close', () => target.destroy());
-    target.on('close', () => caller.destroy());
-    const here = this.siteOf(this.target.node);
-    let from: Site | null = null;
-    const ops = new Map<number, string>();
-    const there = (message: PeerMessage, bytes: number) => {
+    callerSocket.on('close', () => targetSocket.destroy());
+    targetSocket.on('close', () => callerSocket.destroy());
+    const targetSite = this.siteOf(this.target.node);
+    let callerSite: Site | null = null;
+    const opByRequestId = new Map<number, string>();
+    const onRequest = (message: PeerMessage, bytes: number) => {
       if (!('op' in message)) return;
       if (message.op === 'hello') {
-        from = this.siteOf(String(message.a));
-        if (from && here && this.network.apart(from, here)) caller.destroy();
+        callerSite = this.siteOf(String(message.a));
+        if (callerSite && targetSite && this.network.apart(callerSite, targetSite)) callerSocket.destroy();
         return;
       }
-      if ('q' in message) ops.set(message.q, message.op);
+      if ('q' in message) opByRequestId.set(message.q, message.op);
       this.traffic.add(`peer ${message.op}`, bytes);
     };
-    const back = (message: PeerMessage, bytes: number) => {
+    const onResponse = (message: PeerMessage, bytes: number) => {
       if (!('r' in message)) return;
-      this.traffic.add(`peer ${ops.get(message.r) ?? 'unknown'} answer`, bytes);
-      ops.delete(message.r);
+      this.traffic.add(`peer ${opByRequestId.get(message.r) ?? 'unknown'} answer`, bytes);
+      opByRequestId.delete(message.r);
     };
-    const between = () => (from && here ? { from, here } : null);
-    this.pass(caller, target, there, between);
-    this.pass(target, caller, back, between);
+    const currentLink = () => (callerSite && targetSite ? { callerSite, targetSite } : null);
+    this.forward(callerSocket, targetSocket, onRequest, currentLink);
+    this.forward(targetSocket, callerSocket, onResponse, currentLink);
   }
 
-  /** Passes bytes on in order, after the delay of the link, and none while it is cut. */
-  private pass(
+  /** Forwards data in order after the delay of the link, and holds it back during a partition. */
+  private forward(
     source: net.Socket,
     sink: net.Socket,
-    count: (message: PeerMessage, bytes: number) => void,
-    between: () => { from: Site; here: Site } | null,
+    observe: (message: PeerMessage, bytes: number) => void,
+    currentLink: () => { callerSite: Site; targetSite: Site } | null,
   ): void {
     const reader = new FrameReader();
-    const held: Buffer[] = [];
-    let looking = false;
-    const apart = () => {
-      const link = between();
-      return link !== null && this.network.apart(link.from, link.here);
+    const pendingChunks: Buffer[] = [];
+    let checkScheduled = false;
+    const isCut = () => {
+      const link = currentLink();
+      return link !== null && this.network.apart(link.callerSite, link.targetSite);
     };
     const flush = () => {
-      if (apart()) {
-        if (!looking) {
-          looking = true;
-          this.clock.after(CUT_LOOK_MS, () => {
-            looking = false;
+      if (isCut()) {
+        if (!checkScheduled) {
+          checkScheduled = true;
+          this.clock.after(LINK_CHECK_INTERVAL_MS, () => {
+            checkScheduled = false;
             flush();
           });
         }
         return;
       }
-      for (const data of held.splice(0)) if (!sink.destroyed) sink.write(data);
+      for (const data of pendingChunks.splice(0)) if (!sink.destroyed) sink.write(data);
     };
     source.on('data', (data: Buffer) => {
       try {
-        for (const message of reader.feed(data)) count(message, reader.lastBytes);
+        for (const message of reader.feed(data)) observe(message, reader.lastBytes);
       } catch {
         source.destroy();
         return;
       }
-      const link = between();
-      const delayMs = link ? this.network.delayMs(link.from, link.here) : 0;
+      const link = currentLink();
+      const delayMs = link ? this.network.delayMs(link.callerSite, link.targetSite) : 0;
       const deliver = () => {
-        held.push(data);
+        pendingChunks.push(data);
         flush();
       };
       if (delayMs > 0) this.clock.after(delayMs, deliver);
--- a/src/emulator/reporter.ts
+++ b/src/emulator/reporter.ts
@@ -5,32 +5,36 @@
 import type { Random } from './random.js';
 import type { Worker } from './worker.js';
 
-const CHANGE_GAP_MS = 500;
-const ANSWER_MS = 4000;
-const NEXT_MS = 1000;
+const MIN_REPORT_GAP_MS = 500;
+const RESPONSE_TIMEOUT_MS = 4000;
+const NEXT_NODE_DELAY_MS = 1000;
 
-/** The links between a worker and the controllers. */
+/** Network links between a worker and the controllers. */
 export interface ReporterLinks {
-  /** Delay of a message to a controller, in milliseconds. */
+  /** Returns the delay of a message to a controller, in milliseconds. */
   delayMs(node: string): number;
-  /** Whether nothing passes to a controller and back. */
-  apart(node: string): boolean;
-  /** A report was answered. */
-  answered(report: object, answer: unknown): void;
+  /** Returns whether a partition separates the worker from a controller. */
+  isSeparated(node: string): boolean;
+  /** Called when a report was answered. */
+  reportAnswered(report: object, answer: unknown): void;
 }
 
-const DIRECT: ReporterLinks = { delayMs: () => 0, apart: () => false, answered: () => undefined };
+const DIRECT_LINKS: ReporterLinks = {
+  delayMs: () => 0,
+  isSeparated: () => false,
+  reportAnswered: () => undefined,
+};
 
-/** A worker's reports to the controllers: one at a time, to one node at a time. */
+/** Sends a worker's reports to the controllers: one report at a time, to one node at a time. */
 export class Reporter {
-  /** No network: reports get no answer and commands do not arrive. */
-  cut = false;
-  private at = 0;
+  /** While set, the worker has no network: reports get no answer and commands do not arrive. */
+  disconnected = false;
+  private nodeIndex = 0;
   private sentAt = Number.NEGATIVE_INFINITY;
-  private timer: Timer | null = null;
+  private reportTimer: Timer | null = null;
   private leaseTimer: Timer | null = null;
-  private flying = false;
-  private changed = false;
+  private inFlight = false;
+  private changePending = false;
   private stopped = false;
 
   constructor(
@@ -40,81 +44,87 @@
     private readonly worker: Worker,
     private readonly nodes: readonly { node: string; addr: string }[],
     private readonly reportS: number,
-    private readonly links: ReporterLinks = DIRECT,
+    private readonly links: ReporterLinks = DIRECT_LINKS,
   ) {
-    this.at = Math.floor(random.next() * nodes.length);
+    this.nodeIndex = Math.floor(random.next() * nodes.length);
     this.schedule(0);
     this.watchLease();
   }
 
   stop(): void {
     this.stopped = true;
-    this.timer?.cancel();
+    this.reportTimer?.cancel();
     this.leaseTimer?.cancel();
   }
 
-  /** Ends the lease when its time is over, and not only when the worker next reports. */
+  /** Expires the lease at its end rather than at the worker's next report. */
   private watchLease(): void {
     if (this.stopped) return;
     this.worker.checkLease();
     this.leaseTimer = this.clock.after(Math.max(0, this.worker.leaseLeftMs) + 1, () => this.watchLease());
   }
 
-  /** Something changed that is told soon. */
-  touch(): void {
-    this.changed = true;
-    if (!this.flying) this.schedule(Math.max(0, this.sentAt + CHANGE_GAP_MS - this.clock.now()));
+  /** Reports a change early, but not sooner than `MIN_REPORT_GAP_MS` after the last report. */
+  reportSoon(): void {
+    this.changePending = true;
+    if (!this.inFlight) this.schedule(Math.max(0, this.sentAt + MIN_REPORT_GAP_MS - this.clock.now()));
   }
 
   private schedule(ms: number): void {
     if (this.stopped) return;
-    this.timer?.cancel();
-    this.timer = this.clock.after(ms, () => void this.send());
+    this.reportTimer?.cancel();
+    this.reportTimer = this.clock.after(ms, () => void this.send());
   }
 
   private async send(): Promise<void> {
-    if (this.flying || this.stopped) return;
+    if (this.inFlight || this.stopped) return;
     this.worker.checkLease();
-    this.flying = true;
-    this.changed = false;
+    this.inFlight = true;
+    this.changePending = false;
     this.sentAt = this.clock.now();
     const { session } = this.worker;
-    const sent = this.sentAt;
-    let wait = this.reportS * 1000 * this.random.between(0.75, 1.25);
+    const sentAt = this.sentAt;
+    let delayMs = this.reportS * 1000 * this.random.between(0.75, 1.25);
     try {
-      const reply = await this.ask();
-      if (reply.status === 200) this.worker.answer(reply.body, sent, session);
-      else wait = this.turn(reply.status === 421 ? readRedirect(reply.body) : null);
+      const response = await this.sendReport();
+      if (response.status === 200) this.worker.answer(response.body, sentAt, session);
+      else delayMs = this.switchNode(response.status === 421 ? readRedirect(response.body) : null);
     } catch {
-      wait = this.turn(null);
+      delayMs = this.switchNode(null);
     }
-    this.flying = false;
-    this.schedule(this.changed ? Math.min(wait, CHANGE_GAP_MS) : wait);
+    this.inFlight = false;
+    this.schedule(this.changePending ? Math.min(delayMs, MIN_REPORT_GAP_MS) : delayMs);
   }
 
-  /** Sends a report to the present node; fails when no answer arrives in time. */
-  private async ask(): Promise<HttpAnswer> {
-    const { node, addr } = this.nodes[this.at]!;
-    const unreached = () => this.cut || this.links.apart(node);
+  /** Sends a report to the current node; fails when no answer arrives in time. */
+  private async sendReport(): Promise<HttpAnswer> {
+    const { node, addr } = this.nodes[this.nodeIndex]!;
+    const isUnreachable = () => this.disconnected || this.links.isSeparated(node);
     const delayMs = this.links.delayMs(node);
     const report = this.worker.report();
     if (delayMs > 0) await pause(this.clock, delayMs);
-    if (unreached()) throw new UnreachableError('cut off');
-    const reply = await this.http.request(addr, 'POST', WORKER_PATHS.heartbeat, report, ANSWER_MS);
+    if (isUnreachable()) throw new UnreachableError('cut off');
+    const response = await this.http.request(
+      addr,
+      'POST',
+      WORKER_PATHS.heartbeat,
+      report,
+      RESPONSE_TIMEOUT_MS,
+    );
     if (delayMs > 0) await pause(this.clock, delayMs);
-    if (unreached()) throw new UnreachableError('cut off');
-    this.links.answered(report, reply.body);
-    return reply;
+    if (isUnreachable()) throw new UnreachableError('cut off');
+    this.links.reportAnswered(report, response.body);
+    return response;
   }
 
-  /** Goes to another node; returns when. */
-  private turn(to: string | null): number {
-    const named = this.nodes.findIndex((n) => n.node === to);
-    if (named >= 0 && named !== this.at) {
-      this.at = named;
+  /** Switches to the given node, else to the next one; returns the delay of the next report, in milliseconds. */
+  private switchNode(redirectedTo: string | null): number {
+    const redirectIndex = this.nodes.findIndex((n) => n.node === redirectedTo);
+    if (redirectIndex >= 0 && redirectIndex !== this.nodeIndex) {
+      this.nodeIndex = redirectIndex;
       return this.random.next() * 500;
     }
-    this.at = (this.at + 1) % this.nodes.length;
-    return NEXT_MS;
+    this.nodeIndex = (this.nodeIndex + 1) % this.nodes.length;
+    return NEXT_NODE_DELAY_MS;
   }
 }
--- a/src/emulator/state.ts
+++ b/src/emulator/state.ts
@@ -1,4 +1,4 @@
-// This package: stand-ins for all that a cluster needs beside its controllers, and what plays with them.
+// This package emulates the services and workers that a cluster needs besides its controllers, and runs such clusters.
 import type { Clock } from '../clock/clock.js';
 import {
   type Change,
@@ -11,122 +11,122 @@
   writeLease,
   writeTxnAnswer,
 } from '../wire/state.js';
-import { Bucket } from './bucket.js';
+import { TokenBucket } from './bucket.js';
 import { bodyBytes } from './traffic.js';
 
-/** An answer of an emulated service. */
+/** Response of an emulated service. */
 export interface Served {
   status: number;
   body: unknown;
 }
 
-interface Item {
+interface StoredItem {
   value: unknown;
   version: number;
   lease: number | null;
 }
 
 interface Watcher {
-  under: string;
+  prefix: string;
   since: number;
   from: string;
-  /** Its time is over; it waited on, since nothing is served to it. */
-  due: boolean;
-  done: (s: Served) => void;
+  /** Whether the wait time has passed; the watch stays open beyond it while its caller is not served. */
+  expired: boolean;
+  respond: (s: Served) => void;
 }
 
 /** Kinds of requests to the emulated key-value store. */
 export type RequestKind = 'get' | 'list' | 'txn' | 'lease' | 'watch';
 
-/** A request as tests and measurements see it. */
+/** Request as reported to tests and measurements. */
 export interface ObservedRequest {
   kind: RequestKind;
-  /** What a watch or list asks for; empty for all else. */
+  /** First segment of the key prefix of a watch or list; empty for other requests. */
   prefix: string;
-  /** Which caller it came from. */
+  /** Name of the caller. */
   from: string;
   status: number;
   requestBytes: number;
   answerBytes: number;
 }
 
-/** What stays of the service when it ends in good order. */
+/** State of the service that persists between runs. */
 export interface StoredState {
   revision: number;
   leases: number;
   items: [string, unknown, number][];
 }
 
-const CHANGES_KEPT = 10_000;
-const PAGE_MOST = 1000;
-const PAGE_BYTES = 512 * 1024;
-const REQUEST_BYTES = 64 * 1024;
-const KEY = /^\S{1,200}$/;
-const EXPIRE_MS = 50;
+const MAX_KEPT_CHANGES = 10_000;
+const MAX_PAGE_ENTRIES = 1000;
+const MAX_PAGE_BYTES = 512 * 1024;
+const MAX_REQUEST_BYTES = 64 * 1024;
+const KEY_PATTERN = /^\S{1,200}$/;
+const LEASE_CHECK_INTERVAL_MS = 50;
 
-/** A stand-in for the key-value store, as its protocol describes it. */
+/** Emulates the key-value store as its protocol specifies it. */
 export class StateService {
-  readonly items = new Map<string, Item>();
-  /** An outage: every request is answered 503, and open watches stay open. */
+  readonly items = new Map<string, StoredItem>();
+  /** Whether there is an outage: watches stay open without an answer, and all other requests get 503. */
   down = false;
-  /** Callers that alone get 503. */
+  /** Callers that are not served, as in an outage, while others are. */
   readonly refusing = new Set<string>();
-  /** What it refuses with 400 and 429; may change at any moment. */
+  /** Limits on sizes (rejected with 400) and rates (rejected with 429); may change at any time. */
   limits = {
-    valueBytes: REQUEST_BYTES,
+    valueBytes: MAX_REQUEST_BYTES,
     txnOps: 1000,
     writesPerSecond: Number.POSITIVE_INFINITY,
     requestsPerSecond: Number.POSITIVE_INFINITY,
   };
-  /** Refused so far, by status. */
+  /** Number of requests rejected so far, by status. */
   readonly refused = { 400: 0, 429: 0 };
-  /** Sees each request that is answered or refused, with its kind and the size of its body and answer. */
+  /** Called for each request that is answered or rejected, with its kind and the sizes of its body and answer. */
   observed: ((request: ObservedRequest) => void) | null = null;
-  private readonly writes: Bucket;
-  private readonly requests: Bucket;
+  private readonly writeBucket: TokenBucket;
+  private readonly requestBucket: TokenBucket;
   private revision = 0;
-  private granted = 0;
+  private lastLeaseId = 0;
   private readonly leases = new Map<number, { ttl: number; until: number }>();
   private readonly changes: Change[] = [];
-  private forgotten = 0;
-  private waiting: Watcher[] = [];
+  private compactedRevision = 0;
+  private watchers: Watcher[] = [];
 
   constructor(private readonly clock: Clock) {
-    this.writes = new Bucket(clock, 1);
-    this.requests = new Bucket(clock, 1);
-    this.expire();
+    this.writeBucket = new TokenBucket(clock, 1);
+    this.requestBucket = new TokenBucket(clock, 1);
+    this.expireLeases();
   }
 
   value(key: string): unknown {
     return this.items.get(key)?.value;
   }
 
-  /** The end of an outage: every lease has its full time again. */
+  /** Ends an outage, and renews every lease for its full duration. */
   restore(): void {
     this.down = false;
     for (const l of this.leases.values()) l.until = this.clock.now() + l.ttl;
-    this.wake();
+    this.notifyWatchers();
   }
 
-  /** What is kept when the service ends: all but what hangs on leases, whose holders end with it. */
+  /** Returns the state to persist: all items but those bound to leases, whose holders end with the service. */
   store(): StoredState {
     const kept = [...this.items].filter(([, item]) => item.lease === null);
     return {
       revision: this.revision,
-      leases: this.granted,
+      leases: this.lastLeaseId,
       items: kept.map(([key, item]) => [key, item.value, item.version]),
     };
   }
 
   load(stored: StoredState): void {
     this.revision = stored.revision;
-    this.granted = stored.leases;
-    this.forgotten = stored.revision;
+    this.lastLeaseId = stored.leases;
+    this.compactedRevision = stored.revision;
     for (const [key, value, version] of stored.items) this.items.set(key, { value, version, lease: null });
   }
 
   serve(method: string, path: string, body: unknown, from = ''): Served | Promise<Served> {
-    const served = this.answer(method, path, body, from);
+    const served = this.dispatch(method, path, body, from);
     if (!this.observed) return served;
     if (!(served instanceof Promise)) return this.observe(path, body, from, served);
     return served.then((s) => this.observe(path, body, from, s));
@@ -144,158 +144,159 @@
     return served;
   }
 
-  /** Entries and bytes of keys and values under a prefix. */
-  stored(under: string): { entries: number; bytes: number } {
+  /** Returns the number of entries under a prefix, and the bytes of their keys and values. */
+  stored(prefix: string): { entries: number; bytes: number } {
     const total = { entries: 0, bytes: 0 };
     for (const [key, item] of this.items) {
-      if (!key.startsWith(under)) continue;
+      if (!key.startsWith(prefix)) continue;
       total.entries++;
       total.bytes += Buffer.byteLength(key) + bodyBytes(item.value);
     }
     return total;
   }
 
-  private answer(method: string, path: string, body: unknown, from: string): Served | Promise<Served> {
-    const watches = path.startsWith('/watch');
-    if (!watches && (this.down || this.refusing.has(from))) return { status: 503, body: {} };
-    if (!this.requests.take(1, this.limits.requestsPerSecond)) return this.refuse(429);
-    if (watches) return this.watch(new URLSearchParams(path.slice(path.indexOf('?'))), from);
-    if (path === '/txn') return this.txn(body);
-    if (path === '/leases') return this.grant(body);
-    if (path.startsWith('/leases/')) return this.lease(method, Number(path.split('/')[2]));
-    if (path.startsWith('/keys?')) return this.list(new URLSearchParams(path.slice(5)));
+  private dispatch(method: string, path: string, body: unknown, from: string): Served | Promise<Served> {
+    const isWatch = path.startsWith('/watch');
+    if (!isWatch && (this.down || this.refusing.has(from))) return { status: 503, body: {} };
+    if (!this.requestBucket.take(1, this.limits.requestsPerSecond)) return this.reject(429);
+    if (isWatch) return this.addWatcher(new URLSearchParams(path.slice(path.indexOf('?'))), from);
+    if (path === '/txn') return this.serveTxn(body);
+    if (path === '/leases') return this.grantLease(body);
+    if (path.startsWith('/leases/')) return this.serveLease(method, Number(path.split('/')[2]));
+    if (path.startsWith('/keys?')) return this.servePage(new URLSearchParams(path.slice(5)));
     const key = path.slice('/keys/'.length);
     const item = this.items.get(key);
     if (!item) return { status: 404, body: writeTxnAnswer(this.revision, null) };
     return { status: 200, body: writeEntry({ key, value: item.value, version: item.version }, item.lease) };
   }
 
-  private refuse(status: 400 | 429): Served {
+  private reject(status: 400 | 429): Served {
     this.refused[status]++;
     return { status, body: { error: 'limit' } };
   }
 
-  private grant(body: unknown): Served {
+  private grantLease(body: unknown): Served {
     const ttl = readLeaseRequest(body);
-    if (ttl === null) return this.refuse(400);
-    this.leases.set(++this.granted, { ttl, until: this.clock.now() + ttl });
-    return { status: 200, body: writeLease(this.granted) };
+    if (ttl === null) return this.reject(400);
+    this.leases.set(++this.lastLeaseId, { ttl, until: this.clock.now() + ttl });
+    return { status: 200, body: writeLease(this.lastLeaseId) };
   }
 
-  private lease(method: string, id: number): Served {
+  private serveLease(method: string, id: number): Served {
     const lease = this.leases.get(id);
     if (!lease) return { status: 404, body: {} };
-    if (method === 'DELETE') this.end(id);
+    if (method === 'DELETE') this.endLease(id);
     else lease.until = this.clock.now() + lease.ttl;
     return { status: 200, body: writeLease(id) };
   }
 
-  private list(query: URLSearchParams): Served {
-    const under = query.get('under') ?? '';
+  private servePage(query: URLSearchParams): Served {
+    const prefix = query.get('under') ?? '';
     const since = query.get('since') ?? '';
-    const most = Math.min(PAGE_MOST, Number(query.get('most') ?? PAGE_MOST));
-    const keys = [...this.items.keys()].filter((k) => k.startsWith(under) && k > since).sort();
+    const limit = Math.min(MAX_PAGE_ENTRIES, Number(query.get('most') ?? MAX_PAGE_ENTRIES));
+    const keys = [...this.items.keys()].filter((k) => k.startsWith(prefix) && k > since).sort();
     const entries: Entry[] = [];
     let bytes = 0;
     for (const key of keys) {
       const { value, version } = this.items.get(key)!;
       bytes += key.length + JSON.stringify(value).length;
-      if (entries.length === most || (entries.length > 0 && bytes > PAGE_BYTES)) break;
+      if (entries.length === limit || (entries.length > 0 && bytes > MAX_PAGE_BYTES)) break;
       entries.push({ key, value, version });
     }
     return { status: 200, body: writeEntries(entries, entries.length < keys.length, this.revision) };
   }
 
-  private txn(body: unknown): Served {
-    const t = readTxnRequest(body);
+  private serveTxn(body: unknown): Served {
+    const request = readTxnRequest(body);
     const { valueBytes, txnOps, writesPerSecond } = this.limits;
-    if (!t || JSON.stringify(body).length > REQUEST_BYTES) return this.refuse(400);
-    const puts = t.writes.filter((w) => 'put' in w);
-    const bad =
-      t.writes.some((w) => !KEY.test('put' in w ? w.put : w.delete)) ||
+    if (!request || JSON.stringify(body).length > MAX_REQUEST_BYTES) return this.reject(400);
+    const puts = request.writes.filter((w) => 'put' in w);
+    const malformed =
+      request.writes.some((w) => !KEY_PATTERN.test('put' in w ? w.put : w.delete)) ||
       puts.some((w) => Buffer.byteLength(JSON.stringify(w.value)) > valueBytes);
-    if (bad || t.writes.length > txnOps || t.when.length > 4 * txnOps) return this.refuse(400);
-    if (!this.writes.take(t.writes.length, writesPerSecond)) return this.refuse(429);
+    if (malformed || request.writes.length > txnOps || request.when.length > 4 * txnOps)
+      return this.reject(400);
+    if (!this.writeBucket.take(request.writes.length, writesPerSecond)) return this.reject(429);
     if (puts.some((w) => w.lease !== undefined && !this.leases.has(w.lease)))
       return { status: 400, body: { error: 'no such lease' } };
-    const failed = t.when
+    const conflicts = request.when
       .filter((c) => (this.items.get(c.key)?.version ?? 0) !== c.version)
       .map((c) => c.key);
-    if (failed.length > 0) return { status: 409, body: writeTxnAnswer(this.revision, failed) };
-    if (t.writes.length > 0) this.revision++;
-    for (const w of t.writes) {
+    if (conflicts.length > 0) return { status: 409, body: writeTxnAnswer(this.revision, conflicts) };
+    if (request.writes.length > 0) this.revision++;
+    for (const w of request.writes) {
       if ('put' in w) {
         this.items.set(w.put, { value: w.value, version: this.revision, lease: w.lease ?? null });
-        this.note({ key: w.put, value: w.value, version: this.revision });
+        this.recordChange({ key: w.put, value: w.value, version: this.revision });
       } else if (this.items.delete(w.delete)) {
-        this.note({ key: w.delete, gone: true, version: this.revision });
+        this.recordChange({ key: w.delete, gone: true, version: this.revision });
       }
     }
-    this.wake();
+    this.notifyWatchers();
     return { status: 200, body: writeTxnAnswer(this.revision, null) };
   }
 
-  private note(change: Change): void {
+  private recordChange(change: Change): void {
     this.changes.push(change);
-    if (this.changes.length <= CHANGES_KEPT * 1.1) return;
-    const gone = this.changes.splice(0, this.changes.length - CHANGES_KEPT);
-    this.forgotten = gone.at(-1)!.version;
+    if (this.changes.length <= MAX_KEPT_CHANGES * 1.1) return;
+    const dropped = this.changes.splice(0, this.changes.length - MAX_KEPT_CHANGES);
+    this.compactedRevision = dropped.at(-1)!.version;
   }
 
-  private end(lease: number): void {
+  private endLease(lease: number): void {
     this.leases.delete(lease);
     for (const [key, item] of [...this.items]) {
       if (item.lease !== lease) continue;
       this.items.delete(key);
-      this.note({ key, gone: true, version: ++this.revision });
+      this.recordChange({ key, gone: true, version: ++this.revision });
     }
-    this.wake();
+    this.notifyWatchers();
   }
 
-  private expire(): void {
+  private expireLeases(): void {
     if (!this.down) {
-      for (const [id, l] of [...this.leases]) if (l.until < this.clock.now()) this.end(id);
+      for (const [id, l] of [...this.leases]) if (l.until < this.clock.now()) this.endLease(id);
     }
-    this.clock.after(EXPIRE_MS, () => this.expire());
+    this.clock.after(LEASE_CHECK_INTERVAL_MS, () => this.expireLeases());
   }
 
-  private watch(query: URLSearchParams, from: string): Promise<Served> {
-    return new Promise((done) => {
+  private addWatcher(query: URLSearchParams, from: string): Promise<Served> {
+    return new Promise((respond) => {
       const watcher = {
-        under: query.get('under') ?? '',
+        prefix: query.get('under') ?? '',
         since: Number(query.get('since')),
         from,
-        due: false,
-        done,
+        expired: false,
+        respond,
       };
-      this.waiting.push(watcher);
+      this.watchers.push(watcher);
       this.clock.after(Math.min(60_000, Number(query.get('waitMs') ?? 0)), () => {
-        watcher.due = true;
-        this.wake();
+        watcher.expired = true;
+        this.notifyWatchers();
       });
-      this.wake();
+      this.notifyWatchers();
     });
   }
 
-  private wake(): void {
+  private notifyWatchers(): void {
     if (this.down) return;
-    this.waiting = this.waiting.filter((w) => {
-      if (this.refusing.has(w.from)) return true;
-      if (w.since < this.forgotten) {
-        w.done({ status: 410, body: {} });
+    this.watchers = this.watchers.filter((watcher) => {
+      if (this.refusing.has(watcher.from)) return true;
+      if (watcher.since < this.compactedRevision) {
+        watcher.respond({ status: 410, body: {} });
         return false;
       }
       let first = this.changes.length;
-      while (first > 0 && this.changes[first - 1]!.version > w.since) first--;
-      const changes = this.changes.slice(first).filter((c) => c.key.startsWith(w.under));
-      if (changes.length === 0 && !w.due) return true;
-      w.done({ status: 200, body: writeChanges(changes, this.revision) });
+      while (first > 0 && this.changes[first - 1]!.version > watcher.since) first--;
+      const changes = this.changes.slice(first).filter((c) => c.key.startsWith(watcher.prefix));
+      if (changes.length === 0 && !watcher.expired) return true;
+      watcher.respond({ status: 200, body: writeChanges(changes, this.revision) });
       return false;
     });
   }
 }
 
-/** The first part of the prefix that a watch or list asks for. */
+/** Returns the first segment of the key prefix of a watch or list. */
 function prefixOf(path: string): string {
   const query = path.indexOf('?');
   const under = query < 0 ? '' : (new URLSearchParams(path.slice(query)).get('under') ?? '');
--- a/src/emulator/traffic.ts
+++ b/src/emulator/traffic.ts
@@ -1,10 +1,10 @@
-/** Messages and bytes of one kind in one direction. */
+/** Number and bytes of the messages of one kind in one direction. */
 export interface Flow {
   messages: number;
   bytes: number;
 }
 
-/** What has passed over the links of an emulated cluster, by kind of message; bytes are those of bodies or frames. */
+/** Traffic over the links of an emulated cluster, by kind of message; bytes are those of bodies or frames. */
 export class Traffic {
   private readonly flows = new Map<string, Flow>();
 
@@ -15,30 +15,30 @@
     flow.bytes += bytes;
   }
 
-  /** A copy of the counts so far. */
+  /** Returns a copy of the counts so far. */
   snapshot(): Map<string, Flow> {
     return new Map([...this.flows].map(([kind, flow]) => [kind, { ...flow }]));
   }
 }
 
-/** What has been added between two snapshots, a second. */
+/** Returns the traffic between two snapshots, per second. */
 export function ratesBetween(
   before: ReadonlyMap<string, Flow>,
   after: ReadonlyMap<string, Flow>,
   seconds: number,
 ): Record<string, Flow> {
   const rates: Record<string, Flow> = {};
-  for (const [kind, now] of [...after].sort(([a], [b]) => (a < b ? -1 : 1))) {
-    const then = before.get(kind) ?? { messages: 0, bytes: 0 };
+  for (const [kind, current] of [...after].sort(([a], [b]) => (a < b ? -1 : 1))) {
+    const previous = before.get(kind) ?? { messages: 0, bytes: 0 };
     rates[kind] = {
-      messages: (now.messages - then.messages) / seconds,
-      bytes: (now.bytes - then.bytes) / seconds,
+      messages: (current.messages - previous.messages) / seconds,
+      bytes: (current.bytes - previous.bytes) / seconds,
     };
   }
   return rates;
 }
 
-/** The size of a body as it is sent. */
+/** Returns the size of a body as it is sent, in bytes. */
 export function bodyBytes(body: unknown): number {
   return body === null || body === undefined ? 0 : Buffer.byteLength(JSON.stringify(body));
 }
--- a/src/emulator/worker.ts
+++ b/src/emulator/worker.ts
@@ -11,23 +11,23 @@
 } from '../wire/workers.js';
 import type { Served } from './state.js';
 
-/** One attempt of a task, as its worker has it. */
+/** Attempt of a task, as recorded by its worker. */
 export interface Attempt extends TaskStatus {
-  /** The task's name, as in `wk-000412/3`. */
+  /** Name of the task, for example `wk-000412/3`. */
   task: string;
 }
 
-/** What becomes of tasks on a worker; without it they run from their start until somebody ends them. */
+/** Simulates the tasks of a worker; without a runtime, tasks run until they are ended explicitly. */
 export interface Runtime {
-  /** A start was executed; it may be refused at once by ending the attempt. */
-  begin(worker: Worker, a: Attempt): void;
+  /** Called when a start command was executed; may refuse it by ending the attempt immediately. */
+  startAttempt(worker: Worker, a: Attempt): void;
   stop(worker: Worker, a: Attempt, graceS: number): void;
-  /** The worker killed and forgot its tasks, or is gone. */
-  lost(worker: Worker, attempts: Attempt[]): void;
+  /** Called when the worker killed and discarded its tasks, or was removed. */
+  attemptsLost(worker: Worker, attempts: Attempt[]): void;
 }
 
-/** A machine as the emulated worker on it knows it. */
-export interface Place {
+/** Identity and properties of a machine, as reported by the emulated worker on it. */
+export interface MachineIdentity {
   id: string;
   addr: string;
   type: string;
@@ -35,25 +35,25 @@
   spot: boolean;
 }
 
-/** A stand-in for a worker, as its protocol describes it: sessions, tokens, leases, orders; no network. */
+/** Emulates a worker as its protocol specifies it: sessions, fencing tokens, leases and commands, but no network. */
 export class Worker {
   token = 0;
   session = 1;
-  private seq = 0;
+  private lastSequence = 0;
   attempts: Attempt[] = [];
   noticeS: number | null = null;
-  /** Every start that was executed. */
+  /** Task names of all start commands that were executed. */
   readonly started: string[] = [];
-  /** When the last answered report was sent, or this session began. */
+  /** Time at which the last answered report was sent, or this session began. */
   lastSent: number;
 
   constructor(
     private readonly clock: Clock,
-    readonly place: Place,
+    readonly place: MachineIdentity,
     private readonly leaseS: number,
     private readonly runtime: Runtime | null = null,
-    /** Something changed that a report tells. */
-    private readonly changed: () => void = () => undefined,
+    /** Called when something changed that reports include. */
+    private readonly notifyChanged: () => void = () => undefined,
   ) {
     this.lastSent = clock.now();
   }
@@ -72,19 +72,19 @@
       zone,
       spot,
       incarnation: this.session,
-      sequence: ++this.seq,
+      sequence: ++this.lastSequence,
       fencingToken: this.token,
       reclaimInS: this.noticeS,
       tasks: this.attempts,
     });
   }
 
-  /** Takes the answer to a report that was sent at `sent` in a session. */
-  answer(body: unknown, sent: number, session = this.session): void {
+  /** Handles the answer to a report that was sent at `sentAt` in the given session. */
+  answer(body: unknown, sentAt: number, session = this.session): void {
     const received = readCommands(body);
     if (!received || (received.token ?? 0) < this.token || session !== this.session) return;
-    this.see(received.token ?? this.token);
-    this.lastSent = Math.max(this.lastSent, sent);
+    this.adoptToken(received.token ?? this.token);
+    this.lastSent = Math.max(this.lastSent, sentAt);
     for (const o of received.orders) this.execute(o);
   }
 
@@ -95,12 +95,12 @@
     this.checkLease();
     if (received.token < this.token || received.session !== this.session)
       return { status: 409, body: this.report() };
-    this.see(received.token);
+    this.adoptToken(received.token);
     for (const o of received.orders) this.execute(o);
     return { status: 200, body: this.report() };
   }
 
-  /** Ends a task whatever it does. */
+  /** Ends a task, whatever state it is in. */
   end(task: string, cause: ExitCause, saved = false): void {
     for (const a of this.attempts) if (a.task === task && a.state !== 'exited') this.exit(a, cause, saved);
   }
@@ -108,18 +108,18 @@
   exit(a: Attempt, cause: ExitCause, saved = false): void {
     if (a.state === 'exited') return;
     Object.assign(a, { state: 'exited', cause, saved });
-    this.changed();
+    this.notifyChanged();
   }
 
-  move(a: Attempt, state: TaskState): void {
+  setState(a: Attempt, state: TaskState): void {
     if (a.state === 'exited') return;
     a.state = state;
-    this.changed();
+    this.notifyChanged();
   }
 
   notice(seconds: number): void {
     this.noticeS = seconds;
-    this.changed();
+    this.notifyChanged();
   }
 
   on(task: string): boolean {
@@ -127,48 +127,51 @@
     return this.attempts.some((a) => a.task === task && a.state !== 'exited');
   }
 
-  /** How long its lease still lasts, in milliseconds; below 0 once it is over. */
+  /** Remaining time of the lease in milliseconds; negative once it has expired. */
   get leaseLeftMs(): number {
     return this.lastSent + this.leaseS * 1000 - this.clock.now();
   }
 
-  /** The lease runs on its own clock, whoever asks. */
+  /**
+   * Kills all tasks and begins a new session if the lease has expired. Expiry depends only on the worker's own clock, not
+   * on the caller.
+   */
   checkLease(): void {
     if (this.leaseLeftMs >= 0) return;
     this.session++;
     this.lastSent = this.clock.now();
     this.die();
-    this.changed();
+    this.notifyChanged();
   }
 
-  /** All tasks are killed and forgotten. */
+  /** Kills and discards all tasks. */
   die(): void {
     const lost = this.attempts;
     this.attempts = [];
-    this.runtime?.lost(this, lost);
+    this.runtime?.attemptsLost(this, lost);
   }
 
-  private see(token: number): void {
-    if (token > this.token) this.changed();
+  private adoptToken(token: number): void {
+    if (token > this.token) this.notifyChanged();
     this.token = token;
   }
 
-  private execute(o: WorkerCommand): void {
-    const task = taskName(o.job, o.index);
-    const known = this.attempts.find((a) => a.task === task && a.attempt === o.attempt);
-    if (o.op === 'start' && !known) {
-      const { job, index, attempt } = o;
-      const a: Attempt = { task, job, index, attempt, state: 'running', cause: null, saved: false };
-      this.attempts.push(a);
+  private execute(command: WorkerCommand): void {
+    const task = taskName(command.job, command.index);
+    const knownAttempt = this.attempts.find((a) => a.task === task && a.attempt === command.attempt);
+    if (command.op === 'start' && !knownAttempt) {
+      const { job, index, attempt } = command;
+      const newAttempt: Attempt = { task, job, index, attempt, state: 'running', cause: null, saved: false };
+      this.attempts.push(newAttempt);
       this.started.push(task);
-      this.runtime?.begin(this, a);
-      this.changed();
+      this.runtime?.startAttempt(this, newAttempt);
+      this.notifyChanged();
     }
-    if (o.op === 'stop' && known && known.state !== 'exited') {
-      if (this.runtime) this.runtime.stop(this, known, o.graceS);
-      else this.exit(known, 'stopped', o.graceS > 0);
+    if (command.op === 'stop' && knownAttempt && knownAttempt.state !== 'exited') {
+      if (this.runtime) this.runtime.stop(this, knownAttempt, command.graceS);
+      else this.exit(knownAttempt, 'stopped', command.graceS > 0);
     }
-    if (o.op === 'forget' && known?.state === 'exited')
-      this.attempts = this.attempts.filter((a) => a !== known);
+    if (command.op === 'forget' && knownAttempt?.state === 'exited')
+      this.attempts = this.attempts.filter((a) => a !== knownAttempt);
   }
 }
--- a/src/load/checkhistory.ts
+++ b/src/load/checkhistory.ts
@@ -4,46 +4,46 @@
 import { checkTasks } from './taskrules.js';
 import { checkUserEvents } from './userrules.js';
 
-/** Holds what machines and users saw against the rules of the protocol; pure. Times are in milliseconds. */
+/** Checks the events on machines and at users against the rules of the protocol. Pure; times are in milliseconds. */
 export function checkHistory(
   tasks: readonly TaskEvent[],
   userEvents: readonly UserEvent[],
   jobs: ReadonlyMap<string, JobSpec>,
   limits: CheckLimits,
 ): Violation[] {
-  const found: Violation[] = [];
-  const broken = (rule: string, at: number, what: string) => found.push({ rule, at, what });
-  const ended = cancellationTimes(userEvents);
-  const done = doneTimes(tasks, jobs);
-  checkTasks(tasks, jobs, done, limits, ended, broken);
-  checkUserEvents(userEvents, jobs, done, ended, limits, broken);
-  if (jobs.size > 0 && !tasks.some((e) => e.kind === 'on')) broken('nothing_ran', 0, 'no task was started');
-  return found.sort((a, b) => a.at - b.at);
+  const violations: Violation[] = [];
+  const report = (rule: string, at: number, what: string) => violations.push({ rule, at, what });
+  const cancelledAt = cancellationTimes(userEvents);
+  const doneAt = doneTimes(tasks, jobs);
+  checkTasks(tasks, jobs, doneAt, limits, cancelledAt, report);
+  checkUserEvents(userEvents, jobs, doneAt, cancelledAt, limits, report);
+  if (jobs.size > 0 && !tasks.some((e) => e.kind === 'on')) report('nothing_ran', 0, 'no task was started');
+  return violations.sort((a, b) => a.at - b.at);
 }
 
-/** When each job's user was told that it is cancelled, with the jobs that need it. */
+/** Returns when each job was first reported to its user as cancelled, dependent jobs of cancelled ones included. */
 function cancellationTimes(userEvents: readonly UserEvent[]): Map<string, number> {
-  const at = new Map<string, number>();
+  const times = new Map<string, number>();
   for (const e of userEvents)
-    if (!at.has(e.job) && (e.kind === 'cancelled' || (e.kind === 'told' && e.status === 'cancelled')))
-      at.set(e.job, e.at);
-  return at;
+    if (!times.has(e.job) && (e.kind === 'cancelled' || (e.kind === 'told' && e.status === 'cancelled')))
+      times.set(e.job, e.at);
+  return times;
 }
 
-/** When the last task of each job was done; those of a gang are done together. */
+/** Returns when the last task of each job was done; the tasks of a gang are done together. */
 function doneTimes(tasks: readonly TaskEvent[], jobs: ReadonlyMap<string, JobSpec>): Map<string, number> {
-  const open = new Map<string, Set<number>>();
-  const at = new Map<string, number>();
-  for (const e of tasks) {
-    const spec = jobs.get(e.job);
-    if (e.kind !== 'off' || e.cause !== 'done' || !spec || at.has(e.job)) continue;
-    let done = open.get(e.job);
-    if (!done) {
-      done = new Set();
-      open.set(e.job, done);
+  const tasksDone = new Map<string, Set<number>>();
+  const times = new Map<string, number>();
+  for (const event of tasks) {
+    const spec = jobs.get(event.job);
+    if (event.kind !== 'off' || event.cause !== 'done' || !spec || times.has(event.job)) continue;
+    let indexesDone = tasksDone.get(event.job);
+    if (!indexesDone) {
+      indexesDone = new Set();
+      tasksDone.set(event.job, indexesDone);
     }
-    done.add(e.index);
-    if (spec.kind === 'gang' || done.size === spec.tasks) at.set(e.job, e.at);
+    indexesDone.add(event.index);
+    if (spec.kind === 'gang' || indexesDone.size === spec.tasks) times.set(event.job, event.at);
   }
-  return at;
+  return times;
 }
--- a/src/load/history.ts
+++ b/src/load/history.ts
@@ -1,43 +1,44 @@
-// What machines and users saw of a run, and what it is held against.
+// Events that users observe during a run, and the limits that a run is checked against.
 import type { JobView } from '../wire/users.js';
 
-/** What a user was told, or did. */
+/** Answer that a user received, or action of a user. */
 export interface UserEvent {
   at: number;
   job: string;
   kind: 'submitted' | 'accepted' | 'refused' | 'told' | 'unknown' | 'cancel asked' | 'cancelled';
   status?: JobView['status'];
   /**
-   * How many of these events there were when the request was sent that this one answers. What was heard after that may have
-   * crossed with it; what was heard before it must not be older than. Without it, what was heard before this one counts.
+   * Number of events recorded before the request was sent that this event answers. Answers that arrived after the
+   * request was sent may have crossed with it; this event must not be older than those that arrived before. If
+   * omitted, all events before this one count as arrived before the request.
    */
   asked?: number;
-  /** Why the job that was accepted never should have been. */
+  /** Reason why the job should have been refused although it was accepted. */
   unfit?: string;
 }
 
-/** A rule that was broken, when (in milliseconds), and by what. */
+/** Violation of a rule, with its time in milliseconds and a description. */
 export interface Violation {
   rule: string;
   at: number;
   what: string;
 }
 
-/** What the history is held against. */
+/** Limits and observations that a history is checked against. */
 export interface CheckLimits {
   teams: readonly { name: string; cpusMax: number; gpusMax: number }[];
   cancelS: number;
-  /** When the order to start an attempt was sent, by `startName`, where that was seen. */
+  /** Time at which the command to start an attempt was sent, by `startKey`, where it was observed. */
   startSentAt?: ReadonlyMap<string, number>;
 }
 
-/** Names a start of a task on a machine. */
+/** Returns a key that identifies the start of a task on a machine. */
 export function startKey(machine: string, job: string, index: number, attempt: number): string {
   return `${machine} ${job}/${index}#${attempt}`;
 }
 
-/** Events of one moment come in no order that counts. */
+/** Tolerance in comparisons of times, since the order of nearly simultaneous events is not significant. */
 export const TOLERANCE_MS = 50;
 
-/** Reports a broken rule at a moment, in milliseconds. */
+/** Reports a violation of a rule at a time in milliseconds. */
 export type ReportViolation = (rule: string, at: number, what: string) => void;
--- a/src/load/measure.ts
+++ b/src/load/measure.ts
@@ -5,39 +5,52 @@
 import { coresBetween, type ProcessUse, processUse, residentMb } from './processes.js';
 import type { Scenario } from './scenario.js';
 
-/** What one controller used while a phase lasted. */
+/** Resources that one controller used during a phase. */
 export interface ControllerUse {
   node: string;
   leader: boolean;
   shards: number;
-  /** Processor seconds a second. */
+  /** CPU seconds per second. */
   cores: number;
   residentMb: number;
   sockets: number;
 }
 
-/** What was measured during one phase of a scenario. */
+/** Measurements of one phase of a scenario. */
 export interface PhaseReport {
   name: string;
   seconds: number;
   controllers: ControllerUse[];
-  /** The process of the services, users and hollow workers: figures of a run in which it lags say little. */
+  /**
+   * The process of the services, users and simulated workers. If its event loop lags, the figures of the run are not
+   * meaningful.
+   */
   emulator: { cores: number; residentMb: number; lagP99Ms: number };
-  /** Messages and bytes a second, by kind. */
+  /** Messages and bytes per second, by kind of message. */
   traffic: Record<string, Flow>;
-  /** What the key-value store keeps, by kind of record. */
+  /** Entries and bytes in the key-value store, by key prefix. */
   stored: Record<string, { entries: number; bytes: number }>;
   tasks: number;
 }
 
-interface Mark {
+interface Snapshot {
   at: number;
   traffic: Map<string, Flow>;
-  uses: (ProcessUse | null)[];
-  own: ProcessUse | null;
+  controllerUses: (ProcessUse | null)[];
+  emulatorUse: ProcessUse | null;
 }
 
-const STORED_UNDER = ['c/m/', 'c/own/', 'c/stand/', 'c/node/', 'c/teams', 'c/mail/', 'act/', 'part/', 'job/'];
+const STORED_PREFIXES = [
+  'c/m/',
+  'c/own/',
+  'c/stand/',
+  'c/node/',
+  'c/teams',
+  'c/mail/',
+  'act/',
+  'part/',
+  'job/',
+];
 const LAG_RESOLUTION_MS = 10;
 
 /** Measures the processes and links of a cluster during each phase of a scenario. */
@@ -50,31 +63,33 @@
     private readonly scenario: Scenario,
   ) {}
 
-  /** Measures each phase when it comes; time counts from now. */
+  /** Schedules the measurement of each phase; the times of the phases count from now. */
   start(): void {
     for (const phase of this.scenario.phases) {
       this.clock.after(phase.from_s * 1000, () => {
         const lag = monitorEventLoopDelay({ resolution: LAG_RESOLUTION_MS });
         lag.enable();
-        const before = this.mark();
+        const before = this.takeSnapshot();
         this.clock.after((phase.until_s - phase.from_s) * 1000, () => {
           lag.disable();
-          this.phases.push(this.report(phase.name, before, this.mark(), lag));
+          this.phases.push(this.report(phase.name, before, this.takeSnapshot(), lag));
         });
       });
     }
   }
 
-  private mark(): Mark {
+  private takeSnapshot(): Snapshot {
     return {
       at: this.clock.now(),
       traffic: this.cluster.traffic.snapshot(),
-      uses: this.cluster.controllers.map((c) => (c.process?.pid ? processUse(c.process.pid) : null)),
-      own: processUse(process.pid),
+      controllerUses: this.cluster.controllers.map((c) =>
+        c.process?.pid ? processUse(c.process.pid) : null,
+      ),
+      emulatorUse: processUse(process.pid),
     };
   }
 
-  private report(name: string, before: Mark, after: Mark, lag: IntervalHistogram): PhaseReport {
+  private report(name: string, before: Snapshot, after: Snapshot, lag: IntervalHistogram): PhaseReport {
     const seconds = (after.at - before.at) / 1000;
     const { state, controllers, machines } = this.cluster;
     const nodeOf = (key: string) => (state.value(key) as { node?: string } | undefined)?.node;
@@ -88,17 +103,17 @@
         node: c.node,
         leader: nodeOf('c/lead') === c.node,
         shards: owners.filter((owner) => owner === c.node).length,
-        cores: coresBetween(before.uses[i]!, after.uses[i]!, seconds),
-        residentMb: residentMb(after.uses[i]!),
-        sockets: after.uses[i]?.sockets ?? 0,
+        cores: coresBetween(before.controllerUses[i]!, after.controllerUses[i]!, seconds),
+        residentMb: residentMb(after.controllerUses[i]!),
+        sockets: after.controllerUses[i]?.sockets ?? 0,
       })),
       emulator: {
-        cores: coresBetween(before.own, after.own, seconds),
-        residentMb: residentMb(after.own),
+        cores: coresBetween(before.emulatorUse, after.emulatorUse, seconds),
+        residentMb: residentMb(after.emulatorUse),
         lagP99Ms: lag.percentile(99) / 1e6,
       },
       traffic: ratesBetween(before.traffic, after.traffic, seconds),
-      stored: Object.fromEntries(STORED_UNDER.map((under) => [under, state.stored(under)])),
+      stored: Object.fromEntries(STORED_PREFIXES.map((prefix) => [prefix, state.stored(prefix)])),
       tasks,
     };
   }
--- a/src/load/page.ts
+++ b/src/load/page.ts
@@ -1,7 +1,7 @@
 import { Eta } from 'eta';
 import type { LoadReport } from './loadreport.js';
 
-const PAGE = `<!doctype html>
+const PAGE_TEMPLATE = `<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>spartray load: <%= it.r.scenario %></title>
 <style>
 body{font:15px/1.5 system-ui,sans-serif;margin:2rem auto;max-width:60rem;padding:0 1rem;color:#222}
@@ -32,25 +32,25 @@
 `;
 const [WIDTH, HEIGHT] = [900, 260];
 
-/** A report as one page that needs nothing else. */
-export function pageOf(r: LoadReport): string {
-  const end = Math.max(1, r.series.at(-1)?.at ?? 1);
+/** Renders a report as a self-contained HTML page. */
+export function pageOf(report: LoadReport): string {
+  const endS = Math.max(1, report.series.at(-1)?.at ?? 1);
   const line = (name: string, color: string, value: (p: LoadReport['series'][number]) => number) => {
-    const most = Math.max(1, ...r.series.map(value));
-    const points = r.series
+    const most = Math.max(1, ...report.series.map(value));
+    const points = report.series
       .map(
         (p) =>
-          `${((p.at / end) * WIDTH).toFixed(1)},${(HEIGHT - 4 - (value(p) / most) * (HEIGHT - 24)).toFixed(1)}`,
+          `${((p.at / endS) * WIDTH).toFixed(1)},${(HEIGHT - 4 - (value(p) / most) * (HEIGHT - 24)).toFixed(1)}`,
       )
       .join(' ');
     return { name, color, most, points };
   };
-  return new Eta({ autoTrim: false }).renderString(PAGE, {
-    r,
+  return new Eta({ autoTrim: false }).renderString(PAGE_TEMPLATE, {
+    r: report,
     w: WIDTH,
     h: HEIGHT,
     n: (x: number) => (x >= 100 ? Math.round(x) : Math.round(x * 100) / 100),
-    faults: r.faults.map((f) => ({ x: Math.round((f.at / end) * WIDTH), what: f.what })),
+    faults: report.faults.map((f) => ({ x: Math.round((f.at / endS) * WIDTH), what: f.what })),
     lines: [
       line('machines up', '#36c', (p) => p.machines),
       line('tasks on machines', '#3a3', (p) => p.tasks),
--- a/src/load/processes.ts
+++ b/src/load/processes.ts
@@ -1,23 +1,23 @@
 import { readdirSync, readFileSync, readlinkSync } from 'node:fs';
 
-/** What a process has used, as Linux tells it. */
+/** Resource usage of a process, as reported by Linux. */
 export interface ProcessUse {
-  /** Processor time since its start, in seconds. */
+  /** CPU time since the start of the process, in seconds. */
   cpuS: number;
   /** Resident memory, in bytes. */
   residentBytes: number;
   sockets: number;
 }
 
-/** Clock ticks a second and bytes a page, as on every common Linux. */
+/** Clock ticks per second, and bytes per page, on every common Linux. */
 const TICKS_PER_S = 100;
 const PAGE_BYTES = 4096;
 const MB = 1024 * 1024;
-/** Fields of `/proc/PID/stat` after the command's name, which may hold spaces. */
+/** Positions of fields of `/proc/PID/stat`, counted after the command name, because that may contain spaces. */
 const USER_TICKS = 11;
 const SYSTEM_TICKS = 12;
 
-/** What a process has used so far; null when it is gone, or where there is no `/proc`. */
+/** Returns the resource usage of a process so far; null when it has ended, or where there is no `/proc`. */
 export function processUse(pid: number): ProcessUse | null {
   try {
     const stat = readFileSync(`/proc/${pid}/stat`, 'utf8');
@@ -36,18 +36,21 @@
     try {
       if (readlinkSync(`/proc/${pid}/fd/${fd}`).startsWith('socket:')) sockets++;
     } catch {
-      // Closed since it was listed.
+      // The descriptor was closed after it was listed.
     }
   }
   return sockets;
 }
 
-/** Processor seconds a second between two looks at a process; 0 when it was not there at both, or was started anew. */
+/**
+ * Returns the CPU seconds per second between two samples of a process; 0 when either sample is missing or the process
+ * was restarted in between.
+ */
 export function coresBetween(before: ProcessUse | null, after: ProcessUse | null, seconds: number): number {
   return before && after && after.cpuS >= before.cpuS ? (after.cpuS - before.cpuS) / seconds : 0;
 }
 
-/** Resident memory in MB; 0 for a process that is not there. */
+/** Returns the resident memory in MB; 0 when the sample is missing. */
 export function residentMb(use: ProcessUse | null): number {
   return (use?.residentBytes ?? 0) / MB;
 }
--- a/src/load/scalerun.ts
+++ b/src/load/scalerun.ts
@@ -9,7 +9,7 @@
 import type { Scenario } from './scenario.js';
 import { measureSingleWorker, type SingleWorkerOptions, type WorkerCost } from './singleworker.js';
 
-/** All that one run at a size has measured. Figures are of emulated machines on one computer. */
+/** Results of one run at a given size. The figures are of emulated machines on one computer. */
 export interface ScaleReport {
   scenario: string;
   sizes: Sizes;
@@ -19,25 +19,25 @@
   worker: WorkerCost[];
 }
 
-/** How a scale run is played. */
+/** Options of a scale run. */
 export interface ScaleRunOptions {
   speed: number;
   changeEvery: number;
-  /** Seconds a phase of the worker alone; 0 for none. */
+  /** Seconds per phase of the single-worker run; 0 to skip it. */
   loneS: number;
   port: number;
 }
 
-/** Ports of the worker alone, behind those of the cluster. */
-const LONE_PORTS_AFTER = 4500;
-/** A controller that was killed is not asked for changes for so long. */
-const BACK_AFTER_MS = 15_000;
-/** Tasks that a worker of the target size runs at once: 13,000 on 1,800. */
+/** Offset of the ports of the single-worker run, after those of the cluster. */
+const SINGLE_WORKER_PORT_OFFSET = 4500;
+/** Time for which a killed controller is excluded from the propagation probes. */
+const RESTART_GRACE_MS = 15_000;
+/** Tasks that a worker runs at once at the target size, which is 13,000 tasks on 1,800 workers. */
 const TASKS_PER_WORKER = 8;
-/** After the worker alone has begun or got its load, as far as its phases are not shorter. */
-const LONE_SETTLE_MS = 5000;
+/** Settling time after the single worker starts or receives its load; shortened to the length of its phases. */
+const SINGLE_WORKER_SETTLE_MS = 5000;
 
-/** One run at a size: load, faults, and what all roles use meanwhile. */
+/** Run at a given size: plays load and faults, and measures the resources that all roles use. */
 export class ScaleRun {
   private readonly load: LoadRun;
   private readonly measurement: Measurement;
@@ -54,40 +54,40 @@
     this.workers = platform.workers;
   }
 
-  /** Plays the scenario; ends by itself when it is over. */
+  /** Plays the scenario to its end and returns the results. */
   async run(name: string, options: ScaleRunOptions): Promise<ScaleReport> {
     const { clock } = this.cluster;
     const http = new HttpClient(clock, { maxSockets: 200, bodyBytes: 64 * 1024 });
     const propagation = new Propagation(clock, http, this.cluster, () => this.excluded());
     this.measurement.start();
-    const first = Math.min(...this.scenario.phases.map((p) => p.from_s), this.scenario.duration_s);
-    clock.after(first * 1000, () => void propagation.run(options.changeEvery));
+    const firstPhaseS = Math.min(...this.scenario.phases.map((p) => p.from_s), this.scenario.duration_s);
+    clock.after(firstPhaseS * 1000, () => void propagation.run(options.changeEvery));
     const load = await this.load.run(name, options.speed, () => undefined);
-    const spread = await propagation.stop();
+    const propagationReport = await propagation.stop();
     http.close();
-    const worker = options.loneS > 0 ? await measureSingleWorker(this.loneOptions(options)) : [];
+    const worker = options.loneS > 0 ? await measureSingleWorker(this.singleWorkerOptions(options)) : [];
     const { phases } = this.measurement;
-    return { scenario: name, sizes: this.sizes, phases, load, propagation: spread, worker };
+    return { scenario: name, sizes: this.sizes, phases, load, propagation: propagationReport, worker };
   }
 
-  /** Controllers that were killed and are not back yet. */
+  /** Returns the controllers that were killed within the last `RESTART_GRACE_MS`. */
   private excluded(): Set<string> {
     const now = this.cluster.clock.now();
     const nodes = new Set<string>();
-    for (const [controller, at] of this.load.killed)
-      if (now - at < BACK_AFTER_MS) nodes.add(this.cluster.controllers[controller]!.node);
+    for (const [controller, at] of this.load.killedAt)
+      if (now - at < RESTART_GRACE_MS) nodes.add(this.cluster.controllers[controller]!.node);
     return nodes;
   }
 
-  private loneOptions(options: ScaleRunOptions): SingleWorkerOptions {
+  private singleWorkerOptions(options: ScaleRunOptions): SingleWorkerOptions {
     return {
       reportS: this.workers.report_s,
       leaseS: this.workers.lease_s,
       tasks: TASKS_PER_WORKER,
       startsPerSecond: this.sizes.startsPerSecond / this.sizes.workers,
       secondsPerPhase: options.loneS,
-      settleMs: Math.min(LONE_SETTLE_MS, options.loneS * 1000),
-      port: options.port + LONE_PORTS_AFTER,
+      settleMs: Math.min(SINGLE_WORKER_SETTLE_MS, options.loneS * 1000),
+      port: options.port + SINGLE_WORKER_PORT_OFFSET,
     };
   }
 }
--- a/src/load/served.ts
+++ b/src/load/served.ts
@@ -1,9 +1,12 @@
-/** Below this a class or a team has not been served, and the play has failed; below `LOW` it is a fault to trace. */
+/**
+ * Served fraction of a class or team below which it counts as not served and the run fails. A fraction below
+ * `LOW_SERVED_SHARE` is a fault to investigate.
+ */
 export const FAILED_SERVED_SHARE = 0.5;
-/** A class or team of which a smaller share was served is reported as low. */
+/** Served fraction of a class or team below which it is reported as low. */
 export const LOW_SERVED_SHARE = 0.7;
 
-/** What became of the jobs of one class. */
+/** Numbers of the jobs of one class, by outcome. */
 export interface ServedCounts {
   name: string;
   team: string;
@@ -14,31 +17,38 @@
   cancelled: number;
 }
 
-/** What share of the jobs of a class or team was served. */
-export interface Share {
+/** Served fraction of the jobs of a class or team. */
+export interface ServedFraction {
   /** `class NAME` or `team NAME`. */
   who: string;
   what: 'accepted' | 'started' | 'done';
-  /** From 0 to 1, of what was asked for and not cancelled. */
+  /** Fraction from 0 to 1 of the submitted jobs; cancelled jobs do not count, except in the fraction accepted. */
   share: number;
 }
 
-/** What share of each class and of each team was served, the lowest first. */
-export function sharesOf(classes: readonly ServedCounts[]): Share[] {
-  const share = (part: number, of: number) => (of > 0 ? Math.min(1, part / of) : 1);
-  const shares: Share[] = [];
-  const teams = new Map<string, { started: number; asked: number }>();
-  for (const c of classes) {
-    const asked = c.submitted - c.cancelled;
+/** Returns the served fractions of each class and each team, lowest first. */
+export function sharesOf(classes: readonly ServedCounts[]): ServedFraction[] {
+  const servedRatio = (part: number, total: number) => (total > 0 ? Math.min(1, part / total) : 1);
+  const shares: ServedFraction[] = [];
+  const teams = new Map<string, { started: number; notCancelled: number }>();
+  for (const counts of classes) {
+    const notCancelled = counts.submitted - counts.cancelled;
     shares.push(
-      { who: `class ${c.name}`, what: 'accepted', share: share(c.accepted, c.submitted) },
-      { who: `class ${c.name}`, what: 'started', share: share(c.started, asked) },
-      { who: `class ${c.name}`, what: 'done', share: share(c.done, asked) },
+      {
+        who: `class ${counts.name}`,
+        what: 'accepted',
+        share: servedRatio(counts.accepted, counts.submitted),
+      },
+      { who: `class ${counts.name}`, what: 'started', share: servedRatio(counts.started, notCancelled) },
+      { who: `class ${counts.name}`, what: 'done', share: servedRatio(counts.done, notCancelled) },
     );
-    const team = teams.get(c.team) ?? { started: 0, asked: 0 };
-    teams.set(c.team, { started: team.started + c.started, asked: team.asked + asked });
+    const team = teams.get(counts.team) ?? { started: 0, notCancelled: 0 };
+    teams.set(counts.team, {
+      started: team.started + counts.started,
+      notCancelled: team.notCancelled + notCancelled,
+    });
   }
   for (const [name, t] of teams)
-    shares.push({ who: `team ${name}`, what: 'started', share: share(t.started, t.asked) });
+    shares.push({ who: `team ${name}`, what: 'started', share: servedRatio(t.started, t.notCancelled) });
   return shares.sort((a, b) => a.share - b.share);
 }
--- a/src/load/spread.ts
+++ b/src/load/spread.ts
@@ -1,7 +1,7 @@
 import { build, type Histogram } from 'hdr-histogram-js';
 
-/** A distribution, in whatever unit its name says. */
-export interface Spread {
+/** Summary of a distribution, in the unit that the name of the field states. */
+export interface Distribution {
   count: number;
   mean: number;
   p50: number;
@@ -10,7 +10,7 @@
   max: number;
 }
 
-/** A histogram of whole milliseconds up to an hour. */
+/** Returns a new histogram of whole milliseconds up to one hour. */
 export function histogram(): Histogram {
   return build({
     lowestDiscernibleValue: 1,
@@ -19,15 +19,15 @@
   });
 }
 
-/** Figures of a histogram, each divided by `unit`. */
-export function spread(h: Histogram, unit: number): Spread {
-  const at = (p: number) => h.getValueAtPercentile(p) / unit;
+/** Returns the summary of a histogram, with each value divided by `unit`. */
+export function summarize(source: Histogram, unit: number): Distribution {
+  const percentile = (p: number) => source.getValueAtPercentile(p) / unit;
   return {
-    count: h.totalCount,
-    mean: h.totalCount > 0 ? h.mean / unit : 0,
-    p50: at(50),
-    p90: at(90),
-    p99: at(99),
-    max: h.maxValue / unit,
+    count: source.totalCount,
+    mean: source.totalCount > 0 ? source.mean / unit : 0,
+    p50: percentile(50),
+    p90: percentile(90),
+    p99: percentile(99),
+    max: source.maxValue / unit,
   };
 }
--- a/src/load/userrules.ts
+++ b/src/load/userrules.ts
@@ -1,50 +1,58 @@
-// The rules that answers to users are held to.
+// Rules for the answers to users.
 import type { JobSpec } from '../wire/users.js';
 import { type CheckLimits, type ReportViolation, TOLERANCE_MS, type UserEvent } from './history.js';
 
-/** Holds what users were told against what they did and what became of their jobs; pure. */
+/** Checks the answers to users against the users' actions and the outcomes of their jobs. Pure. */
 export function checkUserEvents(
   userEvents: readonly UserEvent[],
   jobs: ReadonlyMap<string, JobSpec>,
-  done: ReadonlyMap<string, number>,
-  cancelled: ReadonlyMap<string, number>,
+  doneAt: ReadonlyMap<string, number>,
+  cancelledAt: ReadonlyMap<string, number>,
   limits: CheckLimits,
-  broken: ReportViolation,
+  report: ReportViolation,
 ): void {
-  // What was heard of each job first, and as which of the events.
-  const accepted = new Map<string, number>();
-  const final = new Map<string, { status: string; heard: number }>();
-  const wanted = new Set<string>();
-  for (const [i, e] of userEvents.entries()) {
-    const spec = jobs.get(e.job);
-    const asked = e.asked ?? i;
-    if (e.unfit !== undefined) broken('accepted_unfit', e.at, `${e.job} was accepted: ${e.unfit}`);
-    if (e.kind === 'cancel asked') wanted.add(e.job);
-    if (e.kind === 'accepted' && !accepted.has(e.job)) accepted.set(e.job, i);
-    if ((accepted.get(e.job) ?? asked) < asked && (e.kind === 'unknown' || e.kind === 'refused'))
-      broken('forgotten', e.at, `${e.job} was accepted and is ${e.kind}`);
-    const status = e.kind === 'cancelled' ? 'cancelled' : e.kind === 'told' ? e.status : undefined;
+  // First acceptance and first final status of each job, with the index of the event that reported it.
+  const acceptedIndex = new Map<string, number>();
+  const finalStatus = new Map<string, { status: string; eventIndex: number }>();
+  const cancelRequested = new Set<string>();
+  for (const [i, event] of userEvents.entries()) {
+    const spec = jobs.get(event.job);
+    const requestIndex = event.asked ?? i;
+    if (event.unfit !== undefined)
+      report('accepted_unfit', event.at, `${event.job} was accepted: ${event.unfit}`);
+    if (event.kind === 'cancel asked') cancelRequested.add(event.job);
+    if (event.kind === 'accepted' && !acceptedIndex.has(event.job)) acceptedIndex.set(event.job, i);
+    if (
+      (acceptedIndex.get(event.job) ?? requestIndex) < requestIndex &&
+      (event.kind === 'unknown' || event.kind === 'refused')
+    )
+      report('forgotten', event.at, `${event.job} was accepted and is ${event.kind}`);
+    const status =
+      event.kind === 'cancelled' ? 'cancelled' : event.kind === 'told' ? event.status : undefined;
     if (status === undefined) continue;
     if (!spec) {
-      broken('invented', e.at, `${e.job} is called ${status}, and nobody submitted it`);
+      report('invented', event.at, `${event.job} is called ${status}, and nobody submitted it`);
       continue;
     }
-    const over = status === 'done' || status === 'cancelled';
-    const before = final.get(e.job);
-    if (before && before.status !== status && (over || before.heard < asked))
-      broken('went_back', e.at, `${e.job} was ${before.status} and is called ${status}`);
-    const needed = spec.after.some((id) => cancelled.has(id) || wanted.has(id));
-    if (status === 'cancelled' && !wanted.has(e.job) && !needed)
-      broken('went_back', e.at, `${e.job} is called cancelled, and nobody asked for that`);
-    if (status === 'done' && !((done.get(e.job) ?? Number.POSITIVE_INFINITY) <= e.at + TOLERANCE_MS))
-      broken('not_done', e.at, `${e.job} is called done before all its tasks are`);
-    if (over) {
-      if (!before) final.set(e.job, { status, heard: i });
+    const isFinal = status === 'done' || status === 'cancelled';
+    const previous = finalStatus.get(event.job);
+    if (previous && previous.status !== status && (isFinal || previous.eventIndex < requestIndex))
+      report('went_back', event.at, `${event.job} was ${previous.status} and is called ${status}`);
+    const prerequisiteCancelled = spec.after.some((id) => cancelledAt.has(id) || cancelRequested.has(id));
+    if (status === 'cancelled' && !cancelRequested.has(event.job) && !prerequisiteCancelled)
+      report('went_back', event.at, `${event.job} is called cancelled, and nobody asked for that`);
+    if (
+      status === 'done' &&
+      !((doneAt.get(event.job) ?? Number.POSITIVE_INFINITY) <= event.at + TOLERANCE_MS)
+    )
+      report('not_done', event.at, `${event.job} is called done before all its tasks are`);
+    if (isFinal) {
+      if (!previous) finalStatus.set(event.job, { status, eventIndex: i });
     } else
       for (const id of spec.after) {
-        const at = cancelled.get(id);
-        if (at !== undefined && e.at > at + limits.cancelS * 1000)
-          broken('orphaned', e.at, `${e.job} is called ${status} long after ${id} was cancelled`);
+        const at = cancelledAt.get(id);
+        if (at !== undefined && event.at > at + limits.cancelS * 1000)
+          report('orphaned', event.at, `${event.job} is called ${status} long after ${id} was cancelled`);
       }
   }
 }
--- a/tests/emulator/emulator.test.ts
+++ b/tests/emulator/emulator.test.ts
@@ -30,18 +30,18 @@
   zones: ['a'],
 };
 
-function site(n: number) {
+function createWorkers(n: number) {
   const clock = new FakeClock();
   const tasks = new Tasks(clock, new Random(1), new Map([['c8', TYPE]]), { gangWaitS: 40, gangPeerS: 5 });
   const workers = Array.from({ length: n }, (_, i) => {
     const place = { id: `m-${i}`, addr: `a:${i}`, type: 'c8', zone: 'a', spot: false };
     return new Worker(clock, place, 1000, tasks);
   });
-  const order = (w: number, verb: string, piece: string, attempt: number, more: object = {}) =>
+  const order = (w: number, verb: string, piece: string, attempt: number, extraFields: object = {}) =>
     workers[w]!.serve('POST', '/do', {
       baton: 1,
       shift: 1,
-      orders: [{ verb, piece, try: attempt, ...more }],
+      orders: [{ verb, piece, try: attempt, ...extraFields }],
     });
   const state = (w: number, task: string) => {
     const a = workers[w]!.attempts.filter((x) => x.task === task).at(-1);
@@ -50,70 +50,74 @@
   return { clock, tasks, workers, order, state };
 }
 
-test('emulated tasks fetch, run, save where they are told in time, and go on from what was saved', async () => {
-  const s = site(2);
-  s.tasks.upload({ spec: spec('wk-1', { pieces: 2 }), runS: 60, fails: false });
-  s.order(0, 'run', 'wk-1/0', 1);
-  assert.equal(s.state(0, 'wk-1/0'), 'fetching');
-  await s.clock.advance(2000);
-  assert.equal(s.state(0, 'wk-1/0'), 'running');
-  s.order(0, 'run', 'wk-1/0', 2);
-  assert.equal(s.state(0, 'wk-1/0'), 'exited busy');
-  s.order(0, 'run', 'wk-9/0', 1);
-  assert.equal(s.state(0, 'wk-9/0'), 'exited unknown');
-  s.order(0, 'run', 'wk-1/1', 1);
-  await s.clock.advance(10_000);
-  s.order(0, 'kill', 'wk-1/0', 1, { windDownS: 2 });
-  assert.equal(s.state(0, 'wk-1/0'), 'exited busy');
-  await s.clock.advance(2100);
-  assert.equal(s.workers[0]!.attempts.find((a) => a.attempt === 1 && a.index === 0)?.saved, true);
-  s.order(1, 'run', 'wk-1/0', 3);
-  await s.clock.advance(45_000);
-  assert.equal(s.state(1, 'wk-1/0'), 'running');
-  await s.clock.advance(12_000);
-  assert.equal(s.state(1, 'wk-1/0'), 'exited done', 'the rest of 60 s');
-  s.tasks.upload({ spec: spec('wk-2', { shape: 'standing' }), runS: null, fails: false });
-  s.order(0, 'run', 'wk-2/0', 1);
-  await s.clock.advance(100_000);
-  assert.equal(s.state(0, 'wk-2/0'), 'running', 'a service has no end');
-  s.workers[0]!.die();
-  assert.equal(s.tasks.history.at(-1)?.cause, 'lost');
-  assert.equal(s.tasks.twice, 0);
+test('emulated tasks fetch images, run, save when notified in time, and resume from saved progress', async () => {
+  const emulated = createWorkers(2);
+  emulated.tasks.upload({ spec: spec('wk-1', { pieces: 2 }), runS: 60, fails: false });
+  emulated.order(0, 'run', 'wk-1/0', 1);
+  assert.equal(emulated.state(0, 'wk-1/0'), 'fetching');
+  await emulated.clock.advance(2000);
+  assert.equal(emulated.state(0, 'wk-1/0'), 'running');
+  emulated.order(0, 'run', 'wk-1/0', 2);
+  assert.equal(emulated.state(0, 'wk-1/0'), 'exited busy');
+  emulated.order(0, 'run', 'wk-9/0', 1);
+  assert.equal(emulated.state(0, 'wk-9/0'), 'exited unknown');
+  emulated.order(0, 'run', 'wk-1/1', 1);
+  await emulated.clock.advance(10_000);
+  emulated.order(0, 'kill', 'wk-1/0', 1, { windDownS: 2 });
+  assert.equal(emulated.state(0, 'wk-1/0'), 'exited busy');
+  await emulated.clock.advance(2100);
+  assert.equal(emulated.workers[0]!.attempts.find((a) => a.attempt === 1 && a.index === 0)?.saved, true);
+  emulated.order(1, 'run', 'wk-1/0', 3);
+  await emulated.clock.advance(45_000);
+  assert.equal(emulated.state(1, 'wk-1/0'), 'running');
+  await emulated.clock.advance(12_000);
+  assert.equal(emulated.state(1, 'wk-1/0'), 'exited done', 'ran for the rest of 60 s');
+  emulated.tasks.upload({ spec: spec('wk-2', { shape: 'standing' }), runS: null, fails: false });
+  emulated.order(0, 'run', 'wk-2/0', 1);
+  await emulated.clock.advance(100_000);
+  assert.equal(emulated.state(0, 'wk-2/0'), 'running', 'a service has no end');
+  emulated.workers[0]!.die();
+  assert.equal(emulated.tasks.history.at(-1)?.cause, 'lost');
+  assert.equal(emulated.tasks.twice, 0);
 });
 
-test('emulated gangs start together, fall with one of them, and save only when all are told in time', async () => {
-  const s = site(3);
+test('emulated gangs start together, fail with any member, and save only when all members are notified in time', async () => {
+  const emulated = createWorkers(3);
   const gang = { shape: 'ensemble', pieces: 3, saveEveryS: 10, savingS: 2 };
-  s.tasks.upload({ spec: spec('wk-1', gang), runS: 100, fails: false });
+  emulated.tasks.upload({ spec: spec('wk-1', gang), runS: 100, fails: false });
   const start = (attempt: number) => {
-    for (const w of [0, 1, 2]) s.order(w, 'run', `wk-1/${w}`, attempt);
+    for (const w of [0, 1, 2]) emulated.order(w, 'run', `wk-1/${w}`, attempt);
   };
-  const states = () => [0, 1, 2].map((w) => s.state(w, `wk-1/${w}`));
-  s.order(0, 'run', 'wk-1/0', 1);
-  await s.clock.advance(43_000);
-  assert.equal(s.state(0, 'wk-1/0'), 'exited alone');
+  const states = () => [0, 1, 2].map((w) => emulated.state(w, `wk-1/${w}`));
+  emulated.order(0, 'run', 'wk-1/0', 1);
+  await emulated.clock.advance(43_000);
+  assert.equal(emulated.state(0, 'wk-1/0'), 'exited alone');
   start(2);
-  await s.clock.advance(20_000);
+  await emulated.clock.advance(20_000);
   assert.deepEqual(states(), ['running', 'running', 'running']);
-  s.workers[2]!.die();
-  await s.clock.advance(5100);
+  emulated.workers[2]!.die();
+  await emulated.clock.advance(5100);
   assert.deepEqual(states().slice(0, 2), ['exited peers', 'exited peers']);
   start(3);
-  await s.clock.advance(15_000);
-  for (const w of [0, 1, 2]) s.order(w, 'kill', `wk-1/${w}`, 3, { windDownS: 2 });
-  await s.clock.advance(2100);
+  await emulated.clock.advance(15_000);
+  for (const w of [0, 1, 2]) emulated.order(w, 'kill', `wk-1/${w}`, 3, { windDownS: 2 });
+  await emulated.clock.advance(2100);
   assert.deepEqual(states(), Array(3).fill('exited stopped saved'));
   start(4);
-  await s.clock.advance(5000);
-  s.order(0, 'kill', 'wk-1/0', 4, { windDownS: 2 });
-  await s.clock.advance(5100);
-  assert.deepEqual(states(), ['exited stopped', 'exited peers', 'exited peers'], 'two were not told');
+  await emulated.clock.advance(5000);
+  emulated.order(0, 'kill', 'wk-1/0', 4, { windDownS: 2 });
+  await emulated.clock.advance(5100);
+  assert.deepEqual(states(), ['exited stopped', 'exited peers', 'exited peers'], 'two were not notified');
   start(5);
-  await s.clock.advance(85_000);
-  assert.deepEqual(states(), Array(3).fill('exited done'), 'from what was saved, not from the beginning');
+  await emulated.clock.advance(85_000);
+  assert.deepEqual(
+    states(),
+    Array(3).fill('exited done'),
+    'resumed from saved progress, not from the beginning',
+  );
 });
 
-test('the emulated cloud lists late, boots in its time, and takes spot machines back', async () => {
+test('the emulated cloud lists machines with a lag, boots them with a delay, and reclaims spot machines', async () => {
   const clock = new FakeClock();
   const up: string[] = [];
   const gone: string[] = [];
@@ -124,8 +128,8 @@
       types: [TYPE],
       capacity: [{ type: 'c8', zone: 'a', count: 2, spot: 1, up: 0 }],
       listLagS: 5,
-      bootFail: 0,
-      spotPerHour: 0,
+      bootFailureShare: 0,
+      spotReclaimsPerHour: 0,
       noticeS: 20,
     },
     {
@@ -139,7 +143,7 @@
     market.rent({ request: 'r', type: 'c8', zone: 'a', spot, count });
   assert.equal(rent(false, 5).length, 2);
   assert.equal(rent(false, 1).length, 0, 'no capacity');
-  const [cheap] = rent(true, 1);
+  const [spotMachine] = rent(true, 1);
   assert.equal(market.list().length, 0, 'not listed yet');
   await clock.advance(140_000);
   assert.equal(up.length, 3);
@@ -147,22 +151,22 @@
     market.list().map((m) => m.state),
     ['running', 'running', 'running'],
   );
-  market.reclaim(cheap!, 10_000);
+  market.reclaim(spotMachine!, 10_000);
   await clock.advance(10_100);
-  assert.deepEqual(gone, [cheap]);
+  assert.deepEqual(gone, [spotMachine]);
   assert.equal(market.list().length, 3, 'still listed');
   await clock.advance(12_000);
   assert.equal(market.list().length, 2);
   assert.ok(Math.abs(market.charge() - (2 * 162.1 + 0.5 * 150.1) / 3600) < 0.01);
 });
 
-test('the emulated state service forgets old changes with 410, and refuses one caller alone', async () => {
+test('the emulated state service answers 410 for discarded changes, and can refuse a single caller', async () => {
   const clock = new FakeClock();
   const state = new StateService(clock);
   const put = (n: number) => state.serve('POST', '/txn', { when: [], writes: [{ set: `k/${n}`, value: n }] });
   for (let i = 0; i < 12_000; i++) void put(i);
-  const old = await state.serve('GET', '/watch?under=k/&since=5&waitMs=10', null);
-  assert.equal(old.status, 410);
+  const response = await state.serve('GET', '/watch?under=k/&since=5&waitMs=10', null);
+  assert.equal(response.status, 410);
   state.refusing.add('n0');
   assert.equal((await state.serve('GET', '/keys/k/1', null, 'n0')).status, 503);
   assert.equal((await state.serve('GET', '/keys/k/1', null, 'n1')).status, 200);
@@ -172,8 +176,8 @@
   assert.deepEqual(statuses, [200, 200, 200, 200, 200, 429, 429]);
 });
 
-// A checker that catches nothing would call every run clean: each rule is broken once.
-test('the checker names every rule that a history breaks, and none that it keeps', () => {
+// Guards against a checker that misses violations and passes every run: the test violates each rule once.
+test('the checker reports every rule that a history violates, and no others', () => {
   const jobs = new Map(
     [
       spec('wk-a', { pieces: 2, cpus: 8 }),
@@ -229,15 +233,16 @@
   assert.deepEqual(rules(clean, [told(9100, 'wk-c', 'cancelled')]), ['went_back']);
   assert.deepEqual(rules(clean, [...cancel, told(50_000, 'wk-b', 'queued')]), ['orphaned']);
   assert.deepEqual(rules([], []), ['nothing_ran']);
-  // What was asked before an end was told may have crossed with it; what was asked after it may not be older.
-  const heard = (e: UserEvent, asked: number): UserEvent => ({ ...e, asked });
+  // The answer to a request sent before the end was reported may have crossed with that report; the answer to a
+  // request sent after it must not be older.
+  const requestedAfter = (e: UserEvent, asked: number): UserEvent => ({ ...e, asked });
   const end = told(9100, 'wk-a', 'done');
-  assert.deepEqual(rules(clean, [end, heard(told(9101, 'wk-a', 'running'), 0)]), []);
-  assert.deepEqual(rules(clean, [end, heard(told(9101, 'wk-a', 'running'), 1)]), ['went_back']);
-  assert.deepEqual(rules(clean, [end, heard(told(9101, 'wk-a', 'cancelled'), 0)]), ['went_back']);
+  assert.deepEqual(rules(clean, [end, requestedAfter(told(9101, 'wk-a', 'running'), 0)]), []);
+  assert.deepEqual(rules(clean, [end, requestedAfter(told(9101, 'wk-a', 'running'), 1)]), ['went_back']);
+  assert.deepEqual(rules(clean, [end, requestedAfter(told(9101, 'wk-a', 'cancelled'), 0)]), ['went_back']);
   const accepted = did(1, 'wk-a', 'accepted');
-  assert.deepEqual(rules(clean, [accepted, heard(did(2, 'wk-a', 'unknown'), 0)]), []);
-  assert.deepEqual(rules(clean, [accepted, heard(did(2, 'wk-a', 'refused'), 1)]), ['forgotten']);
+  assert.deepEqual(rules(clean, [accepted, requestedAfter(did(2, 'wk-a', 'unknown'), 0)]), []);
+  assert.deepEqual(rules(clean, [accepted, requestedAfter(did(2, 'wk-a', 'refused'), 1)]), ['forgotten']);
   assert.deepEqual(rules(clean, [{ ...did(1, 'wk-odd', 'accepted'), unfit: 'it has no id' }]), [
     'accepted_unfit',
   ]);
@@ -246,11 +251,11 @@
     checkHistory([on(900, 'wk-a', 0)], cancel, jobs, { ...limits, startSentAt: ordered(at) }).map(
       (v) => v.rule,
     );
-  assert.deepEqual(started(9), [], 'it was under way');
+  assert.deepEqual(started(9), [], 'the start command was already under way');
   assert.deepEqual(started(11), ['started_cancelled']);
 });
 
-test('a job is left waiting when for 90 s a machine that fits has room and its team is under its limit', () => {
+test('reports a waiting job when a suitable machine has capacity and its team is below its limit for 90 s', () => {
   const spec = readJob(job('wk-w', { cpus: 4, shape: 'ensemble', pieces: 2, oneZone: true })) as JobSpec;
   const machine = (zone: string, cpus: number) => ({
     type: 'c8',
@@ -260,29 +265,37 @@
     gpus: 0,
     memoryGb: 64,
   });
-  const waits = (machines: ReturnType<typeof machine>[], leftCpus: number | null, gapAt = -1) => {
-    const left = new StarvationCheck();
-    const found = [];
+  const starvationReports = (
+    machines: ReturnType<typeof machine>[],
+    leftCpus: number | null,
+    gapAtS = -1,
+  ) => {
+    const check = new StarvationCheck();
+    const violations = [];
     for (let s = 0; s <= 200; s++)
-      found.push(
-        ...left.observe(s * 1000, s === gapAt ? [] : machines, [
+      violations.push(
+        ...check.observe(s * 1000, s === gapAtS ? [] : machines, [
           { spec, quotaCpusLeft: leftCpus, quotaGpusLeft: null },
         ]),
       );
-    return found.map((v) => [v.rule, v.at]);
+    return violations.map((v) => [v.rule, v.at]);
   };
-  assert.deepEqual(waits([machine('a', 8)], null), [['left_waiting', 91_000]]);
+  assert.deepEqual(starvationReports([machine('a', 8)], null), [['left_waiting', 91_000]]);
   assert.deepEqual(
-    waits([machine('a', 8)], 8, 50),
+    starvationReports([machine('a', 8)], 8, 50),
     [['left_waiting', 142_000]],
-    'room all the time, once told',
+    'capacity throughout except for one gap; reported once',
+  );
+  assert.deepEqual(starvationReports([machine('a', 8)], 7), [], 'beyond the limit of the team');
+  assert.deepEqual(
+    starvationReports([machine('a', 4), machine('b', 7)], null),
+    [],
+    'not enough capacity in one zone',
   );
-  assert.deepEqual(waits([machine('a', 8)], 7), [], 'beyond the limit');
-  assert.deepEqual(waits([machine('a', 4), machine('b', 7)], null), [], 'not in one zone');
-  assert.deepEqual(waits([{ ...machine('a', 8), memoryGb: 7 }], null), [], 'no memory');
+  assert.deepEqual(starvationReports([{ ...machine('a', 8), memoryGb: 7 }], null), [], 'not enough memory');
 });
 
-test('what share of each class and team was served is told, the lowest first', () => {
+test('reports the served fraction of each class and team, lowest first', () => {
   const counts = { submitted: 10, accepted: 10, started: 10, done: 10, cancelled: 0 };
   const shares = sharesOf([
     { ...counts, name: 'plans', team: 'depot' },
@@ -301,36 +314,37 @@
   assert.ok(shares.slice(4).every((s) => s.share === 1));
 });
 
-// Guards against a stand-in that lets a refused caller's watch end with a revision of which it never told the changes.
-test('a watch of a refused caller waits on beyond its time, and misses nothing', async () => {
+// Guards against an emulated store that ends a refused caller's watch with a revision whose changes it never sent.
+test('the watch of a refused caller stays open beyond its wait time, and misses no change', async () => {
   const clock = new FakeClock();
   const state = new StateService(clock);
   await state.serve('POST', '/txn', { when: [], writes: [{ set: 'c/a', value: 1 }] });
-  let told: { ledgerRev: number; events: { set: string }[] } | null = null;
+  let response: { ledgerRev: number; events: { set: string }[] } | null = null;
   state.refusing.add('n0');
   void Promise.resolve(state.serve('GET', '/watch?under=c/&since=1&waitMs=3000', null, 'n0')).then((s) => {
-    told = s.body as typeof told;
+    response = s.body as typeof response;
   });
   await state.serve('POST', '/txn', { when: [], writes: [{ set: 'c/b', value: 2 }] });
   await clock.advance(8000);
-  assert.equal(told, null);
+  assert.equal(response, null);
   state.refusing.delete('n0');
   await state.serve('POST', '/txn', { when: [], writes: [{ set: 'd/x', value: 3 }] });
   await clock.advance(10);
   assert.deepEqual(
-    told!.events.map((e) => e.set),
+    response!.events.map((e) => e.set),
     ['c/b'],
   );
 });
 
-// Guards against a stand-in that keeps tasks for up to a second after its lease: machines behind a cut seemed to run tasks twice.
-test('an emulated worker that is cut off ends its tasks when its lease is over, not when it next reports', async () => {
+// Guards against an emulated worker that keeps tasks for up to a second after its lease has expired: tasks on machines
+// behind a partition then seemed to run twice.
+test('a disconnected emulated worker ends its tasks when its lease expires, not at its next report', async () => {
   const clock = new FakeClock();
   const place = { id: 'm-1', addr: 'a:1', type: 'c8', zone: 'a', spot: false };
   const worker: Worker = new Worker(clock, place, 16);
   const nodes = [{ node: 'n0', addr: 'n:0' }];
-  const silent: Requester = { request: () => new Promise(() => undefined) };
-  const reporter = new Reporter(clock, silent, new Random(1), worker, nodes, 2.5);
+  const unresponsive: Requester = { request: () => new Promise(() => undefined) };
+  const reporter = new Reporter(clock, unresponsive, new Random(1), worker, nodes, 2.5);
   await clock.advance(10);
   worker.serve('POST', '/do', { baton: 1, shift: 1, orders: [{ verb: 'run', piece: 'wk-1/0', try: 1 }] });
   await clock.advance(15_980);
--- a/tests/load/half-open.ts
+++ b/tests/load/half-open.ts
@@ -1,6 +1,6 @@
 /**
- * Measures a real controller process on loopback while one address holds 2,000 half-open connections, each opened again
- * as soon as it is ended, and 400 workers report. Not part of the tests: it takes half a minute of real time.
+ * Measures a real controller process on loopback while one address holds 2,000 half-open connections, each reopened
+ * as soon as it is closed, and 400 workers report. Not part of the tests: it takes half a minute of real time.
  *
  *     node target/check/tests/load/half-open.js [PATH-TO-main.js] [SECONDS]
  */
@@ -14,11 +14,11 @@
 import { HttpServer } from '../../src/http/server.js';
 
 const WORKERS = 400;
-const STRANGERS = 2000;
-const REPORT_MS = 2500;
-const ANSWER_MS = 4000;
-const HEALTH_MS = 250;
-const MOST_OPENED_PER_S = 4000;
+const HALF_OPEN_CONNECTIONS = 2000;
+const REPORT_INTERVAL_MS = 2500;
+const REPORT_TIMEOUT_MS = 4000;
+const HEALTH_CHECK_INTERVAL_MS = 250;
+const MAX_OPENED_PER_S = 4000;
 
 const main = process.argv[2] ?? 'target/main.js';
 const seconds = Math.min(60, Number(process.argv[3] ?? 20));
@@ -55,7 +55,7 @@
   },
 );
 
-async function port(): Promise<number> {
+async function findFreePort(): Promise<number> {
   const probe = net.createServer();
   await new Promise<void>((resolve) => probe.listen(0, '127.0.0.1', resolve));
   const { port } = probe.address() as net.AddressInfo;
@@ -63,8 +63,8 @@
   return port;
 }
 
-const at = await services.listen('127.0.0.1', 0);
-const [users, peers] = [await port(), await port()];
+const servicesPort = await services.listen('127.0.0.1', 0);
+const [users, peers] = [await findFreePort(), await findFreePort()];
 const address = (i: number) => `127.0.${1 + (i >> 8)}.${i & 255}`;
 const machine = (i: number) => `m-${String(i).padStart(6, '0')}`;
 for (let i = 0; i < WORKERS; i++) {
@@ -88,8 +88,8 @@
 bind = "127.0.0.1:${users}"
 peer_bind = "127.0.0.1:${peers}"
 [external]
-cloud = "127.0.0.1:${at}"
-state = "127.0.0.1:${at}"
+cloud = "127.0.0.1:${servicesPort}"
+state = "127.0.0.1:${servicesPort}"
 [params]
 initial_size = 1
 zones = ["a"]
@@ -118,13 +118,13 @@
   env: { ...process.env, LOG_LEVEL: 'error' },
 });
 
-let over = false;
+let stopping = false;
 const counts = { reports: 0, refused: 0, reconnected: 0, probes: 0, probesFailed: 0, opened: 0 };
-const waits: number[] = [];
-const health: number[] = [];
+const reportTimesMs: number[] = [];
+const healthTimesMs: number[] = [];
 
-/** One request on a connection; false when it ends or no answer comes. */
-function ask(socket: net.Socket, text: string, timeoutMs: number): Promise<number> {
+/** Sends one request on a connection; returns its status, or 0 when the connection closes or no answer arrives. */
+function sendRequest(socket: net.Socket, text: string, timeoutMs: number): Promise<number> {
   return new Promise((resolve) => {
     const done = (status: number) => {
       clearTimeout(timer);
@@ -140,18 +140,18 @@
 }
 
 const pause = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms));
-const open = (from: string) =>
+const connectFrom = (from: string) =>
   net
     .connect({ port: users, host: '127.0.0.1', localAddress: from, noDelay: true })
     .on('error', () => undefined);
 
-async function worker(i: number): Promise<void> {
-  await pause((i / WORKERS) * REPORT_MS);
+async function runWorker(i: number): Promise<void> {
+  await pause((i / WORKERS) * REPORT_INTERVAL_MS);
   let socket: net.Socket | null = null;
-  for (let tally = 1; !over; tally++) {
+  for (let sequence = 1; !stopping; sequence++) {
     if (!socket || socket.destroyed) {
       if (socket) counts.reconnected++;
-      socket = open(address(i));
+      socket = connectFrom(address(i));
     }
     const body = JSON.stringify({
       worker: machine(i),
@@ -160,82 +160,82 @@
       yard: 'a',
       loaner: false,
       shift: 1,
-      tally,
+      tally: sequence,
       baton: 0,
       recallS: null,
       pieces: [],
     });
-    const asked = performance.now();
+    const sentAt = performance.now();
     counts.reports++;
     const text = `POST /v1/report HTTP/1.1\r\nHost: n1\r\nContent-Length: ${body.length}\r\n\r\n${body}`;
-    if ((await ask(socket, text, ANSWER_MS)) !== 200) {
+    if ((await sendRequest(socket, text, REPORT_TIMEOUT_MS)) !== 200) {
       counts.refused++;
       socket.destroy();
-    } else waits.push(performance.now() - asked);
-    await pause(REPORT_MS);
+    } else reportTimesMs.push(performance.now() - sentAt);
+    await pause(REPORT_INTERVAL_MS);
   }
   socket?.destroy();
 }
 
-async function probes(): Promise<void> {
-  while (!over) {
-    const asked = performance.now();
+async function runHealthChecks(): Promise<void> {
+  while (!stopping) {
+    const sentAt = performance.now();
     counts.probes++;
-    const socket = open('127.0.9.9');
-    const status = await ask(socket, 'GET /healthz HTTP/1.1\r\nHost: n1\r\n\r\n', 1000);
-    if (status === 200) health.push(performance.now() - asked);
+    const socket = connectFrom('127.0.9.9');
+    const status = await sendRequest(socket, 'GET /healthz HTTP/1.1\r\nHost: n1\r\n\r\n', 1000);
+    if (status === 200) healthTimesMs.push(performance.now() - sentAt);
     else counts.probesFailed++;
     socket.destroy();
-    await pause(HEALTH_MS);
+    await pause(HEALTH_CHECK_INTERVAL_MS);
   }
 }
 
-const strangers = new Set<net.Socket>();
-let budget = 0;
-function flood(): void {
-  budget = Math.min(MOST_OPENED_PER_S / 10, budget + MOST_OPENED_PER_S / 100);
-  while (!over && strangers.size < STRANGERS && budget >= 1) {
-    budget--;
+const halfOpen = new Set<net.Socket>();
+let openBudget = 0;
+function openHalfOpenConnections(): void {
+  openBudget = Math.min(MAX_OPENED_PER_S / 10, openBudget + MAX_OPENED_PER_S / 100);
+  while (!stopping && halfOpen.size < HALF_OPEN_CONNECTIONS && openBudget >= 1) {
+    openBudget--;
     counts.opened++;
-    const s = open('127.0.0.1');
-    strangers.add(s);
+    const s = connectFrom('127.0.0.1');
+    halfOpen.add(s);
     s.write('GET /hea');
-    s.on('close', () => strangers.delete(s));
+    s.on('close', () => halfOpen.delete(s));
   }
-  if (!over) setTimeout(flood, 10);
+  if (!stopping) setTimeout(openHalfOpenConnections, 10);
 }
 
-async function healthy(): Promise<void> {
+async function waitUntilHealthy(): Promise<void> {
   for (let i = 0; i < 100; i++) {
-    const socket = open('127.0.9.9');
-    const status = await ask(socket, 'GET /healthz HTTP/1.1\r\nHost: n1\r\n\r\n', 1000);
+    const socket = connectFrom('127.0.9.9');
+    const status = await sendRequest(socket, 'GET /healthz HTTP/1.1\r\nHost: n1\r\n\r\n', 1000);
     socket.destroy();
     if (status === 200) return;
     await pause(100);
   }
-  throw new Error('the controller does not become healthy');
+  throw new Error('the controller did not become healthy within 100 checks');
 }
 
 try {
-  await healthy();
-  const working = [...Array(WORKERS).keys()].map(worker);
-  await pause(REPORT_MS + 500);
-  flood();
-  const probing = probes();
+  await waitUntilHealthy();
+  const workersDone = [...Array(WORKERS).keys()].map(runWorker);
+  await pause(REPORT_INTERVAL_MS + 500);
+  openHalfOpenConnections();
+  const checksDone = runHealthChecks();
   await pause(seconds * 1000);
-  over = true;
-  for (const s of strangers) s.destroy();
-  await Promise.all([...working, probing]);
-  const at99 = (xs: number[]) =>
+  stopping = true;
+  for (const s of halfOpen) s.destroy();
+  await Promise.all([...workersDone, checksDone]);
+  const percentile99 = (xs: number[]) =>
     xs.length === 0
       ? null
       : Math.round([...xs].sort((a, b) => a - b)[Math.floor(xs.length * 0.99)]! * 10) / 10;
-  const most = (xs: number[]) => (xs.length === 0 ? null : Math.round(Math.max(...xs) * 10) / 10);
+  const largest = (xs: number[]) => (xs.length === 0 ? null : Math.round(Math.max(...xs) * 10) / 10);
   process.stdout.write(
-    `${JSON.stringify({ ...counts, reportMs: { p99: at99(waits), max: most(waits) }, healthMs: { p99: at99(health), max: most(health) } })}\n`,
+    `${JSON.stringify({ ...counts, reportMs: { p99: percentile99(reportTimesMs), max: largest(reportTimesMs) }, healthMs: { p99: percentile99(healthTimesMs), max: largest(healthTimesMs) } })}\n`,
   );
 } finally {
-  over = true;
+  stopping = true;
   child.kill('SIGTERM');
   services.close();
   rmSync(dir, { recursive: true });
