--- a/src/cli/cli.ts
+++ b/src/cli/cli.ts
@@ -1,4 +1,4 @@
-// This package: the commands that people give: a cluster on one machine, jobs, load.
+// The command-line interface: commands that manage jobs, run a cluster on this machine, and generate load.
 import { Command, CommanderError } from 'commander';
 import { ClientUnreachableError, RequestRejectedError } from '../client/client.js';
 import { JobFileError } from '../client/jobfile.js';
@@ -12,23 +12,24 @@
 import { addScaleCommand } from './scale.js';
 
 const command = new Command('spartray')
-  .description('The spartray cluster scheduler: jobs, and a cluster on one machine.')
+  .description('The spartray cluster scheduler: manages jobs, and runs a cluster on one machine.')
   .version(version())
   .exitOverride()
   .addHelpText(
     'after',
     `
-A controller is started with: spartray --config <file>
+To start a controller: spartray --config <file>
 
-Exit codes: 0 success; 1 the job was cancelled, or a check failed; 2 wrong use, file or setting, or refused for good;
-3 an address cannot be listened on; 4 nobody answered in time.`,
+Exit codes: 0 success; 1 the job was cancelled, or a check failed; 2 invalid usage, file or setting, or a
+request that was permanently rejected; 3 an address cannot be bound; 4 no answer within the time limit.`,
   );
 addLocalCommands(command);
 addJobCommands(command);
 addLoadCommand(command);
 addScaleCommand(command);
 addCertsCommand(command);
-// Only then: it needs the language's grammar.
+// Imported only when one of its commands or the help text is requested, because it loads the grammar of the submit
+// language.
 if (['condor', 'help', '--help', '-h'].includes(process.argv[2] ?? ''))
   (await import('./condor.js')).addCondorCommands(command);
 
--- a/src/cli/condoroutput.ts
+++ b/src/cli/condoroutput.ts
@@ -1,4 +1,4 @@
-/** What the condor commands print: the tables of `condor_q`. */
+/** Output of the condor commands, in the layout of the tables of `condor_q`. */
 
 import type { AnalysisView, ClusterView, ProcView } from '../wire/condor.js';
 import { table } from './output.js';
@@ -6,30 +6,30 @@
 const STATE_LETTERS = { idle: 'I', running: 'R', held: 'H', removed: 'X', completed: 'C' } as const;
 
 function formatTime(seconds: number): string {
-  const d = new Date(seconds * 1000);
-  const two = (n: number) => String(n).padStart(2, '0');
-  return `${String(d.getMonth() + 1).padStart(2)}/${String(d.getDate()).padEnd(2)} ${two(d.getHours())}:${two(d.getMinutes())}`;
+  const date = new Date(seconds * 1000);
+  const twoDigits = (n: number) => String(n).padStart(2, '0');
+  return `${String(date.getMonth() + 1).padStart(2)}/${String(date.getDate()).padEnd(2)} ${twoDigits(date.getHours())}:${twoDigits(date.getMinutes())}`;
 }
 
 const formatCount = (n: number) => (n === 0 ? '_' : String(n));
 
-/** One line a cluster, in the columns of `condor_q`. */
+/** Formats one line per cluster, in the columns of `condor_q`. */
 export function clusterTable(clusters: readonly ClusterView[]): string {
-  const rows = clusters.map((c) => [
-    c.user,
-    c.batch ?? `ID: ${c.cluster}`,
-    formatTime(c.at),
-    formatCount(c.completed),
-    formatCount(c.running),
-    formatCount(c.idle),
-    formatCount(c.held),
-    c.procs,
-    c.procs === 1 ? `${c.cluster}.0` : `${c.cluster}.0-${c.procs - 1}`,
+  const rows = clusters.map((cluster) => [
+    cluster.user,
+    cluster.batch ?? `ID: ${cluster.cluster}`,
+    formatTime(cluster.at),
+    formatCount(cluster.completed),
+    formatCount(cluster.running),
+    formatCount(cluster.idle),
+    formatCount(cluster.held),
+    cluster.procs,
+    cluster.procs === 1 ? `${cluster.cluster}.0` : `${cluster.cluster}.0-${cluster.procs - 1}`,
   ]);
   return table(['OWNER', 'BATCH_NAME', 'SUBMITTED', 'DONE', 'RUN', 'IDLE', 'HOLD', 'TOTAL', 'JOB_IDS'], rows);
 }
 
-/** One line a process, in the columns of `condor_q -nobatch`. */
+/** Formats one line per process, in the columns of `condor_q -nobatch`. */
 export function procTable(procs: readonly ProcView[]): string {
   const rows = procs.map((p) => [
     `${p.cluster}.${p.proc}`,
@@ -43,14 +43,14 @@
   return table(['ID', 'OWNER', 'SUBMITTED', 'ST', 'PRI', 'SIZE', 'CMD'], rows);
 }
 
-/** The last line of `condor_q`. */
+/** Formats the totals, the last line of `condor_q`. */
 export function totalsLine(clusters: readonly ClusterView[]): string {
   const sum = (f: (c: ClusterView) => number) => clusters.reduce((n, c) => n + f(c), 0);
   const all = sum((c) => c.procs);
   return `Total for query: ${all} jobs; ${sum((c) => c.completed)} completed, ${sum((c) => c.removed)} removed, ${sum((c) => c.idle)} idle, ${sum((c) => c.running)} running, ${sum((c) => c.held)} held, 0 suspended`;
 }
 
-/** The clauses of a process's requirements, with the number of kinds of machines that match each. */
+/** Formats the clauses of a process's requirements, with the number of kinds of machine that match each clause. */
 export function clauseTable(analysis: AnalysisView): string {
   const rows = analysis.clauses.map((clause, i) => [
     `[${i}]`,
--- a/src/cli/load.ts
+++ b/src/cli/load.ts
@@ -3,13 +3,13 @@
 import type { Command } from 'commander';
 import type { LoadReport } from '../load/loadreport.js';
 import { FAILED_SERVED_SHARE, LOW_SERVED_SHARE } from '../load/served.js';
-import { type LocalFlags, localOptions, startLocal } from './local.js';
-import { EXIT, say, table } from './output.js';
+import { addLocalOptions, type LocalFlags, startLocal } from './local.js';
+import { EXIT, printLine, table } from './output.js';
 
 const rounded = (n: number) => (n >= 100 ? Math.round(n) : Math.round(n * 100) / 100);
 
-function print(r: LoadReport): void {
-  const counts = r.classes.map((c) => [
+function printReport(report: LoadReport): void {
+  const counts = report.classes.map((c) => [
     c.name,
     c.submitted,
     c.accepted,
@@ -18,8 +18,8 @@
     c.cancelled,
     c.lost,
   ]);
-  say(table(['CLASS', 'SUBMITTED', 'ACCEPTED', 'REFUSED', 'DONE', 'CANCELLED', 'LOST'], counts));
-  const times = r.classes.flatMap((c) =>
+  printLine(table(['CLASS', 'SUBMITTED', 'ACCEPTED', 'REFUSED', 'DONE', 'CANCELLED', 'LOST'], counts));
+  const times = report.classes.flatMap((c) =>
     (
       [
         ['submitted ms', c.submitMs],
@@ -28,25 +28,28 @@
       ] as const
     ).map(([what, s]) => [c.name, what, rounded(s.p50), rounded(s.p90), rounded(s.p99), rounded(s.max)]),
   );
-  say(`\n${table(['CLASS', 'WHAT', 'P50', 'P90', 'P99', 'MAX'], times)}`);
-  say(
-    `\n${r.violations.length} broken rules, ${r.twice} tasks done twice, ${rounded(r.spent)} spent (simulated machines)`,
+  printLine(`\n${table(['CLASS', 'WHAT', 'P50', 'P90', 'P99', 'MAX'], times)}`);
+  printLine(
+    `\n${report.violations.length} broken rules, ${report.twice} tasks done twice, ${rounded(report.spent)} spent (simulated machines)`,
   );
-  const [lowest] = r.served;
-  if (lowest) say(`lowest served: ${lowest.who}, ${lowest.what} ${rounded(lowest.share)}`);
-  for (const s of r.served)
+  const [lowest] = report.served;
+  if (lowest) printLine(`lowest served: ${lowest.who}, ${lowest.what} ${rounded(lowest.share)}`);
+  for (const s of report.served)
     if (s.share < LOW_SERVED_SHARE)
-      say(`${s.share < FAILED_SERVED_SHARE ? 'FAILED' : 'low'}: ${s.who}, ${s.what}`);
-  for (const x of r.violations.slice(0, 20)) say(`${x.at} s: ${x.rule}: ${x.what}`);
+      printLine(`${s.share < FAILED_SERVED_SHARE ? 'FAILED' : 'low'}: ${s.who}, ${s.what}`);
+  for (const violation of report.violations.slice(0, 20))
+    printLine(`${violation.at} s: ${violation.rule}: ${violation.what}`);
 }
 
-/** The command that plays load and faults on a cluster on this machine: load. */
+/** Adds the `load` command, which runs a scenario of load and faults against a cluster on this machine. */
 export function addLoadCommand(command: Command): void {
-  localOptions(
+  addLocalOptions(
     command
       .command('load <scenario>')
-      .description('play a scenario of load and faults on a cluster on this machine, and check the rules')
-      .option('--report <file>', 'write the report: .json, or .html for a page with plots')
+      .description(
+        'run a scenario of load and faults against a cluster on this machine, and check its invariants',
+      )
+      .option('--report <file>', 'write the report to a file: .json, or .html for a page with plots')
       .option('--json', 'print the report as JSON'),
     10,
   ).action(async (file: string, flags: LocalFlags & { report?: string; json?: boolean }) => {
@@ -58,18 +61,18 @@
     ]);
     const scenario = loadScenario(file);
     const { cluster, stop } = await startLocal(flags);
-    const live = createLogUpdate(process.stderr);
-    const load = new LoadRun(cluster, loadPlatform(flags.machines), scenario);
-    const report = await load.run(basename(file), flags.speed, (line) => {
-      if (process.stderr.isTTY) live(line);
+    const progress = createLogUpdate(process.stderr);
+    const run = new LoadRun(cluster, loadPlatform(flags.machines), scenario);
+    const report = await run.run(basename(file), flags.speed, (line) => {
+      if (process.stderr.isTTY) progress(line);
     });
-    live.done();
+    progress.done();
     await stop();
     if (flags.report?.endsWith('.html'))
       writeFileSync(flags.report, (await import('../load/page.js')).pageOf(report));
     else if (flags.report !== undefined) writeFileSync(flags.report, `${JSON.stringify(report, null, 1)}\n`);
-    if (flags.json) say(JSON.stringify(report));
-    else print(report);
+    if (flags.json) printLine(JSON.stringify(report));
+    else printReport(report);
     const lost = report.classes.some((c) => c.lost > 0);
     const unserved = report.served.some((s) => s.share < FAILED_SERVED_SHARE);
     process.exit(
--- a/src/cli/local.ts
+++ b/src/cli/local.ts
@@ -7,9 +7,9 @@
 import type { Platform } from '../emulator/platform.js';
 import { MOST_CONTROLLERS } from '../emulator/ports.js';
 import { loadJobs } from './files.js';
-import { EXIT, fail, say } from './output.js';
+import { EXIT, fail, printLine } from './output.js';
 
-/** The flags of `spartray local`. */
+/** Flags of the commands that start a cluster on this machine. */
 export interface LocalFlags {
   controllers: number;
   machines: string;
@@ -23,44 +23,57 @@
   condorTeam?: string;
 }
 
-/** A parser of a flag's value: a number in a range. */
-export function number(low: number, high: number, whole = true) {
+/** Returns a parser for a flag whose value is a number from `low` to `high`; an integer unless `whole` is false. */
+export function numberInRange(low: number, high: number, whole = true) {
   return (text: string) => {
-    const n = Number(text);
-    if (!(n >= low && n <= high) || (whole && !Number.isInteger(n)))
+    const value = Number(text);
+    if (!(value >= low && value <= high) || (whole && !Number.isInteger(value)))
       throw new InvalidArgumentError(`a number from ${low} to ${high}`);
-    return n;
+    return value;
   };
 }
 
-/** The flags of everything that starts a cluster on this machine. */
-export function localOptions(command: Command, speed: number): Command {
+/** Adds the flags of every command that starts a cluster on this machine; `speed` is the default of `--speed`. */
+export function addLocalOptions(command: Command, speed: number): Command {
   return command
-    .option('--controllers <n>', 'controller processes', number(1, MOST_CONTROLLERS), 3)
+    .option('--controllers <n>', 'number of controller processes', numberInRange(1, MOST_CONTROLLERS), 3)
     .option('--machines <file>', 'platform file: machine types, capacity, teams, limits', 'builtin')
-    .option('--speed <times>', 'so many times as fast as the time of day', number(1, 50, false), speed)
+    .option(
+      '--speed <times>',
+      'speed of the cluster clock as a multiple of real time',
+      numberInRange(1, 50, false),
+      speed,
+    )
     .option(
       '--data <dir>',
-      'settings, logs and the state that outlives the cluster (a temporary one if left out)',
+      'directory for settings, logs and persistent state (default: a temporary directory)',
+    )
+    .option(
+      '--port <port>',
+      'first port to use; the following ports are used as well',
+      numberInRange(1024, 60_000),
+      7700,
     )
-    .option('--port <port>', 'first of the ports that are used', number(1024, 60_000), 7700)
-    .option('--program <file>', 'the controllers’ program, to compare another version (this one if left out)')
-    .option('--standby', 'a warm standby for every shard')
+    .option('--program <file>', 'controller program, to compare another version (default: this version)')
+    .option('--standby', 'keep a warm standby for every shard')
     .option('--condor', 'serve HTCondor submit files as well')
-    .option('--condor-team <team>', 'the team of processes without an accounting group')
-    .option('--seed <n>', 'of all that is drawn', number(0, 2 ** 31), 1);
+    .option('--condor-team <team>', 'team of HTCondor processes without an accounting group')
+    .option('--seed <n>', 'seed of the random number generators', numberInRange(0, 2 ** 31), 1);
 }
 
-/** Starts a cluster of the platform file or of `sized`, and sees to it that nothing stays behind. */
+/**
+ * Starts a cluster on the platform of the flags, or on `platformOverride` when given. The cluster is stopped, and its
+ * data removed if the directory is temporary, when the start fails, on SIGINT or SIGTERM, and by the returned `stop`.
+ */
 export async function startLocal(
   flags: LocalFlags,
-  sized?: Platform,
+  platformOverride?: Platform,
 ): Promise<{ cluster: LocalCluster; stop: () => Promise<void> }> {
   const [{ LocalCluster }, { loadPlatform }] = await Promise.all([
     import('../emulator/local.js'),
     import('../emulator/platform.js'),
   ]);
-  const platform = sized ?? loadPlatform(flags.machines);
+  const platform = platformOverride ?? loadPlatform(flags.machines);
   const data = flags.data ?? mkdtempSync(join(tmpdir(), 'spartray-'));
   const cluster = new LocalCluster({
     platform,
@@ -75,7 +88,7 @@
       ...(flags.condor ? ['--condor', '--depot', `127.0.0.1:${flags.port + 1}`] : []),
       ...(flags.condorTeam === undefined ? [] : ['--condor-team', flags.condorTeam]),
     ],
-    onError: (what) => process.stderr.write(`spartray: ${what}\n`),
+    onError: (message) => process.stderr.write(`spartray: ${message}\n`),
   });
   const stop = async () => {
     await cluster.stop();
@@ -92,26 +105,26 @@
   return { cluster, stop };
 }
 
-/** The commands that run a cluster on this machine: local. */
+/** Adds the `local` command, which runs a cluster on this machine. */
 export function addLocalCommands(command: Command): void {
-  localOptions(
+  addLocalOptions(
     command
       .command('local')
-      .description('run a whole cluster on this machine: real controllers, emulated services and workers')
-      .option('--run <file>', 'submit the jobs of a file, wait until they are done, and end'),
+      .description('run a complete cluster on this machine: real controllers, emulated services and workers')
+      .option('--run <file>', 'submit the jobs of a file, wait until they are done, and exit'),
     1,
   ).action(async (flags: LocalFlags & { run?: string }) => {
-    // What cannot be read is said before anything is started.
-    const orders = flags.run === undefined ? null : loadJobs(flags.run);
+    // The job file is read first, so that an error in it is reported before anything is started.
+    const jobs = flags.run === undefined ? null : loadJobs(flags.run);
     const { cluster, stop } = await startLocal(flags);
-    say(`users        http://${cluster.users}    (--server, SPARTRAY_SERVER)`);
-    say(`descriptions http://${cluster.depot}    (--depot, SPARTRAY_DEPOT)`);
-    for (const c of cluster.controllers) say(`${c.node} http://${c.bind}`);
-    say(`machines     ${cluster.machines.size} up; ends with Ctrl-C`);
-    if (orders === null) return;
+    printLine(`users        http://${cluster.users}    (--server, SPARTRAY_SERVER)`);
+    printLine(`descriptions http://${cluster.depot}    (--depot, SPARTRAY_DEPOT)`);
+    for (const controller of cluster.controllers) printLine(`${controller.node} http://${controller.bind}`);
+    printLine(`machines     ${cluster.machines.size} up; ends with Ctrl-C`);
+    if (jobs === null) return;
     const { runJobs } = await import('./runfile.js');
-    const done = await runJobs(cluster, orders);
+    const allDone = await runJobs(cluster, jobs);
     await stop();
-    process.exit(done ? EXIT.ok : EXIT.failed);
+    process.exit(allDone ? EXIT.ok : EXIT.failed);
   });
 }
--- a/src/cli/output.ts
+++ b/src/cli/output.ts
@@ -1,8 +1,8 @@
-/** Exit codes of the commands, and what they print. */
+/** Exit codes and output functions of the commands. */
 
 import Table from 'cli-table3';
 
-/** What the commands end with. */
+/** Exit codes of the commands. */
 export const EXIT = { ok: 0, failed: 1, usage: 2, bind: 3, unreachable: 4 } as const;
 
 /** Reports an error on standard error and exits the process. */
@@ -12,11 +12,11 @@
 }
 
 /** Prints a line on standard output. */
-export function say(line: string): void {
+export function printLine(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
-const PLAIN = {
+const BORDERLESS = {
   top: '',
   'top-mid': '',
   'top-left': '',
@@ -34,16 +34,16 @@
   middle: '  ',
 };
 
-/** A table for people: columns under their heads, no lines. */
+/** Formats a table for people: columns under their headings, without borders. Columns of numbers are right-aligned. */
 export function table(head: string[], rows: (string | number)[][]): string {
-  const t = new Table({
+  const output = new Table({
     head,
-    chars: PLAIN,
+    chars: BORDERLESS,
     style: { head: [], border: [], 'padding-left': 0, 'padding-right': 0 },
     colAligns: head.map((_, i) => (rows.every((r) => typeof r[i] === 'number') ? 'right' : 'left')),
   });
-  for (const r of rows) t.push(r);
-  return t
+  for (const row of rows) output.push(row);
+  return output
     .toString()
     .split('\n')
     .map((line) => line.trimEnd())
--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -1,4 +1,4 @@
-/** A client for users: submits jobs with the retries that the protocol asks for, polls, waits and cancels. */
+/** User client: submits, polls, awaits and cancels jobs, with the retries that the protocol requires. */
 
 import { type Clock, pause } from '../clock/clock.js';
 import { InvalidInputError, UnreachableError } from '../errors/errors.js';
@@ -13,10 +13,10 @@
   writeJob,
 } from '../wire/users.js';
 
-/** Nobody could take the request within the time that users try for; nothing is known of what became of it. */
+/** No server completed the request within the retry period; whether the request took effect is unknown. */
 export class ClientUnreachableError extends UnreachableError {}
 
-/** Refused for good: 400 malformed, 404 unknown, 422 can never run. */
+/** The request was permanently rejected: 400 malformed, 404 unknown job, 422 a job that can never run. */
 export class RequestRejectedError extends InvalidInputError {
   constructor(
     readonly status: number,
@@ -26,34 +26,37 @@
   }
 }
 
-/** What emulated workers need to know of a job beside its specification. */
-export interface Upload {
-  /** How long a task truly runs, for emulated workers. */
+/** Parameters of a job for emulated workers, in addition to its specification. */
+export interface EmulationParameters {
+  /** Actual run time of each task, in seconds. */
   runS?: number | undefined;
-  /** Fails on every machine, for emulated workers. */
+  /** Whether the tasks fail on every machine. */
   fails?: boolean | undefined;
 }
 
-/** Where a client sends its requests, and for how long. */
+/** Servers of a client, and its retry period. */
 export interface ClientOptions {
-  /** `host:port` of controllers or of the load balancer before them; tried in turn. */
+  /**
+   * `host:port` of controllers or of the load balancer in front of them. The client uses one at a time, and moves to
+   * the next one after a request without a response.
+   */
   servers: readonly string[];
-  /** Where descriptions are uploaded for the workers; null where nothing is. */
+  /** `host:port` of the service from which workers fetch job descriptions; null when descriptions are not uploaded. */
   depot: string | null;
-  /** For how long a request is repeated, in seconds. */
+  /** Retry period of a request, in seconds. */
   retryS?: number;
-  /** Told of every answer, with how long it took. */
-  onAnswer?: (request: string, status: number, ms: number) => void;
+  /** Called after every request with its status, or 0 when there was no response, and its duration. */
+  onResponse?: (request: string, status: number, ms: number) => void;
 }
 
-const ANSWER_TIMEOUT_MS = 5000;
+const RESPONSE_TIMEOUT_MS = 5000;
 const POLL_TIMEOUT_MS = 2000;
 const POLL_INTERVAL_MS = 5000;
 const RETRY_DELAY_MS = 1000;
 const MAX_RETRY_AFTER_S = 30;
 const DEFAULT_RETRY_S = 60;
 
-/** A user of a cluster, over HTTP. Every method may be called at any time; retries use the same id. */
+/** Client of a cluster over HTTP. Methods may be called concurrently; retries of a request use the same job id. */
 export class SpartrayClient {
   private nextServer = 0;
 
@@ -64,99 +67,127 @@
   ) {}
 
   /**
-   * Uploads a job's description and submits it. Returns how it stands: `queued` when it was accepted now. Fails with
-   * `Rejected` (400, 422) or `Unreachable`.
+   * Uploads a job's description and submits it. Returns the status of the job, which is `queued` when this call had it
+   * accepted. Throws `RequestRejectedError` (400, 422) or `ClientUnreachableError`.
    */
-  async submit(spec: JobSpec, upload: Upload = {}): Promise<JobView> {
-    await this.upload(spec, upload);
-    const answer = await this.requestUntil('POST', USER_PATHS.jobs, writeJob(spec), [200, 201, 400, 422]);
-    return this.view(answer);
+  async submit(spec: JobSpec, emulation: EmulationParameters = {}): Promise<JobView> {
+    await this.uploadDescription(spec, emulation);
+    const response = await this.requestWithRetries(
+      'POST',
+      USER_PATHS.jobs,
+      writeJob(spec),
+      [200, 201, 400, 422],
+    );
+    return this.viewOf(response);
   }
 
-  /** Puts a description where workers fetch it. */
-  async upload(spec: JobSpec, upload: Upload): Promise<void> {
+  /**
+   * Uploads a description to the service from which workers fetch it. Throws `RequestRejectedError` (400) or
+   * `ClientUnreachableError`.
+   */
+  async uploadDescription(spec: JobSpec, emulation: EmulationParameters): Promise<void> {
     const { depot } = this.options;
     if (depot === null) return;
-    const body = { job: writeJob(spec), ...upload };
-    const until = this.clock.now() + (this.options.retryS ?? DEFAULT_RETRY_S) * 1000;
+    const body = { job: writeJob(spec), ...emulation };
+    const deadline = this.clock.now() + (this.options.retryS ?? DEFAULT_RETRY_S) * 1000;
     for (;;) {
-      const answer = await this.requestOnce(depot, 'PUT', `/jobs/${spec.id}`, body, ANSWER_TIMEOUT_MS);
-      if (answer?.status === 200) return;
-      if (answer?.status === 400) throw new RequestRejectedError(400, errorOf(answer));
-      if (this.clock.now() >= until) throw new ClientUnreachableError('the description cannot be uploaded');
+      const response = await this.requestOnce(depot, 'PUT', `/jobs/${spec.id}`, body, RESPONSE_TIMEOUT_MS);
+      if (response?.status === 200) return;
+      if (response?.status === 400) throw new RequestRejectedError(400, errorText(response));
+      if (this.clock.now() >= deadline)
+        throw new ClientUnreachableError('the description cannot be uploaded');
       await pause(this.clock, RETRY_DELAY_MS);
     }
   }
 
-  /** How a job stands; null when it was never accepted. Fails with `Unreachable`. */
+  /** Returns the status of a job, or null when it was never accepted. Throws `ClientUnreachableError`. */
   async status(id: string): Promise<JobView | null> {
-    const path = pathOf(id);
-    const answer = await this.requestUntil('GET', path, null, [200, 404], POLL_TIMEOUT_MS);
-    return answer.status === 404 ? null : this.view(answer);
+    const path = jobPath(id);
+    const response = await this.requestWithRetries('GET', path, null, [200, 404], POLL_TIMEOUT_MS);
+    return response.status === 404 ? null : this.viewOf(response);
   }
 
-  /** Asks once; undefined when there was no answer to go by. */
+  /**
+   * Requests the status of a job once, without retries. Returns null when it was never accepted, and undefined when
+   * there was no usable response.
+   */
   async poll(id: string): Promise<JobView | null | undefined> {
-    const path = pathOf(id);
-    const answer = await this.requestOnce(this.server(), 'GET', path, null, POLL_TIMEOUT_MS);
-    if (answer?.status === 404) return null;
-    return answer?.status === 200 ? (readStatus(answer.body) ?? undefined) : undefined;
+    const path = jobPath(id);
+    const response = await this.requestOnce(this.currentServer(), 'GET', path, null, POLL_TIMEOUT_MS);
+    if (response?.status === 404) return null;
+    return response?.status === 200 ? (readStatus(response.body) ?? undefined) : undefined;
   }
 
-  /** Asks until a job is done or cancelled, or the time is over; returns how it stood last. */
+  /**
+   * Polls a job until it is done, cancelled or unknown, or until `timeoutS` seconds have passed. Returns the last
+   * status; `onPoll` is called with each earlier one. Throws `ClientUnreachableError`.
+   */
   async wait(
     id: string,
-    withinS = Number.POSITIVE_INFINITY,
-    seen?: (v: JobView) => void,
+    timeoutS = Number.POSITIVE_INFINITY,
+    onPoll?: (view: JobView) => void,
   ): Promise<JobView | null> {
-    const until = this.clock.now() + withinS * 1000;
+    const deadline = this.clock.now() + timeoutS * 1000;
     for (;;) {
       const view = await this.status(id);
-      if (!view || view.status === 'done' || view.status === 'cancelled' || this.clock.now() >= until)
+      if (!view || view.status === 'done' || view.status === 'cancelled' || this.clock.now() >= deadline)
         return view;
-      seen?.(view);
-      await pause(this.clock, Math.max(0, Math.min(POLL_INTERVAL_MS, until - this.clock.now())));
+      onPoll?.(view);
+      await pause(this.clock, Math.max(0, Math.min(POLL_INTERVAL_MS, deadline - this.clock.now())));
     }
   }
 
-  /** Cancels a job; it stays `done` when it was. Fails with `Rejected` (404) or `Unreachable`. */
+  /**
+   * Cancels a job and returns its status; a job that is already done stays `done`. Throws `RequestRejectedError` (404)
+   * or `ClientUnreachableError`.
+   */
   async cancel(id: string): Promise<JobView> {
-    const path = `${pathOf(id)}/${USER_PATHS.cancel}`;
-    return this.view(await this.requestUntil('POST', path, {}, [200, 404]));
+    const path = `${jobPath(id)}/${USER_PATHS.cancel}`;
+    return this.viewOf(await this.requestWithRetries('POST', path, {}, [200, 404]));
   }
 
-  /** Unfinished jobs whose ids begin with `under`, in the order of ids. */
-  async list(under = ''): Promise<ListedJob[]> {
-    const all: ListedJob[] = [];
+  /**
+   * Returns the unfinished jobs whose ids begin with `prefix`, ordered by id. Throws `RequestRejectedError` (400) or
+   * `ClientUnreachableError`.
+   */
+  async list(prefix = ''): Promise<ListedJob[]> {
+    const jobs: ListedJob[] = [];
     for (let after = ''; ; ) {
-      const query = new URLSearchParams({ under, after });
-      const answer = await this.requestUntil('GET', `${USER_PATHS.jobs}?${query}`, null, [200, 400]);
-      const page = answer.status === 200 ? readJobList(answer.body) : null;
-      if (!page) throw new RequestRejectedError(answer.status, errorOf(answer));
-      all.push(...page.jobs);
+      const query = new URLSearchParams({ under: prefix, after });
+      const response = await this.requestWithRetries('GET', `${USER_PATHS.jobs}?${query}`, null, [200, 400]);
+      const page = response.status === 200 ? readJobList(response.body) : null;
+      if (!page) throw new RequestRejectedError(response.status, errorText(response));
+      jobs.push(...page.jobs);
       const last = page.jobs.at(-1);
-      if (!page.more || !last) return all;
+      if (!page.more || !last) return jobs;
       after = last.id;
     }
   }
 
-  /** Sends a request until one of these statuses answers it, as users do. Fails with `Unreachable`. */
-  async requestUntil(
+  /**
+   * Repeats a request until the response has one of the final statuses, waiting between attempts as long as the
+   * `Retry-After` header asks, but at least `RETRY_DELAY_MS` and at most `MAX_RETRY_AFTER_S`. Throws
+   * `ClientUnreachableError` once the next attempt would start after the retry period.
+   */
+  async requestWithRetries(
     method: string,
     path: string,
     body: object | null,
-    final: readonly number[],
-    answerMs = ANSWER_TIMEOUT_MS,
+    finalStatuses: readonly number[],
+    timeoutMs = RESPONSE_TIMEOUT_MS,
   ): Promise<HttpAnswer> {
-    const until = this.clock.now() + (this.options.retryS ?? DEFAULT_RETRY_S) * 1000;
-    let why = 'no answer';
+    const deadline = this.clock.now() + (this.options.retryS ?? DEFAULT_RETRY_S) * 1000;
+    let failure = 'no answer';
     for (;;) {
-      const answer = await this.requestOnce(this.server(), method, path, body, answerMs);
-      if (answer && final.includes(answer.status)) return answer;
-      if (answer) why = `${answer.status} ${errorOf(answer)}`;
-      const wait = Math.max(RETRY_DELAY_MS, Math.min(MAX_RETRY_AFTER_S, retryAfter(answer)) * 1000);
-      if (this.clock.now() + wait > until) throw new ClientUnreachableError(why);
-      await pause(this.clock, wait);
+      const response = await this.requestOnce(this.currentServer(), method, path, body, timeoutMs);
+      if (response && finalStatuses.includes(response.status)) return response;
+      if (response) failure = `${response.status} ${errorText(response)}`;
+      const delayMs = Math.max(
+        RETRY_DELAY_MS,
+        Math.min(MAX_RETRY_AFTER_S, retryAfterSeconds(response)) * 1000,
+      );
+      if (this.clock.now() + delayMs > deadline) throw new ClientUnreachableError(failure);
+      await pause(this.clock, delayMs);
     }
   }
 
@@ -165,42 +196,42 @@
     method: string,
     path: string,
     body: object | null,
-    answerMs: number,
+    timeoutMs: number,
   ): Promise<HttpAnswer | null> {
-    const sent = this.clock.now();
-    let answer: HttpAnswer | null = null;
+    const sentAt = this.clock.now();
+    let response: HttpAnswer | null = null;
     try {
-      answer = await this.http.request(addr, method, path, body, answerMs);
+      response = await this.http.request(addr, method, path, body, timeoutMs);
     } catch (error) {
       if (!(error instanceof HttpRequestError)) throw error;
       this.nextServer++;
     }
-    this.options.onAnswer?.(`${method} ${path}`, answer?.status ?? 0, this.clock.now() - sent);
-    return answer;
+    this.options.onResponse?.(`${method} ${path}`, response?.status ?? 0, this.clock.now() - sentAt);
+    return response;
   }
 
-  private server(): string {
+  private currentServer(): string {
     return this.options.servers[this.nextServer % this.options.servers.length]!;
   }
 
-  private view(answer: HttpAnswer): JobView {
-    const view = answer.status < 300 ? readStatus(answer.body) : null;
-    if (!view) throw new RequestRejectedError(answer.status, errorOf(answer));
+  private viewOf(response: HttpAnswer): JobView {
+    const view = response.status < 300 ? readStatus(response.body) : null;
+    if (!view) throw new RequestRejectedError(response.status, errorText(response));
     return view;
   }
 }
 
-function pathOf(id: string): string {
+function jobPath(id: string): string {
   return `${USER_PATHS.jobs}/${encodeURIComponent(id)}`;
 }
 
-function retryAfter(answer: HttpAnswer | null): number {
-  const seconds = Number(answer?.headers.get('retry-after') ?? 0);
+function retryAfterSeconds(response: HttpAnswer | null): number {
+  const seconds = Number(response?.headers.get('retry-after') ?? 0);
   return Number.isFinite(seconds) ? seconds : 0;
 }
 
-/** What an answer says is wrong. */
-function errorOf(answer: HttpAnswer): string {
-  const error = (answer.body as { error?: unknown } | null)?.error;
+/** Returns the error text of a response. */
+function errorText(response: HttpAnswer): string {
+  const error = (response.body as { error?: unknown } | null)?.error;
   return typeof error === 'string' ? error : 'no reason given';
 }
--- a/src/client/condor.ts
+++ b/src/client/condor.ts
@@ -2,7 +2,7 @@
 import { type AnalysisView, type ClusterView, CONDOR_PATH, type ProcView } from '../wire/condor.js';
 import { RequestRejectedError, type SpartrayClient } from './client.js';
 
-/** A submit file that cannot be read, by line and column. */
+/** The cluster rejected a submit file because of an error at this line and column. */
 export class SubmitFileRejectedError extends RequestRejectedError {
   constructor(
     message: string,
@@ -13,17 +13,20 @@
   }
 }
 
-/** HTCondor's submit files, through a client's retries. Failures are those of the client, and `SubmitRejected`. */
+/**
+ * Client for clusters of HTCondor processes, with the retries of `SpartrayClient`. Methods throw the errors of that
+ * client, and `SubmitFileRejectedError`.
+ */
 export class CondorClient {
   constructor(private readonly client: SpartrayClient) {}
 
-  /** Submits a file; `rows` has the items of queue statements whose items are in files, by number. */
+  /** Submits a file; `rows` holds the items of the queue statements that read them from files, by statement index. */
   async submit(
     text: string,
     rows: Record<string, string[]>,
     user: string,
   ): Promise<{ cluster: number; procs: number; warnings: string[] }> {
-    // The same submission however often it is repeated.
+    // The id is the same in all retries, so that a repeated request does not submit the file twice.
     const body = { submission: randomUUID(), text, rows, user };
     return (await this.request('POST', CONDOR_PATH, body)) as {
       cluster: number;
@@ -32,27 +35,27 @@
     };
   }
 
-  async clusters(over = false): Promise<ClusterView[]> {
+  async clusters(includeFinished = false): Promise<ClusterView[]> {
     return (
-      (await this.request('GET', `${CONDOR_PATH}${over ? '?over=1' : ''}`, null)) as {
+      (await this.request('GET', `${CONDOR_PATH}${includeFinished ? '?over=1' : ''}`, null)) as {
         clusters: ClusterView[];
       }
     ).clusters;
   }
 
   async procs(cluster: number): Promise<ProcView[]> {
-    const all: ProcView[] = [];
+    const procs: ProcView[] = [];
     for (;;) {
       const page = (await this.request(
         'GET',
-        `${CONDOR_PATH}/${cluster}/procs?from=${all.length}`,
+        `${CONDOR_PATH}/${cluster}/procs?from=${procs.length}`,
         null,
       )) as {
         procs: ProcView[];
         more: boolean;
       };
-      all.push(...page.procs);
-      if (!page.more) return all;
+      procs.push(...page.procs);
+      if (!page.more) return procs;
     }
   }
 
@@ -64,25 +67,30 @@
     )) as AnalysisView;
   }
 
-  /** Holds, releases or removes processes; returns how many that changed. */
+  /**
+   * Holds, releases or removes the processes of a cluster that the selection matches. Returns the number of processes
+   * that the action changed.
+   */
   async act(
-    act: 'hold' | 'release' | 'remove',
+    action: 'hold' | 'release' | 'remove',
     cluster: number,
-    which: { procs?: number[]; constraint?: string; reason?: string },
+    selection: { procs?: number[]; constraint?: string; reason?: string },
   ): Promise<number> {
-    return ((await this.request('POST', `${CONDOR_PATH}/${cluster}/${act}`, which)) as { changed: number })
-      .changed;
+    return (
+      (await this.request('POST', `${CONDOR_PATH}/${cluster}/${action}`, selection)) as { changed: number }
+    ).changed;
   }
 
   private async request(method: string, path: string, body: object | null): Promise<unknown> {
-    const answer = await this.client.requestUntil(method, path, body, [200, 201, 400, 404, 405, 413]);
-    if (answer.status < 300) return answer.body;
-    const told = (answer.body ?? {}) as { error?: string; line?: number; column?: number };
-    const error = told.error ?? 'no reason given';
-    if (told.line !== undefined) throw new SubmitFileRejectedError(error, told.line, told.column ?? 1);
+    const response = await this.client.requestWithRetries(method, path, body, [200, 201, 400, 404, 405, 413]);
+    if (response.status < 300) return response.body;
+    const rejection = (response.body ?? {}) as { error?: string; line?: number; column?: number };
+    const error = rejection.error ?? 'no reason given';
+    if (rejection.line !== undefined)
+      throw new SubmitFileRejectedError(error, rejection.line, rejection.column ?? 1);
     throw new RequestRejectedError(
-      answer.status,
-      answer.status === 413 ? 'more than 64 KiB with its items' : error,
+      response.status,
+      response.status === 413 ? 'more than 64 KiB with its items' : error,
     );
   }
 }
--- a/src/client/jobfile.ts
+++ b/src/client/jobfile.ts
@@ -1,22 +1,22 @@
-/** Files of jobs that users submit. */
+/** Parser of the job files that users submit. */
 
 import { randomUUID } from 'node:crypto';
 import { parse, TomlError } from 'smol-toml';
 import * as v from 'valibot';
 import { InvalidInputError } from '../errors/errors.js';
 import { type JobSpec, readJob } from '../wire/users.js';
-import type { Upload } from './client.js';
+import type { EmulationParameters } from './client.js';
 
-/** A file of jobs that cannot be used; the message says where and why. */
+/** A job file that cannot be used; the message gives the place and the reason. */
 export class JobFileError extends InvalidInputError {}
 
-/** One job of a file. */
+/** A job of a file: its specification and its parameters for emulated workers. */
 export interface JobFileEntry {
   spec: JobSpec;
-  upload: Upload;
+  upload: EmulationParameters;
 }
 
-/** What a submission has when its file does not say otherwise. */
+/** Values of the fields of a submission that a job file leaves out. */
 const DEFAULTS = {
   jobClass: 'default',
   shape: 'sweep',
@@ -36,24 +36,29 @@
   dueS: null,
 };
 
-const extra = v.object({
+const emulationFields = v.object({
   runS: v.optional(v.pipe(v.number(), v.gtValue(0))),
   fails: v.optional(v.boolean()),
 });
 
 /**
- * Jobs from a file: TOML with `[[jobs]]` or one job at the top, or JSON with one job or a list. The fields are those of
- * a submission, and `runS` and `fails` for emulated workers; `id` is drawn when it is not there.
+ * Parses the jobs of a file: TOML with `[[jobs]]` or with one job at the top level, or JSON with one job, a list of
+ * jobs or an object whose `jobs` is such a list. The fields are those of a submission, and `runS` and `fails` for
+ * emulated workers. A job without `id` gets a random one. Throws `JobFileError`.
  */
 export function readJobFile(text: string, format: 'toml' | 'json'): JobFileEntry[] {
-  const raw = format === 'json' ? fromJson(text) : fromToml(text);
-  const jobs = Array.isArray(raw) ? raw : isObject(raw) && Array.isArray(raw.jobs) ? raw.jobs : [raw];
-  if (jobs.length === 0) throw new JobFileError('no job in it');
+  const parsed = format === 'json' ? parseJson(text) : parseToml(text);
+  const jobs = Array.isArray(parsed)
+    ? parsed
+    : isObject(parsed) && Array.isArray(parsed.jobs)
+      ? parsed.jobs
+      : [parsed];
+  if (jobs.length === 0) throw new JobFileError('the file contains no jobs');
   return jobs.map((job: unknown, i) => {
     if (!isObject(job)) throw new JobFileError(`job ${i + 1}: not an object`);
     const spec = readJob({ ...DEFAULTS, id: `wk-${randomUUID()}`, ...job });
     if (typeof spec === 'string') throw new JobFileError(`job ${i + 1}: ${spec}`);
-    const upload = v.safeParse(extra, job);
+    const upload = v.safeParse(emulationFields, job);
     if (!upload.success)
       throw new JobFileError(`job ${i + 1}: ${v.getDotPath(upload.issues[0])}: ${upload.issues[0].message}`);
     return { spec, upload: upload.output };
@@ -64,7 +69,7 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-function fromJson(text: string): unknown {
+function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch (error) {
@@ -72,7 +77,7 @@
   }
 }
 
-function fromToml(text: string): unknown {
+function parseToml(text: string): unknown {
   try {
     return parse(text);
   } catch (error) {
--- a/src/tls/certs.ts
+++ b/src/tls/certs.ts
@@ -1,22 +1,22 @@
-/** Makes certificates for links to partner clusters (`spartray certs`). */
+/** Issues certificates for links to partner clusters (`spartray certs`). */
 
-// The certificate library needs it to be loaded first.
+// @peculiar/x509 requires this polyfill to be loaded first.
 import 'reflect-metadata';
 import { randomBytes, webcrypto } from 'node:crypto';
 import * as x509 from '@peculiar/x509';
 
 const ALGORITHM = { name: 'ECDSA', namedCurve: 'P-256', hash: 'SHA-256' } as const;
 
-/** A key and its certificate, in PEM. */
-export interface Issued {
+/** Private key and its certificate, in PEM. */
+export interface KeyAndCertificate {
   key: string;
   cert: string;
   /** Serial number of the certificate. */
   serial: string;
 }
 
-/** One that signs other certificates. */
-export interface Issuer extends Issued {
+/** Certificate authority: a key and a certificate that sign other certificates. */
+export interface Issuer extends KeyAndCertificate {
   keys: CryptoKeyPair;
   certificate: x509.X509Certificate;
 }
@@ -31,14 +31,14 @@
   return x509.PemConverter.encode(bytes, 'PRIVATE KEY');
 }
 
-/** An issuer for trials. */
-export async function makeIssuer(name: string, from: Date, until: Date): Promise<Issuer> {
+/** Creates a self-signed certificate authority for tests. */
+export async function makeIssuer(name: string, validFrom: Date, validUntil: Date): Promise<Issuer> {
   const keys = (await webcrypto.subtle.generateKey(ALGORITHM, true, ['sign', 'verify'])) as CryptoKeyPair;
   const certificate = await x509.X509CertificateGenerator.createSelfSigned({
     serialNumber: '01',
     name: `CN=${name}`,
-    notBefore: from,
-    notAfter: until,
+    notBefore: validFrom,
+    notAfter: validUntil,
     keys,
     signingAlgorithm: ALGORITHM,
     extensions: [
@@ -55,7 +55,7 @@
   };
 }
 
-/** An issuer made before, from its key and certificate in PEM. */
+/** Restores a certificate authority from its key and certificate in PEM. */
 export async function restoreIssuer(key: string, cert: string): Promise<Issuer> {
   const certificate = new x509.X509Certificate(cert);
   const bytes = x509.PemConverter.decodeFirst(key);
@@ -65,23 +65,26 @@
   return { keys, certificate, key, cert, serial: certificate.serialNumber };
 }
 
-/** The certificate of a cluster, for both ends of a link. `serial` is hexadecimal; drawn when null. */
-export async function issue(
+/**
+ * Issues a certificate for a cluster, valid as server and as client certificate of a link. `serialNumber` is
+ * hexadecimal; null draws a random one.
+ */
+export async function issueCertificate(
   issuer: Issuer,
   cluster: string,
   serialNumber: string | null,
-  from: Date,
-  until: Date,
-): Promise<Issued> {
-  // The first digit keeps it positive.
+  validFrom: Date,
+  validUntil: Date,
+): Promise<KeyAndCertificate> {
+  // A first digit below 8 keeps the serial number positive.
   const serial = serialNumber ?? `4${randomBytes(15).toString('hex')}`;
   const keys = (await webcrypto.subtle.generateKey(ALGORITHM, true, ['sign', 'verify'])) as CryptoKeyPair;
   const certificate = await x509.X509CertificateGenerator.create({
     serialNumber: serial,
     subject: `CN=${cluster}`,
     issuer: issuer.certificate.subject,
-    notBefore: from,
-    notAfter: until,
+    notBefore: validFrom,
+    notAfter: validUntil,
     publicKey: keys.publicKey,
     signingKey: issuer.keys.privateKey,
     signingAlgorithm: ALGORITHM,
--- a/src/tls/credentials.ts
+++ b/src/tls/credentials.ts
@@ -1,46 +1,46 @@
-/** Keys and certificates of a cluster, and which partners' certificates are accepted. */
+/** Loads the key and certificates of a cluster, and checks the certificates of partner clusters. */
 
 import { createPrivateKey, X509Certificate } from 'node:crypto';
 import { readFileSync, statSync } from 'node:fs';
 import type { Clock, Timer } from '../clock/clock.js';
 import { InvalidInputError } from '../errors/errors.js';
 
-/** Keys or certificates that cannot be used; the message names the file. */
+/** A key or certificate cannot be used; the message names the file. */
 export class TlsError extends InvalidInputError {}
 
-/** Paths of PEM files. */
+/** Paths of the credential files; key and certificates are in PEM. */
 export interface TlsFiles {
   key: string;
   cert: string;
-  /** Issuers whose certificates are trusted. */
+  /** Certificate authorities that are trusted. */
   ca: string;
-  /** Serial numbers, one a line, that are trusted no more; null for none. */
+  /** File of the serial numbers of revoked certificates, one per line; null for none. */
   revoked: string | null;
 }
 
-/** The contents of the files, checked. */
+/** Validated contents of the credential files. */
 export interface Credentials {
   key: string;
   cert: string;
   ca: string;
   revoked: ReadonlySet<string>;
-  /** The cluster that the certificate names. */
+  /** Name of the cluster in the certificate. */
   cluster: string;
-  /** Milliseconds since the epoch. */
+  /** End of the validity of the certificate, in milliseconds since the epoch. */
   expiresAt: number;
 }
 
-const NAME = /URI:spartray:\/\/([A-Za-z0-9._-]{1,64})(?:,|$)/;
-const LOOK_MS = 5000;
-const WARN_MS = 14 * 86_400_000;
-const WARN_AGAIN_MS = 3_600_000;
+const CLUSTER_URI = /URI:spartray:\/\/([A-Za-z0-9._-]{1,64})(?:,|$)/;
+const FILE_CHECK_INTERVAL_MS = 5000;
+const EXPIRY_WARNING_MS = 14 * 86_400_000;
+const EXPIRY_WARNING_INTERVAL_MS = 3_600_000;
 
-/** The cluster that a certificate names, as `spartray://NAME` among its alternative names; null when it names none. */
-export function clusterOf(cert: X509Certificate): string | null {
-  return NAME.exec(cert.subjectAltName ?? '')?.[1] ?? null;
+/** Returns the cluster name of a certificate, from the alternative name `spartray://NAME`; null when there is none. */
+export function clusterNameOf(cert: X509Certificate): string | null {
+  return CLUSTER_URI.exec(cert.subjectAltName ?? '')?.[1] ?? null;
 }
 
-function read(path: string): string {
+function readCredentialFile(path: string): string {
   try {
     return readFileSync(path, 'utf8');
   } catch (error) {
@@ -48,96 +48,107 @@
   }
 }
 
-/** Reads and checks everything; `now` is in milliseconds since the epoch. Fails with `TlsError`. */
+/**
+ * Reads the files, and checks that the certificate matches the key, names a cluster, is valid at `now` (milliseconds
+ * since the epoch) and was issued by the certificate authority. Throws `TlsError`.
+ */
 export function loadCredentials(files: TlsFiles, now: number): Credentials {
-  const [key, cert, ca] = [read(files.key), read(files.cert), read(files.ca)];
-  const parse = (path: string, text: string) => {
+  const [key, cert, ca] = [
+    readCredentialFile(files.key),
+    readCredentialFile(files.cert),
+    readCredentialFile(files.ca),
+  ];
+  const parseCertificate = (path: string, text: string) => {
     try {
       return new X509Certificate(text);
     } catch {
       throw new TlsError(`${path}: not a certificate in PEM`);
     }
   };
-  const own = parse(files.cert, cert);
-  const issuer = parse(files.ca, ca);
-  let fits: boolean;
+  const ownCertificate = parseCertificate(files.cert, cert);
+  const issuer = parseCertificate(files.ca, ca);
+  let keyMatches: boolean;
   try {
-    fits = own.checkPrivateKey(createPrivateKey(key));
+    keyMatches = ownCertificate.checkPrivateKey(createPrivateKey(key));
   } catch {
     throw new TlsError(`${files.key}: not a private key in PEM`);
   }
-  if (!fits) throw new TlsError(`${files.key}: not the key of ${files.cert}`);
-  const cluster = clusterOf(own);
+  if (!keyMatches) throw new TlsError(`${files.key}: not the key of ${files.cert}`);
+  const cluster = clusterNameOf(ownCertificate);
   if (cluster === null) throw new TlsError(`${files.cert}: names no cluster (spartray://NAME)`);
-  const expiresAt = Date.parse(own.validTo);
-  if (expiresAt <= now) throw new TlsError(`${files.cert}: expired on ${own.validTo}`);
-  if (Date.parse(own.validFrom) > now) throw new TlsError(`${files.cert}: not valid before ${own.validFrom}`);
-  if (!own.checkIssued(issuer)) throw new TlsError(`${files.cert}: not issued by ${files.ca}`);
-  const revoked = files.revoked === null ? [] : read(files.revoked).split(/\r?\n/);
+  const expiresAt = Date.parse(ownCertificate.validTo);
+  if (expiresAt <= now) throw new TlsError(`${files.cert}: expired on ${ownCertificate.validTo}`);
+  if (Date.parse(ownCertificate.validFrom) > now)
+    throw new TlsError(`${files.cert}: not valid before ${ownCertificate.validFrom}`);
+  if (!ownCertificate.checkIssued(issuer)) throw new TlsError(`${files.cert}: not issued by ${files.ca}`);
+  const revokedLines = files.revoked === null ? [] : readCredentialFile(files.revoked).split(/\r?\n/);
   return {
     key,
     cert,
     ca,
-    revoked: new Set(revoked.map((l) => serial(l.replace(/#.*/, ''))).filter((l) => l !== '')),
+    revoked: new Set(
+      revokedLines.map((line) => normalizeSerial(line.replace(/#.*/, ''))).filter((line) => line !== ''),
+    ),
     cluster,
     expiresAt,
   };
 }
 
-function serial(text: string): string {
+function normalizeSerial(text: string): string {
   return text.replace(/[\s:]/g, '').replace(/^0+/, '').toUpperCase();
 }
 
 /**
- * Why a partner's certificate is refused; null when it is good. `doubt` is what the TLS library has against it, which
- * knows its issuer and its dates; the name and the list are up to us.
+ * Returns the reason for which a partner's certificate is rejected, or null when it is accepted. `verificationError`
+ * is the error code of the TLS library, which verifies issuer and validity period; null when it found no error. The
+ * TLS library checks neither the cluster name nor the revocation list, so this function does.
  */
-export function refusal(
+export function rejectionReason(
   cert: X509Certificate | undefined,
-  doubt: string | null,
+  verificationError: string | null,
   expected: ReadonlySet<string>,
-  c: Credentials,
+  credentials: Credentials,
 ): string | null {
   if (!cert) return 'no certificate';
-  if (doubt === 'CERT_HAS_EXPIRED') return 'expired';
-  if (doubt === 'CERT_NOT_YET_VALID') return 'not yet valid';
-  if (doubt !== null) return `unknown issuer (${doubt})`;
-  const cluster = clusterOf(cert);
+  if (verificationError === 'CERT_HAS_EXPIRED') return 'expired';
+  if (verificationError === 'CERT_NOT_YET_VALID') return 'not yet valid';
+  if (verificationError !== null) return `unknown issuer (${verificationError})`;
+  const cluster = clusterNameOf(cert);
   if (cluster === null) return 'names no cluster';
   if (!expected.has(cluster)) return `wrong name (${cluster})`;
-  return c.revoked.has(serial(cert.serialNumber)) ? 'revoked' : null;
+  return credentials.revoked.has(normalizeSerial(cert.serialNumber)) ? 'revoked' : null;
 }
 
-/** What a credential store calls. */
+/** Callbacks of a credential store. */
 export interface CredentialHooks {
-  /** New files are in use from now on. */
-  changed(c: Credentials): void;
-  /** Files changed and cannot be used: what was loaded before goes on. */
-  failed(why: string): void;
-  /** The certificate ends soon, or has. */
-  ends(leftMs: number): void;
+  /** Called after changed files were loaded and took effect. */
+  onReloaded(credentials: Credentials): void;
+  /** Called when changed files cannot be used; the credentials loaded before stay in effect. */
+  onReloadFailed(reason: string): void;
+  /** Called at most once an hour when the certificate expires soon or has expired (`remainingMs` is then negative). */
+  onExpiryNear(remainingMs: number): void;
 }
 
-/** Credentials that are read again when their files change, without a restart. */
+/** Credentials that are reloaded when their files change, without a restart. */
 export class CredentialStore {
   current: Credentials;
-  private seen: string;
+  private loadedFingerprint: string;
   private warnedAt = Number.NEGATIVE_INFINITY;
   private timer: Timer | null = null;
 
-  /** Fails with `TlsError` when the files cannot be used at the start. */
+  /** Throws `TlsError` when the files cannot be used. */
   constructor(
     private readonly clock: Clock,
     private readonly files: TlsFiles,
     private readonly hooks: CredentialHooks,
   ) {
-    this.seen = this.stamp();
+    this.loadedFingerprint = this.fileFingerprint();
     this.current = loadCredentials(files, clock.wall());
-    this.look();
+    this.checkFiles();
   }
 
-  /** How long the certificate is still good for, in seconds: a metric. */
-  get leftS(): number {
+  /** Remaining validity of the certificate in seconds, for a metric. */
+  get remainingValidityS(): number {
     return (this.current.expiresAt - this.clock.wall()) / 1000;
   }
 
@@ -145,13 +156,13 @@
     this.timer?.cancel();
   }
 
-  private stamp(): string {
+  private fileFingerprint(): string {
     const { key, cert, ca, revoked } = this.files;
     return [key, cert, ca, ...(revoked === null ? [] : [revoked])]
       .map((path) => {
         try {
-          const s = statSync(path);
-          return `${s.mtimeMs} ${s.size} ${s.ino}`;
+          const stats = statSync(path);
+          return `${stats.mtimeMs} ${stats.size} ${stats.ino}`;
         } catch {
           return 'gone';
         }
@@ -159,23 +170,23 @@
       .join();
   }
 
-  private look(): void {
-    const stamp = this.stamp();
-    if (stamp !== this.seen) {
-      this.seen = stamp;
+  private checkFiles(): void {
+    const fingerprint = this.fileFingerprint();
+    if (fingerprint !== this.loadedFingerprint) {
+      this.loadedFingerprint = fingerprint;
       try {
         this.current = loadCredentials(this.files, this.clock.wall());
-        this.hooks.changed(this.current);
+        this.hooks.onReloaded(this.current);
       } catch (error) {
         if (!(error instanceof TlsError)) throw error;
-        this.hooks.failed(error.message);
+        this.hooks.onReloadFailed(error.message);
       }
     }
-    const left = this.current.expiresAt - this.clock.wall();
-    if (left < WARN_MS && this.clock.now() - this.warnedAt >= WARN_AGAIN_MS) {
+    const remainingMs = this.current.expiresAt - this.clock.wall();
+    if (remainingMs < EXPIRY_WARNING_MS && this.clock.now() - this.warnedAt >= EXPIRY_WARNING_INTERVAL_MS) {
       this.warnedAt = this.clock.now();
-      this.hooks.ends(left);
+      this.hooks.onExpiryNear(remainingMs);
     }
-    this.timer = this.clock.after(LOOK_MS, () => this.look());
+    this.timer = this.clock.after(FILE_CHECK_INTERVAL_MS, () => this.checkFiles());
   }
 }
--- a/src/tls/partnerlink.ts
+++ b/src/tls/partnerlink.ts
@@ -1,72 +1,93 @@
-/** The end of a link that sends requests to a partner cluster. */
+/** Client end of a link, which sends requests to a partner cluster. */
 
 import tls from 'node:tls';
 import type { Clock, Timer } from '../clock/clock.js';
 import { UnreachableError } from '../errors/errors.js';
 import { encodeFrame, FrameReader, type PeerMessage } from '../peer/frames.js';
-import { type Credentials, refusal } from './credentials.js';
-import { certOf, context, doubtOf, LINK_LIMITS, type LinkLimits, PARTNER_VERSION } from './links.js';
+import { type Credentials, rejectionReason } from './credentials.js';
+import {
+  LINK_LIMITS,
+  type LinkLimits,
+  PARTNER_VERSION,
+  peerCertificateOf,
+  secureContextOptions,
+  verificationErrorOf,
+} from './links.js';
 
-/** A partner that does not answer, cannot be reached, or is not who it should be. */
-export class PartnerAway extends UnreachableError {}
+/** A partner does not answer, cannot be reached, presents an unacceptable certificate, or answers with an error. */
+export class PartnerUnavailableError extends UnreachableError {}
 
 interface PendingRequest {
-  resolve: (answer: unknown) => void;
+  resolve: (response: unknown) => void;
   reject: (error: Error) => void;
   timer: Timer;
 }
 
-const FAILURES_BEFORE_PAUSE = 3;
-const PAUSE_MS = 1000;
-const MAX_PAUSE_MS = 60_000;
+const FAILURES_BEFORE_BACKOFF = 3;
+const INITIAL_BACKOFF_MS = 1000;
+const MAX_BACKOFF_MS = 60_000;
 
-/** One partner as it is asked: one connection, opened when needed, and left alone for a while after failures in a row. */
+/**
+ * Client of one partner. Uses a single connection, opened on demand, and sends nothing for a backoff period after
+ * consecutive failures.
+ */
 export class PartnerLink {
   private socket: tls.TLSSocket | null = null;
   private connection: Promise<tls.TLSSocket> | null = null;
   private readonly pending = new Map<number, PendingRequest>();
-  private next = 1;
+  private nextRequestId = 1;
   private failures = 0;
-  private closedUntil = 0;
-  /** Why the last connection was not used. */
-  refused: string | null = null;
+  private backoffUntil = 0;
+  /** Reason for which the certificate of the last connection was rejected; null if it was not. */
+  lastRejectionReason: string | null = null;
 
   constructor(
     private readonly clock: Clock,
     private readonly credentials: () => Credentials,
     readonly partner: string,
     private readonly addr: { host: string; port: number },
-    /** From 0 up to 1, so that clusters that lost a partner together do not come back together. */
+    /**
+     * Returns a number from 0 up to 1 that randomizes the backoff, so that clusters that lost a partner at the same
+     * time do not reconnect at the same time.
+     */
     private readonly jitter: () => number,
     private readonly limits: LinkLimits = LINK_LIMITS,
   ) {}
 
-  /** Whether the partner is left alone at present. */
-  get resting(): boolean {
-    return this.clock.now() < this.closedUntil;
+  /** Whether requests currently fail immediately because the backoff period has not ended. */
+  get isBackingOff(): boolean {
+    return this.clock.now() < this.backoffUntil;
   }
 
-  /** Asks the partner. Fails with `PartnerAway`; whether it was heard is then not known. */
-  async ask(op: string, args: unknown, timeoutMs: number): Promise<unknown> {
-    if (this.resting) throw new PartnerAway(`${this.partner} is left alone`);
-    if (this.pending.size >= this.limits.asked) throw new PartnerAway(`${this.partner} is asked too much`);
+  /**
+   * Sends a request and returns the response of the partner. Throws `PartnerUnavailableError`; it is then unknown
+   * whether the partner received the request.
+   */
+  async request(op: string, args: unknown, timeoutMs: number): Promise<unknown> {
+    if (this.isBackingOff)
+      throw new PartnerUnavailableError(
+        `${this.partner} is not contacted: backing off after repeated failures`,
+      );
+    if (this.pending.size >= this.limits.concurrentRequests)
+      throw new PartnerUnavailableError(`${this.partner} has too many requests in progress`);
     const socket = await this.connect(timeoutMs);
-    const id = this.next++;
-    const answer = new Promise<unknown>((resolve, reject) => {
+    const id = this.nextRequestId++;
+    const response = new Promise<unknown>((resolve, reject) => {
       const timer = this.clock.after(timeoutMs, () => {
         this.pending.delete(id);
         this.onFailure();
-        reject(new PartnerAway(`${this.partner} does not answer`));
-        // A cut may hold packets for minutes; a new connection finds out sooner that it is over.
+        reject(new PartnerUnavailableError(`${this.partner} does not answer`));
+        // A network partition may delay the packets of an existing connection for minutes; a new connection detects
+        // sooner that the partition has ended.
         socket.destroy();
       });
       this.pending.set(id, { resolve, reject, timer });
     });
     socket.write(encodeFrame({ q: id, op, a: [PARTNER_VERSION, args] }));
-    return answer;
+    return response;
   }
 
-  /** Ends the connection; a later request opens another one. */
+  /** Closes the connection; a later request opens a new one. */
   close(): void {
     this.socket?.destroy();
   }
@@ -81,22 +102,32 @@
   }
 
   private open(timeoutMs: number): Promise<tls.TLSSocket> {
-    const c = this.credentials();
+    const credentials = this.credentials();
     return new Promise((resolve, reject) => {
       const socket = tls.connect({
         host: this.addr.host,
         port: this.addr.port,
-        ...context(c),
-        // The partner's name is that of its cluster, which `refusal` checks with all else.
+        ...secureContextOptions(credentials),
+        // `rejectionReason` verifies the certificate after the handshake, including the name, which is that of the
+        // partner cluster and not of a host.
         rejectUnauthorized: false,
         checkServerIdentity: () => undefined,
       });
       const timer = this.clock.after(Math.min(timeoutMs, this.limits.handshakeMs), () => socket.destroy());
       socket.once('secureConnect', () => {
         timer.cancel();
-        this.refused = refusal(certOf(socket), doubtOf(socket), new Set([this.partner]), c);
-        if (this.refused !== null) {
-          reject(new PartnerAway(`${this.partner} refused: ${this.refused}`));
+        this.lastRejectionReason = rejectionReason(
+          peerCertificateOf(socket),
+          verificationErrorOf(socket),
+          new Set([this.partner]),
+          credentials,
+        );
+        if (this.lastRejectionReason !== null) {
+          reject(
+            new PartnerUnavailableError(
+              `certificate of ${this.partner} rejected: ${this.lastRejectionReason}`,
+            ),
+          );
           socket.destroy();
           return;
         }
@@ -107,7 +138,7 @@
       socket.on('error', () => socket.destroy());
       socket.on('close', () => {
         timer.cancel();
-        reject(new PartnerAway(`${this.partner} cannot be reached`));
+        reject(new PartnerUnavailableError(`${this.partner} cannot be reached`));
         if (this.socket === socket) this.onClosed();
       });
     });
@@ -117,7 +148,7 @@
     const reader = new FrameReader(this.limits.frameBytes);
     socket.on('data', (data) => {
       try {
-        for (const m of reader.feed(data)) if ('r' in m) this.onResponse(m);
+        for (const message of reader.feed(data)) if ('r' in message) this.onResponse(message);
       } catch {
         socket.destroy();
       }
@@ -127,26 +158,31 @@
   private onClosed(): void {
     this.socket = null;
     this.connection = null;
-    for (const w of this.pending.values()) {
-      w.timer.cancel();
-      w.reject(new PartnerAway(`${this.partner} was cut off`));
+    for (const request of this.pending.values()) {
+      request.timer.cancel();
+      request.reject(
+        new PartnerUnavailableError(`connection to ${this.partner} was closed before the response`),
+      );
     }
     this.pending.clear();
   }
 
-  private onResponse(m: Extract<PeerMessage, { r: number }>): void {
-    const w = this.pending.get(m.r);
-    if (!w) return;
-    this.pending.delete(m.r);
-    w.timer.cancel();
+  private onResponse(message: Extract<PeerMessage, { r: number }>): void {
+    const request = this.pending.get(message.r);
+    if (!request) return;
+    this.pending.delete(message.r);
+    request.timer.cancel();
     this.failures = 0;
-    if ('e' in m) w.reject(new PartnerAway(`${this.partner}: ${m.e}`));
-    else w.resolve(m.a);
+    if ('e' in message) request.reject(new PartnerUnavailableError(`${this.partner}: ${message.e}`));
+    else request.resolve(message.a);
   }
 
   private onFailure(): void {
-    if (++this.failures < FAILURES_BEFORE_PAUSE) return;
-    const pause = Math.min(MAX_PAUSE_MS, PAUSE_MS * 2 ** (this.failures - FAILURES_BEFORE_PAUSE));
-    this.closedUntil = this.clock.now() + pause * (0.5 + this.jitter());
+    if (++this.failures < FAILURES_BEFORE_BACKOFF) return;
+    const backoffMs = Math.min(
+      MAX_BACKOFF_MS,
+      INITIAL_BACKOFF_MS * 2 ** (this.failures - FAILURES_BEFORE_BACKOFF),
+    );
+    this.backoffUntil = this.clock.now() + backoffMs * (0.5 + this.jitter());
   }
 }
--- a/src/tls/partnerserver.ts
+++ b/src/tls/partnerserver.ts
@@ -1,53 +1,53 @@
-/** The end of a link that a partner cluster connects to. */
+/** Server end of a link, to which partner clusters connect. */
 
 import type { AddressInfo, Socket } from 'node:net';
 import tls from 'node:tls';
 import type { Clock } from '../clock/clock.js';
 import { type PeriodicTask, startPeriodicTask } from '../clock/periodictask.js';
 import { encodeFrame, FrameReader, type PeerMessage } from '../peer/frames.js';
-import { type Credentials, clusterOf, refusal } from './credentials.js';
+import { type Credentials, clusterNameOf, rejectionReason } from './credentials.js';
 import {
-  certOf,
-  context,
-  doubtOf,
   LINK_LIMITS,
   type LinkLimits,
   PARTNER_VERSION,
+  peerCertificateOf,
+  secureContextOptions,
+  verificationErrorOf,
   WRONG_VERSION,
 } from './links.js';
 
-/** What a server of links calls. */
+/** Callbacks of a partner server. */
 export interface ServerHooks {
-  /** Answers a partner's request. What it throws is answered as an error without its text. */
-  answer(partner: string, op: string, args: unknown): Promise<unknown>;
-  /** A connection was refused or ended for what the other side did. */
-  refused(why: string, address: string): void;
+  /** Handles a partner's request. The response to a rejected promise is an error that does not contain its text. */
+  handleRequest(partner: string, op: string, args: unknown): Promise<unknown>;
+  /** Called when a connection was rejected, or closed because the other side violated the protocol or a limit. */
+  onRejected(reason: string, address: string): void;
 }
 
 function addressOf(socket: Socket): string {
   return `${socket.remoteAddress} ${socket.remotePort}`;
 }
 
-/** How often idle connections are looked for. */
-const SWEEP_INTERVAL_MS = 1000;
+/** Interval at which idle connections are closed. */
+const IDLE_CHECK_INTERVAL_MS = 1000;
 
-/** An open connection of a partner. */
+/** Open connection of an authenticated partner. */
 interface Connection {
   socket: tls.TLSSocket;
   partner: string;
-  since: number;
-  asked: number;
+  lastActivityAt: number;
+  requestsInProgress: number;
 }
 
-/** Accepts partners over mutual TLS, and answers their requests. */
+/** Accepts connections of partners over mutual TLS, and answers their requests. */
 export class PartnerServer {
   private readonly server: tls.Server;
   private readonly connections = new Set<Connection>();
-  /** Those that have not shown who they are, the oldest first: they give way to whoever comes. */
-  private readonly unidentified = new Map<string, Socket>();
-  private readonly sweeping: PeriodicTask;
-  /** Refused so far, by reason: a metric. */
-  readonly counts = new Map<string, number>();
+  /** Connections whose peer is not authenticated yet, oldest first; the oldest are closed in favour of new ones. */
+  private readonly unauthenticated = new Map<string, Socket>();
+  private readonly idleCheck: PeriodicTask;
+  /** Number of rejected or closed connections by reason, for a metric. */
+  readonly rejectionCounts = new Map<string, number>();
 
   constructor(
     private readonly clock: Clock,
@@ -56,41 +56,41 @@
     private readonly hooks: ServerHooks,
     private readonly limits: LinkLimits = LINK_LIMITS,
   ) {
-    // Certificates are looked at here, so that the reason of a refusal is known.
+    // `accept` verifies the certificate instead of the TLS library, so that the reason of a rejection is known.
     this.server = tls.createServer(
       {
-        ...context(credentials),
+        ...secureContextOptions(credentials),
         requestCert: true,
         rejectUnauthorized: false,
         handshakeTimeout: limits.handshakeMs,
       },
-      (socket) => this.welcome(socket),
+      (socket) => this.accept(socket),
     );
     this.server.on('connection', (socket) => {
       const key = addressOf(socket);
-      this.unidentified.set(key, socket);
+      this.unauthenticated.set(key, socket);
       socket.on('error', () => socket.destroy());
-      socket.on('close', () => this.unidentified.delete(key));
-      for (const [oldest, s] of this.unidentified) {
-        if (this.unidentified.size <= limits.connections) break;
-        this.unidentified.delete(oldest);
-        this.refuse('too many connections', s.remoteAddress ?? '');
-        s.destroy();
+      socket.on('close', () => this.unauthenticated.delete(key));
+      for (const [oldest, oldestSocket] of this.unauthenticated) {
+        if (this.unauthenticated.size <= limits.pendingHandshakes) break;
+        this.unauthenticated.delete(oldest);
+        this.reject('too many connections', oldestSocket.remoteAddress ?? '');
+        oldestSocket.destroy();
       }
     });
     this.server.on('tlsClientError', (error, socket) => {
-      this.refuse(
+      this.reject(
         `handshake: ${(error as NodeJS.ErrnoException).code ?? error.message}`,
         socket.remoteAddress ?? '',
       );
       socket.destroy();
     });
-    this.sweeping = startPeriodicTask(clock, SWEEP_INTERVAL_MS, () => this.sweep());
+    this.idleCheck = startPeriodicTask(clock, IDLE_CHECK_INTERVAL_MS, () => this.closeIdle());
   }
 
-  /** Connections that are open, those whose handshake is not complete included. */
-  get open(): number {
-    return this.unidentified.size + this.connections.size;
+  /** Number of open connections, including those whose handshake is not complete. */
+  get openConnections(): number {
+    return this.unauthenticated.size + this.connections.size;
   }
 
   /** Resolves with the port once the server is listening; rejects when the address cannot be bound. */
@@ -101,91 +101,106 @@
     });
   }
 
-  /** Uses other credentials from now on; connections that these would refuse are ended. */
-  renew(c: Credentials): void {
-    this.credentials = c;
-    this.server.setSecureContext(context(c));
-    for (const g of this.connections) {
-      const why = refusal(certOf(g.socket), null, this.partners, c);
-      if (why !== null) this.end(g.socket, why);
+  /**
+   * Replaces the credentials, and closes the open connections whose certificates are now revoked. Issuer and dates of
+   * the certificates of open connections are not verified again.
+   */
+  replaceCredentials(credentials: Credentials): void {
+    this.credentials = credentials;
+    this.server.setSecureContext(secureContextOptions(credentials));
+    for (const connection of this.connections) {
+      const reason = rejectionReason(peerCertificateOf(connection.socket), null, this.partners, credentials);
+      if (reason !== null) this.closeRejected(connection.socket, reason);
     }
   }
 
-  /** Stops listening and ends all connections, for good. */
+  /** Stops listening and closes all connections; the server cannot be used again. */
   close(): void {
-    this.sweeping.stop();
+    this.idleCheck.stop();
     this.server.close();
-    for (const s of this.unidentified.values()) s.destroy();
-    for (const g of this.connections) g.socket.destroy();
+    for (const socket of this.unauthenticated.values()) socket.destroy();
+    for (const connection of this.connections) connection.socket.destroy();
   }
 
-  private refuse(why: string, address: string): void {
-    this.counts.set(why, (this.counts.get(why) ?? 0) + 1);
-    this.hooks.refused(why, address);
+  private reject(reason: string, address: string): void {
+    this.rejectionCounts.set(reason, (this.rejectionCounts.get(reason) ?? 0) + 1);
+    this.hooks.onRejected(reason, address);
   }
 
-  private end(socket: tls.TLSSocket, why: string): void {
-    this.refuse(why, socket.remoteAddress ?? '');
+  private closeRejected(socket: tls.TLSSocket, reason: string): void {
+    this.reject(reason, socket.remoteAddress ?? '');
     socket.destroy();
   }
 
-  private welcome(socket: tls.TLSSocket): void {
+  private accept(socket: tls.TLSSocket): void {
     socket.on('error', () => socket.destroy());
-    const cert = certOf(socket);
-    const why = refusal(cert, doubtOf(socket), this.partners, this.credentials);
-    if (why !== null || !cert) {
-      this.end(socket, why ?? 'no certificate');
+    const certificate = peerCertificateOf(socket);
+    const reason = rejectionReason(certificate, verificationErrorOf(socket), this.partners, this.credentials);
+    if (reason !== null || !certificate) {
+      this.closeRejected(socket, reason ?? 'no certificate');
       return;
     }
-    const partner = clusterOf(cert)!;
-    if ([...this.connections].filter((g) => g.partner === partner).length >= this.limits.ofOne) {
-      this.end(socket, 'too many connections of one partner');
+    const partner = clusterNameOf(certificate)!;
+    if (
+      [...this.connections].filter((other) => other.partner === partner).length >=
+      this.limits.connectionsPerPartner
+    ) {
+      this.closeRejected(socket, 'too many connections of one partner');
       return;
     }
-    this.unidentified.delete(addressOf(socket));
-    const guest: Connection = { socket, partner, since: this.clock.now(), asked: 0 };
-    this.connections.add(guest);
-    socket.on('close', () => this.connections.delete(guest));
+    this.unauthenticated.delete(addressOf(socket));
+    const connection: Connection = {
+      socket,
+      partner,
+      lastActivityAt: this.clock.now(),
+      requestsInProgress: 0,
+    };
+    this.connections.add(connection);
+    socket.on('close', () => this.connections.delete(connection));
     const reader = new FrameReader(this.limits.frameBytes);
     socket.on('data', (data) => {
       try {
-        for (const m of reader.feed(data)) this.asked(guest, m);
+        for (const message of reader.feed(data)) this.onMessage(connection, message);
       } catch {
-        this.end(socket, 'not a frame');
+        this.closeRejected(socket, 'not a frame');
       }
     });
   }
 
-  private asked(g: Connection, m: PeerMessage): void {
-    g.since = this.clock.now();
-    if (!('q' in m) || typeof m.op !== 'string') return;
-    if (g.asked >= this.limits.asked || g.socket.writableLength > this.limits.unsentBytes) {
-      this.end(g.socket, 'asks more than it takes answers');
+  private onMessage(connection: Connection, message: PeerMessage): void {
+    connection.lastActivityAt = this.clock.now();
+    if (!('q' in message) || typeof message.op !== 'string') return;
+    if (
+      connection.requestsInProgress >= this.limits.concurrentRequests ||
+      connection.socket.writableLength > this.limits.unsentBytes
+    ) {
+      this.closeRejected(connection.socket, 'asks more than it takes answers');
       return;
     }
-    const [version, args] = Array.isArray(m.a) ? m.a : [0, null];
-    const reply = (a: PeerMessage) => {
-      if (!g.socket.destroyed) g.socket.write(encodeFrame(a));
+    const [version, args] = Array.isArray(message.a) ? message.a : [0, null];
+    const reply = (response: PeerMessage) => {
+      if (!connection.socket.destroyed) connection.socket.write(encodeFrame(response));
     };
     if (version !== PARTNER_VERSION) {
-      reply({ r: m.q, e: WRONG_VERSION });
+      reply({ r: message.q, e: WRONG_VERSION });
       return;
     }
-    g.asked++;
+    connection.requestsInProgress++;
     this.hooks
-      .answer(g.partner, m.op, args)
+      .handleRequest(connection.partner, message.op, args)
       .then(
-        (a) => reply({ r: m.q, a }),
-        () => reply({ r: m.q, e: 'cannot be answered now' }),
+        (result) => reply({ r: message.q, a: result }),
+        () => reply({ r: message.q, e: 'cannot be answered now' }),
       )
       .finally(() => {
-        g.asked--;
+        connection.requestsInProgress--;
       });
   }
 
-  private sweep(): void {
+  private closeIdle(): void {
     const now = this.clock.now();
-    for (const g of this.connections)
-      if (g.asked === 0 && now - g.since > this.limits.idleMs) g.socket.destroy();
+    for (const connection of this.connections)
+      if (connection.requestsInProgress === 0 && now - connection.lastActivityAt > this.limits.idleMs)
+        connection.socket.destroy();
   }
 }
--- a/tests/tls/links.test.ts
+++ b/tests/tls/links.test.ts
@@ -5,234 +5,254 @@
 import { join } from 'node:path';
 import { after, before, test } from 'node:test';
 import { encodeFrame } from '../../src/peer/frames.js';
-import { type Issued, type Issuer, issue, makeIssuer } from '../../src/tls/certs.js';
+import { type Issuer, issueCertificate, type KeyAndCertificate, makeIssuer } from '../../src/tls/certs.js';
 import { CredentialStore, type Credentials, loadCredentials, TlsError } from '../../src/tls/credentials.js';
 import { LINK_LIMITS, WRONG_VERSION } from '../../src/tls/links.js';
-import { PartnerAway, PartnerLink } from '../../src/tls/partnerlink.js';
+import { PartnerLink, PartnerUnavailableError } from '../../src/tls/partnerlink.js';
 import { PartnerServer } from '../../src/tls/partnerserver.js';
 import { FakeClock } from '../support/clock.js';
 
-// Good for as long as anybody runs these tests, so that the time of day plays no part.
-const EVER = [new Date('1990-01-01'), new Date('2999-01-01')] as const;
+// A validity period that contains any date on which the tests run, so that they do not depend on the wall clock.
+const ALWAYS_VALID = [new Date('1990-01-01'), new Date('2999-01-01')] as const;
 const dir = mkdtempSync(join(tmpdir(), 'spartray-tls-'));
 let ca: Issuer;
-let other: Issuer;
-let home: Issued;
+let untrustedCa: Issuer;
+let home: KeyAndCertificate;
 let serial = 16;
 before(async () => {
-  ca = await makeIssuer('trials', ...EVER);
-  other = await makeIssuer('others', ...EVER);
+  ca = await makeIssuer('trials', ...ALWAYS_VALID);
+  untrustedCa = await makeIssuer('others', ...ALWAYS_VALID);
   home = await certFor('home');
 });
 after(() => rmSync(dir, { recursive: true, force: true }));
 
-const certFor = (cluster: string, from: Issuer = ca, dates: readonly [Date, Date] = EVER) =>
-  issue(from, cluster, (serial++).toString(16), dates[0], dates[1]);
-const put = (name: string, text: string) => {
+const certFor = (cluster: string, from: Issuer = ca, dates: readonly [Date, Date] = ALWAYS_VALID) =>
+  issueCertificate(from, cluster, (serial++).toString(16), dates[0], dates[1]);
+const writeTestFile = (name: string, text: string) => {
   const path = join(dir, name);
   writeFileSync(path, text);
   return path;
 };
-const files = (name: string, i: Issued, issuer = ca, revoked: string | null = null) => ({
-  key: put(`${name}.key`, i.key),
-  cert: put(`${name}.pem`, i.cert),
-  ca: put(`${name}-ca.pem`, issuer.cert),
-  revoked: revoked === null ? null : put(`${name}.revoked`, revoked),
+const writeCredentialFiles = (
+  name: string,
+  issued: KeyAndCertificate,
+  issuer = ca,
+  revoked: string | null = null,
+) => ({
+  key: writeTestFile(`${name}.key`, issued.key),
+  cert: writeTestFile(`${name}.pem`, issued.cert),
+  ca: writeTestFile(`${name}-ca.pem`, issuer.cert),
+  revoked: revoked === null ? null : writeTestFile(`${name}.revoked`, revoked),
 });
 const NOW = Date.parse('2026-01-01');
-const load = (name: string, i: Issued, issuer = ca, revoked: string | null = null) =>
-  loadCredentials(files(name, i, issuer, revoked), NOW);
+const loadTestCredentials = (
+  name: string,
+  issued: KeyAndCertificate,
+  issuer = ca,
+  revoked: string | null = null,
+) => loadCredentials(writeCredentialFiles(name, issued, issuer, revoked), NOW);
 
-/** Waits for sockets, whose events come when they come. */
-async function until(what: () => boolean): Promise<void> {
-  for (let i = 0; i < 2000 && !what(); i++) await new Promise((resolve) => setImmediate(resolve));
-  for (let i = 0; i < 400 && !what(); i++) await new Promise((resolve) => setTimeout(resolve, 5));
-  assert.ok(what());
+/** Polls until the condition holds: socket events arrive in real time, which the fake clock does not control. */
+async function waitUntil(condition: () => boolean): Promise<void> {
+  for (let i = 0; i < 2000 && !condition(); i++) await new Promise((resolve) => setImmediate(resolve));
+  for (let i = 0; i < 400 && !condition(); i++) await new Promise((resolve) => setTimeout(resolve, 5));
+  assert.ok(condition());
 }
 
-async function server(c: Credentials, limits = LINK_LIMITS) {
+async function startServer(credentials: Credentials, limits = LINK_LIMITS) {
   const clock = new FakeClock();
-  const refused: string[] = [];
-  const s = new PartnerServer(
+  const rejections: string[] = [];
+  const server = new PartnerServer(
     clock,
-    c,
+    credentials,
     new Set(['home', 'east']),
     {
-      answer: async (partner, op, args) => {
+      handleRequest: async (partner, op, args) => {
         if (op === 'fail') throw new Error('a secret');
         return { partner, op, args };
       },
-      refused: (why) => refused.push(why),
+      onRejected: (reason) => rejections.push(reason),
     },
     limits,
   );
-  const port = await s.listen('127.0.0.1', 0);
-  return { s, clock, refused, port };
+  const port = await server.listen('127.0.0.1', 0);
+  return { server, clock, rejections, port };
 }
 
-const link = (c: Credentials, port: number, partner = 'away', clock = new FakeClock()) =>
+const createLink = (credentials: Credentials, port: number, partner = 'away', clock = new FakeClock()) =>
   new PartnerLink(
     clock,
-    () => c,
+    () => credentials,
     partner,
     { host: '127.0.0.1', port },
     () => 0.5,
   );
 
-test('partners ask each other over mutual TLS, and know who asks', async () => {
-  const { s, port } = await server(load('away', await certFor('away')));
-  const l = link(load('home', home), port);
-  const answers = await Promise.all([1, 2, 3].map((n) => l.ask('offer', n, 5000)));
+test('answers requests over mutual TLS and identifies the requesting partner', async () => {
+  const { server, port } = await startServer(loadTestCredentials('away', await certFor('away')));
+  const link = createLink(loadTestCredentials('home', home), port);
+  const answers = await Promise.all([1, 2, 3].map((n) => link.request('offer', n, 5000)));
   assert.deepEqual(answers[2], { partner: 'home', op: 'offer', args: 3 });
   await assert.rejects(
-    l.ask('fail', null, 5000),
-    (e) => e instanceof PartnerAway && !/secret/.test(e.message),
+    link.request('fail', null, 5000),
+    (error) => error instanceof PartnerUnavailableError && !/secret/.test(error.message),
   );
-  l.close();
-  s.close();
+  link.close();
+  server.close();
 });
 
-test('who is expired, of another name, issuer or on the list is refused, and the reason is known', async () => {
+test('rejects expired, misnamed, untrusted and revoked certificates, and reports the reason', async () => {
   const revoked = await certFor('east');
-  const { s, port, refused } = await server(
-    load('away', await certFor('away'), ca, `# withdrawn\n0${revoked.serial}\n`),
+  const { server, port, rejections } = await startServer(
+    loadTestCredentials('away', await certFor('away'), ca, `# withdrawn\n0${revoked.serial}\n`),
   );
-  const old = [new Date('1990-01-01'), new Date('1991-01-01')] as const;
-  const expired = await certFor('home', ca, old);
+  const expiredDates = [new Date('1990-01-01'), new Date('1991-01-01')] as const;
+  const expired = await certFor('home', ca, expiredDates);
   const cases: [Credentials, RegExp][] = [
-    [{ ...load('h', home), key: expired.key, cert: expired.cert }, /^expired$/],
-    [load('strange', await certFor('strange')), /wrong name \(strange\)/],
-    [{ ...load('o', await certFor('home', other), other), ca: ca.cert }, /unknown issuer/],
-    [load('revoked', revoked), /^revoked$/],
+    [{ ...loadTestCredentials('h', home), key: expired.key, cert: expired.cert }, /^expired$/],
+    [loadTestCredentials('strange', await certFor('strange')), /wrong name \(strange\)/],
+    [
+      { ...loadTestCredentials('o', await certFor('home', untrustedCa), untrustedCa), ca: ca.cert },
+      /unknown issuer/,
+    ],
+    [loadTestCredentials('revoked', revoked), /^revoked$/],
   ];
-  for (const [i, [c, why]] of cases.entries()) {
-    const l = link(c, port);
-    await assert.rejects(l.ask('offer', 1, 5000), PartnerAway);
-    await until(() => refused.length === i + 1);
-    assert.match(refused[i]!, why);
-    l.close();
+  for (const [i, [credentials, reason]] of cases.entries()) {
+    const link = createLink(credentials, port);
+    await assert.rejects(link.request('offer', 1, 5000), PartnerUnavailableError);
+    await waitUntil(() => rejections.length === i + 1);
+    assert.match(rejections[i]!, reason);
+    link.close();
   }
-  // And the other way round: a server that is not the partner it should be.
-  const l = link(load('home', home), port, 'west');
-  await assert.rejects(l.ask('offer', 1, 5000), PartnerAway);
-  assert.equal(l.refused, 'wrong name (away)');
-  s.close();
+  // A client rejects a server whose certificate names a different cluster than the expected partner.
+  const link = createLink(loadTestCredentials('home', home), port, 'west');
+  await assert.rejects(link.request('offer', 1, 5000), PartnerUnavailableError);
+  assert.equal(link.lastRejectionReason, 'wrong name (away)');
+  server.close();
 });
 
-test('files are checked at the start, each mistake by its file', async () => {
+test('validates the credential files when they are loaded, and names the faulty file', async () => {
   const good = await certFor('home');
-  const is = (why: RegExp) => (e: unknown) => e instanceof TlsError && why.test(e.message);
-  const f = files('x', good);
-  assert.equal(loadCredentials(f, NOW).cluster, 'home');
-  assert.throws(() => loadCredentials({ ...f, key: join(dir, 'none') }, NOW), is(/none/));
-  assert.throws(() => loadCredentials({ ...f, key: put('y.key', home.key) }, NOW), is(/y\.key: not the key/));
+  const tlsError = (message: RegExp) => (error: unknown) =>
+    error instanceof TlsError && message.test(error.message);
+  const paths = writeCredentialFiles('x', good);
+  assert.equal(loadCredentials(paths, NOW).cluster, 'home');
+  assert.throws(() => loadCredentials({ ...paths, key: join(dir, 'none') }, NOW), tlsError(/none/));
   assert.throws(
-    () => loadCredentials({ ...f, cert: put('y.pem', 'text') }, NOW),
-    is(/y\.pem: not a certificate/),
+    () => loadCredentials({ ...paths, key: writeTestFile('y.key', home.key) }, NOW),
+    tlsError(/y\.key: not the key/),
   );
-  assert.throws(() => loadCredentials({ ...f, ca: put('y-ca.pem', other.cert) }, NOW), is(/not issued by/));
-  assert.throws(() => loadCredentials(f, Date.parse('3000-01-01')), is(/expired on/));
-  const bare = await issue(ca, 'a b', '99', ...EVER).catch(() => null);
-  if (bare) assert.throws(() => load('bare', bare), TlsError);
+  assert.throws(
+    () => loadCredentials({ ...paths, cert: writeTestFile('y.pem', 'text') }, NOW),
+    tlsError(/y\.pem: not a certificate/),
+  );
+  assert.throws(
+    () => loadCredentials({ ...paths, ca: writeTestFile('y-ca.pem', untrustedCa.cert) }, NOW),
+    tlsError(/not issued by/),
+  );
+  assert.throws(() => loadCredentials(paths, Date.parse('3000-01-01')), tlsError(/expired on/));
+  const invalidName = await issueCertificate(ca, 'a b', '99', ...ALWAYS_VALID).catch(() => null);
+  if (invalidName) assert.throws(() => loadTestCredentials('bare', invalidName), TlsError);
 });
 
-test('new files are used without a restart, bad ones are not, and an end that is near is told', async () => {
+test('reloads changed credentials without a restart, keeps the old ones if the new ones are invalid, and warns before expiry', async () => {
   const clock = new FakeClock();
-  const told: string[] = [];
-  const soon = new Date(clock.wall() + 3 * 86_400_000);
-  const f = files('r', await certFor('away', ca, [EVER[0], soon]));
-  const store = new CredentialStore(clock, f, {
-    changed: (c) => told.push(`changed ${c.expiresAt > clock.wall() + 1e10}`),
-    failed: (why) => told.push(why.replace(dir, '')),
-    ends: (left) => told.push(`ends in ${Math.round(left / 86_400_000)} days`),
+  const events: string[] = [];
+  const expiresSoon = new Date(clock.wall() + 3 * 86_400_000);
+  const paths = writeCredentialFiles('r', await certFor('away', ca, [ALWAYS_VALID[0], expiresSoon]));
+  const store = new CredentialStore(clock, paths, {
+    onReloaded: (credentials) => events.push(`changed ${credentials.expiresAt > clock.wall() + 1e10}`),
+    onReloadFailed: (reason) => events.push(reason.replace(dir, '')),
+    onExpiryNear: (remainingMs) => events.push(`ends in ${Math.round(remainingMs / 86_400_000)} days`),
   });
-  assert.deepEqual(told.splice(0), ['ends in 3 days']);
-  assert.ok(Math.abs(store.leftS - 3 * 86_400) < 2);
+  assert.deepEqual(events.splice(0), ['ends in 3 days']);
+  assert.ok(Math.abs(store.remainingValidityS - 3 * 86_400) < 2);
   const before = store.current;
-  writeFileSync(f.cert, 'half a file');
+  writeFileSync(paths.cert, 'half a file');
   await clock.advance(6000);
-  assert.match(told.splice(0).join(), /r\.pem: not a certificate/);
+  assert.match(events.splice(0).join(), /r\.pem: not a certificate/);
   assert.equal(store.current, before);
-  const next = await certFor('away');
-  writeFileSync(f.key, next.key);
-  writeFileSync(f.cert, next.cert);
+  const renewed = await certFor('away');
+  writeFileSync(paths.key, renewed.key);
+  writeFileSync(paths.cert, renewed.cert);
   await clock.advance(6000);
-  assert.deepEqual(told.splice(0), ['changed true']);
+  assert.deepEqual(events.splice(0), ['changed true']);
   store.stop();
 
-  const { s, port, refused } = await server(store.current);
-  const l = link(load('home', home), port);
-  await l.ask('offer', 1, 5000);
-  s.renew({ ...store.current, revoked: new Set([home.serial.toUpperCase()]) });
-  await until(() => refused.includes('revoked'));
-  await assert.rejects(l.ask('offer', 2, 5000), PartnerAway);
-  l.close();
-  s.close();
+  const { server, port, rejections } = await startServer(store.current);
+  const link = createLink(loadTestCredentials('home', home), port);
+  await link.request('offer', 1, 5000);
+  server.replaceCredentials({ ...store.current, revoked: new Set([home.serial.toUpperCase()]) });
+  await waitUntil(() => rejections.includes('revoked'));
+  await assert.rejects(link.request('offer', 2, 5000), PartnerUnavailableError);
+  link.close();
+  server.close();
 });
 
-// Guards against partners, or strangers, that would take every place: a thousand connections that never say who they are.
-test('half-open handshakes and a thousand idle connections cost bounded places, and a partner still comes in', async () => {
-  const { s, port, refused } = await server(load('away', await certFor('away')), {
+// Guards against exhaustion of the connections by partners or strangers, with a thousand connections that never
+// authenticate. Half of them send nothing, the other half only the beginning of a handshake.
+test('limits half-open and idle connections, and still accepts a partner during a thousand of them', async () => {
+  const { server, port, rejections } = await startServer(loadTestCredentials('away', await certFor('away')), {
     ...LINK_LIMITS,
-    connections: 32,
+    pendingHandshakes: 32,
   });
-  const idle: net.Socket[] = [];
+  const idleSockets: net.Socket[] = [];
   for (let i = 0; i < 1000; i++) {
     const socket = net.connect({ host: '127.0.0.1', port });
     socket.on('error', () => socket.destroy());
     if (i % 2) socket.on('connect', () => socket.write(Buffer.from([22, 3, 1, 2, 0, 1])));
-    idle.push(socket);
-    if (i % 50 === 49) await until(() => s.open <= 33);
+    idleSockets.push(socket);
+    if (i % 50 === 49) await waitUntil(() => server.openConnections <= 33);
   }
-  await until(() => refused.length > 900);
-  assert.ok(s.open <= 33, `${s.open} open`);
-  const l = link(load('home', home), port);
-  assert.ok(await l.ask('offer', 1, 5000));
-  l.close();
-  for (const x of idle) x.destroy();
-  s.close();
+  await waitUntil(() => rejections.length > 900);
+  assert.ok(server.openConnections <= 33, `${server.openConnections} connections open`);
+  const link = createLink(loadTestCredentials('home', home), port);
+  assert.ok(await link.request('offer', 1, 5000));
+  link.close();
+  for (const socket of idleSockets) socket.destroy();
+  server.close();
 });
 
-test('frames that are too long, a partner of another version and one that takes no answers are ended or told so', async () => {
-  const { s, port, refused } = await server(load('away', await certFor('away')), {
+test('closes a connection that sends an oversized frame, and answers another protocol version with an error', async () => {
+  const { server, port, rejections } = await startServer(loadTestCredentials('away', await certFor('away')), {
     ...LINK_LIMITS,
     frameBytes: 4096,
   });
-  const long = link(load('home', home), port);
-  await assert.rejects(long.ask('offer', 'x'.repeat(10_000), 5000), PartnerAway);
-  await until(() => refused.includes('not a frame'));
+  const sender = createLink(loadTestCredentials('home', home), port);
+  await assert.rejects(sender.request('offer', 'x'.repeat(10_000), 5000), PartnerUnavailableError);
+  await waitUntil(() => rejections.includes('not a frame'));
   const tls = await import('node:tls');
-  const c = load('home', home);
-  const raw = tls.connect({
+  const credentials = loadTestCredentials('home', home);
+  const rawSocket = tls.connect({
     host: '127.0.0.1',
     port,
-    key: c.key,
-    cert: c.cert,
-    ca: c.ca,
+    key: credentials.key,
+    cert: credentials.cert,
+    ca: credentials.ca,
     rejectUnauthorized: false,
   });
-  const said: Buffer[] = [];
-  raw.on('data', (d) => said.push(d));
-  raw.on('error', () => raw.destroy());
-  raw.write(encodeFrame({ q: 1, op: 'offer', a: [99, null] }));
-  await until(() => Buffer.concat(said).includes(WRONG_VERSION));
-  raw.destroy();
-  s.close();
+  const received: Buffer[] = [];
+  rawSocket.on('data', (d) => received.push(d));
+  rawSocket.on('error', () => rawSocket.destroy());
+  rawSocket.write(encodeFrame({ q: 1, op: 'offer', a: [99, null] }));
+  await waitUntil(() => Buffer.concat(received).includes(WRONG_VERSION));
+  rawSocket.destroy();
+  server.close();
 });
 
-test('a partner that fails three times in a row is left alone, longer each time, and not by all at once', async () => {
+test('backs off for increasing periods after three consecutive failures of a partner', async () => {
   const clock = new FakeClock();
-  const closed = net.createServer();
-  await new Promise<void>((resolve) => closed.listen(0, '127.0.0.1', resolve));
-  const { port } = closed.address() as net.AddressInfo;
-  await new Promise((resolve) => closed.close(resolve));
-  const l = link(load('home', home), port, 'away', clock);
-  const rests: number[] = [];
+  const closedServer = net.createServer();
+  await new Promise<void>((resolve) => closedServer.listen(0, '127.0.0.1', resolve));
+  const { port } = closedServer.address() as net.AddressInfo;
+  await new Promise((resolve) => closedServer.close(resolve));
+  const link = createLink(loadTestCredentials('home', home), port, 'away', clock);
+  const backoffsMs: number[] = [];
   for (let i = 0; i < 5; i++) {
-    await assert.rejects(l.ask('offer', 1, 5000), PartnerAway);
-    let rest = 0;
-    for (; l.resting; rest += 100) await clock.advance(100);
-    rests.push(rest);
+    await assert.rejects(link.request('offer', 1, 5000), PartnerUnavailableError);
+    let backoffMs = 0;
+    for (; link.isBackingOff; backoffMs += 100) await clock.advance(100);
+    backoffsMs.push(backoffMs);
   }
-  assert.deepEqual(rests, [0, 0, 1000, 2000, 4000]);
+  assert.deepEqual(backoffsMs, [0, 0, 1000, 2000, 4000]);
 });
