--- a/src/tls/links.ts
+++ b/src/tls/links.ts
@@ -12,7 +12,7 @@
   connectionsPerPartner: number;
   /** Timeout of a handshake. */
   handshakeMs: number;
-  /** Time without requests after which a connection is closed. */
+  /** Time without messages after which a connection without requests in progress is closed. */
   idleMs: number;
   /** Largest frame, in bytes. */
   frameBytes: number;
