--- a/src/classad/ast.ts
+++ b/src/classad/ast.ts
@@ -43,12 +43,12 @@
   | { node: 'literal'; value: Literal }
   /** An attribute by its name, as it was written. */
   | { node: 'name'; scope: Scope; name: string }
-  | { node: 'select'; of: Expr; name: string }
-  | { node: 'index'; of: Expr; at: Expr }
-  | { node: 'unary'; op: UnaryOp; of: Expr }
+  | { node: 'select'; operand: Expr; name: string }
+  | { node: 'index'; operand: Expr; at: Expr }
+  | { node: 'unary'; op: UnaryOp; operand: Expr }
   | { node: 'binary'; op: BinaryOp; left: Expr; right: Expr }
   /** `yes` is null in `a ?: b`, which is `a` unless that is undefined. */
-  | { node: 'if'; test: Expr; yes: Expr | null; no: Expr }
+  | { node: 'if'; test: Expr; consequent: Expr | null; alternate: Expr }
   | { node: 'list'; items: Expr[] }
   | { node: 'ad'; ad: Ad }
   | { node: 'call'; name: string; args: Expr[] };
@@ -91,7 +91,7 @@
   set(name: string, expr: Expr): this {
     const key = name.toLowerCase();
     this.attributes.set(key, { name: this.attributes.get(key)?.name ?? name, expr });
-    for (const nested of adsIn(expr)) nested.parent = this;
+    for (const nested of nestedAds(expr)) nested.parent = this;
     return this;
   }
 
@@ -123,31 +123,31 @@
   }
 }
 
-function adsIn(expr: Expr): Ad[] {
+function nestedAds(expr: Expr): Ad[] {
   if (expr.node === 'ad') return [expr.ad];
-  return childrenOf(expr).flatMap(adsIn);
+  return childrenOf(expr).flatMap(nestedAds);
 }
 
 /** The expressions that one is made of, nested ads apart. */
-export function childrenOf(e: Expr): Expr[] {
-  switch (e.node) {
+export function childrenOf(expr: Expr): Expr[] {
+  switch (expr.node) {
     case 'literal':
     case 'name':
     case 'ad':
       return [];
     case 'select':
     case 'unary':
-      return [e.of];
+      return [expr.operand];
     case 'index':
-      return [e.of, e.at];
+      return [expr.operand, expr.at];
     case 'binary':
-      return [e.left, e.right];
+      return [expr.left, expr.right];
     case 'if':
-      return e.yes ? [e.test, e.yes, e.no] : [e.test, e.no];
+      return expr.consequent ? [expr.test, expr.consequent, expr.alternate] : [expr.test, expr.alternate];
     case 'list':
-      return e.items;
+      return expr.items;
     case 'call':
-      return e.args;
+      return expr.args;
   }
 }
 
--- a/src/classad/evaluate.ts
+++ b/src/classad/evaluate.ts
@@ -13,7 +13,7 @@
 import { FUNCTIONS } from './functions.js';
 
 /** What an evaluation looks at beside the expression. */
-export interface Surroundings {
+export interface EvaluationContext {
   my: Ad;
   target?: Ad | null;
   /** Seconds since the epoch, for `time()`. */
@@ -21,31 +21,31 @@
 }
 
 /** Ends an evaluation that costs too much. */
-class TooMuch extends SpartrayError {}
+class EvaluationLimitError extends SpartrayError {}
 
 /** Evaluates an expression; never throws: what has no meaning or costs too much is an error value. */
-export function evaluate(e: Expr, around: Surroundings): Value {
+export function evaluate(expr: Expr, context: EvaluationContext): Value {
   try {
-    return new Evaluation(around).value(e, around.my);
+    return new Evaluation(context).value(expr, context.my);
   } catch (error) {
-    if (error instanceof TooMuch) return new ErrorValue(error.message);
+    if (error instanceof EvaluationLimitError) return new ErrorValue(error.message);
     if (error instanceof RangeError) return new ErrorValue('too deep or too large');
     throw error;
   }
 }
 
 /** What a function is given. */
-export interface Call {
+export interface FunctionCall {
   args: Expr[];
-  value(e: Expr): Value;
+  value(expr: Expr): Value;
   now: number;
   /** Counts work in proportion to what is looked at. */
-  spend(steps: number): void;
+  chargeSteps(steps: number): void;
 }
 
 /** An error value; `why` is for people. */
-export function failed(why: string): ErrorValue {
-  return new ErrorValue(why);
+export function errorValue(reason: string): ErrorValue {
+  return new ErrorValue(reason);
 }
 
 /** Numbers, and booleans as 0 and 1. */
@@ -61,173 +61,181 @@
   return typeof v === 'number' ? v !== 0 : null;
 }
 
-const wrap = (n: bigint) => BigInt.asIntN(64, n);
+const wrapToInt64 = (n: bigint) => BigInt.asIntN(64, n);
 
 class Evaluation {
   private steps = 0;
   private depth = 0;
   /** Attributes being looked up, which must not need themselves. */
-  private readonly open = new Set<Expr>();
+  private readonly resolving = new Set<Expr>();
 
-  constructor(private readonly around: Surroundings) {}
+  constructor(private readonly context: EvaluationContext) {}
 
-  spend(steps: number): void {
+  chargeSteps(steps: number): void {
     this.steps += steps;
-    if (this.steps > LIMITS.steps) throw new TooMuch('takes too many steps');
+    if (this.steps > LIMITS.steps) throw new EvaluationLimitError('takes too many steps');
   }
 
-  value(e: Expr, ad: Ad): Value {
-    this.spend(1);
-    if (++this.depth > LIMITS.depth * 8) throw new TooMuch('nested too deep');
+  value(expr: Expr, ad: Ad): Value {
+    this.chargeSteps(1);
+    if (++this.depth > LIMITS.depth * 8) throw new EvaluationLimitError('nested too deep');
     try {
-      return this.node(e, ad);
+      return this.node(expr, ad);
     } finally {
       this.depth--;
     }
   }
 
-  private node(e: Expr, ad: Ad): Value {
-    switch (e.node) {
+  private node(expr: Expr, ad: Ad): Value {
+    switch (expr.node) {
       case 'literal':
-        return e.value;
+        return expr.value;
       case 'name':
-        return this.attribute(e.scope, e.name, ad);
+        return this.resolveName(expr.scope, expr.name, ad);
       case 'select':
-        return this.select(this.value(e.of, ad), e.name);
+        return this.selectAttribute(this.value(expr.operand, ad), expr.name);
       case 'index':
-        return this.index(this.value(e.of, ad), this.value(e.at, ad));
+        return this.index(this.value(expr.operand, ad), this.value(expr.at, ad));
       case 'unary':
-        return unary(e.op, this.value(e.of, ad));
+        return unary(expr.op, this.value(expr.operand, ad));
       case 'binary':
-        return this.binary(e.op, e.left, e.right, ad);
+        return this.binary(expr.op, expr.left, expr.right, ad);
       case 'if': {
-        const test = this.value(e.test, ad);
-        if (e.yes === null) return test instanceof Undefined ? this.value(e.no, ad) : test;
+        const test = this.value(expr.test, ad);
+        if (expr.consequent === null)
+          return test instanceof Undefined ? this.value(expr.alternate, ad) : test;
         if (test instanceof Undefined || test instanceof ErrorValue) return test;
         const yes = asBoolean(test);
-        return yes === null ? failed('a condition that is no boolean') : this.value(yes ? e.yes : e.no, ad);
+        return yes === null
+          ? errorValue('a condition that is no boolean')
+          : this.value(yes ? expr.consequent : expr.alternate, ad);
       }
       case 'list':
-        return e.items.map((i) => this.value(i, ad));
+        return expr.items.map((i) => this.value(i, ad));
       case 'ad':
-        return e.ad;
+        return expr.ad;
       case 'call': {
-        const f = FUNCTIONS.get(e.name.toLowerCase());
-        if (!f) return failed(`no function ${e.name}`);
-        return f({
-          args: e.args,
+        const implementation = FUNCTIONS.get(expr.name.toLowerCase());
+        if (!implementation) return errorValue(`no function ${expr.name}`);
+        return implementation({
+          args: expr.args,
           value: (a) => this.value(a, ad),
-          now: this.around.now ?? 0,
-          spend: (steps) => this.spend(steps),
+          now: this.context.now ?? 0,
+          chargeSteps: (steps) => this.chargeSteps(steps),
         });
       }
     }
   }
 
   /** A name means the ad it is written in, those around that, and then the other side. */
-  private attribute(scope: Scope, name: string, ad: Ad): Value {
-    const { my, target } = this.around;
-    if (scope === 'target') return target ? this.from(target, name) : UNDEFINED;
-    if (scope === 'my') return this.from(my, name);
-    for (let at: Ad | null = ad; at; at = at.parent) if (at.has(name)) return this.from(at, name);
-    if (my.has(name)) return this.from(my, name);
-    return target?.has(name) ? this.from(target, name) : UNDEFINED;
+  private resolveName(scope: Scope, name: string, ad: Ad): Value {
+    const { my, target } = this.context;
+    if (scope === 'target') return target ? this.attributeValue(target, name) : UNDEFINED;
+    if (scope === 'my') return this.attributeValue(my, name);
+    for (let at: Ad | null = ad; at; at = at.parent) if (at.has(name)) return this.attributeValue(at, name);
+    if (my.has(name)) return this.attributeValue(my, name);
+    return target?.has(name) ? this.attributeValue(target, name) : UNDEFINED;
   }
 
-  private from(ad: Ad, name: string): Value {
-    const e = ad.get(name);
-    if (!e) return UNDEFINED;
-    if (e.node === 'literal') return e.value;
-    if (this.open.has(e)) return failed(`${name} needs itself`);
-    this.open.add(e);
+  private attributeValue(ad: Ad, name: string): Value {
+    const expr = ad.get(name);
+    if (!expr) return UNDEFINED;
+    if (expr.node === 'literal') return expr.value;
+    if (this.resolving.has(expr)) return errorValue(`${name} needs itself`);
+    this.resolving.add(expr);
     try {
       // Seen from the other side, the two change places.
-      if (ad === this.around.target) return this.turned(e, ad);
-      return this.value(e, ad);
+      if (ad === this.context.target) return this.evaluateAsTarget(expr, ad);
+      return this.value(expr, ad);
     } finally {
-      this.open.delete(e);
+      this.resolving.delete(expr);
     }
   }
 
-  private turned(e: Expr, ad: Ad): Value {
-    const other = new Evaluation({ ...this.around, my: ad, target: this.around.my });
-    other.steps = this.steps;
-    other.depth = this.depth;
-    for (const o of this.open) other.open.add(o);
-    const v = other.value(e, ad);
-    this.steps = other.steps;
-    return v;
+  private evaluateAsTarget(expr: Expr, ad: Ad): Value {
+    const swapped = new Evaluation({ ...this.context, my: ad, target: this.context.my });
+    swapped.steps = this.steps;
+    swapped.depth = this.depth;
+    for (const active of this.resolving) swapped.resolving.add(active);
+    const result = swapped.value(expr, ad);
+    this.steps = swapped.steps;
+    return result;
   }
 
-  private select(of: Value, name: string): Value {
-    if (of instanceof Undefined || of instanceof ErrorValue) return of;
-    return of instanceof Ad ? this.from(of, name) : failed(`.${name} of what is no ad`);
+  private selectAttribute(operand: Value, name: string): Value {
+    if (operand instanceof Undefined || operand instanceof ErrorValue) return operand;
+    return operand instanceof Ad
+      ? this.attributeValue(operand, name)
+      : errorValue(`.${name} of what is no ad`);
   }
 
   private index(of: Value, at: Value): Value {
     if (of instanceof Undefined || of instanceof ErrorValue) return of;
     if (at instanceof Undefined || at instanceof ErrorValue) return at;
     if (Array.isArray(of) && typeof at === 'bigint')
-      return of[Number(at)] ?? failed('an index beyond its list');
-    if (of instanceof Ad && typeof at === 'string') return this.from(of, at);
-    return failed('an index that does not fit');
+      return of[Number(at)] ?? errorValue('an index beyond its list');
+    if (of instanceof Ad && typeof at === 'string') return this.attributeValue(of, at);
+    return errorValue('an index that does not fit');
   }
 
   private binary(op: BinaryOp, left: Expr, right: Expr, ad: Ad): Value {
-    const a = this.value(left, ad);
-    if (op === '&&' || op === '||') return this.logic(op, a, () => this.value(right, ad));
-    const b = this.value(right, ad);
-    if (op === '=?=') return this.same(a, b);
-    if (op === '=!=') return !this.same(a, b);
-    if (a instanceof ErrorValue) return a;
-    if (b instanceof ErrorValue) return b;
-    if (a instanceof Undefined || b instanceof Undefined) return UNDEFINED;
-    return op in COMPARE ? compare(op, a, b) : arithmetic(op, a, b);
+    const leftValue = this.value(left, ad);
+    if (op === '&&' || op === '||') return this.evaluateLogical(op, leftValue, () => this.value(right, ad));
+    const rightValue = this.value(right, ad);
+    if (op === '=?=') return this.isIdentical(leftValue, rightValue);
+    if (op === '=!=') return !this.isIdentical(leftValue, rightValue);
+    if (leftValue instanceof ErrorValue) return leftValue;
+    if (rightValue instanceof ErrorValue) return rightValue;
+    if (leftValue instanceof Undefined || rightValue instanceof Undefined) return UNDEFINED;
+    return op in COMPARISONS
+      ? evaluateComparison(op, leftValue, rightValue)
+      : arithmetic(op, leftValue, rightValue);
   }
 
   /** What decides alone decides, on whichever side it stands; then an error goes before what is undefined. */
-  private logic(op: '&&' | '||', a: Value, second: () => Value): Value {
-    const decides = op === '||';
-    const left = logical(a);
-    if (left === decides || left instanceof ErrorValue) return left;
-    const right = logical(second());
-    if (right === decides || right instanceof ErrorValue) return right;
+  private evaluateLogical(op: '&&' | '||', leftValue: Value, evaluateRight: () => Value): Value {
+    const decidingValue = op === '||';
+    const left = toLogical(leftValue);
+    if (left === decidingValue || left instanceof ErrorValue) return left;
+    const right = toLogical(evaluateRight());
+    if (right === decidingValue || right instanceof ErrorValue) return right;
     return left instanceof Undefined ? left : right;
   }
 
   /** The very same value: never undefined, no conversions, and the case of text counts. */
-  private same(a: Value, b: Value): boolean {
-    this.spend(1);
-    if (a instanceof Undefined || b instanceof Undefined)
-      return a instanceof Undefined && b instanceof Undefined;
-    if (a instanceof ErrorValue || b instanceof ErrorValue)
-      return a instanceof ErrorValue && b instanceof ErrorValue;
-    if (Array.isArray(a) && Array.isArray(b))
-      return a.length === b.length && a.every((x, i) => this.same(x, b[i]!));
-    if (typeof a === 'number' && typeof b === 'number') return Object.is(a, b) || a === b;
-    return a === b;
+  private isIdentical(left: Value, right: Value): boolean {
+    this.chargeSteps(1);
+    if (left instanceof Undefined || right instanceof Undefined)
+      return left instanceof Undefined && right instanceof Undefined;
+    if (left instanceof ErrorValue || right instanceof ErrorValue)
+      return left instanceof ErrorValue && right instanceof ErrorValue;
+    if (Array.isArray(left) && Array.isArray(right))
+      return left.length === right.length && left.every((x, i) => this.isIdentical(x, right[i]!));
+    if (typeof left === 'number' && typeof right === 'number')
+      return Object.is(left, right) || left === right;
+    return left === right;
   }
 }
 
-function logical(v: Value): boolean | Undefined | ErrorValue {
+function toLogical(v: Value): boolean | Undefined | ErrorValue {
   if (v instanceof Undefined || v instanceof ErrorValue) return v;
-  return asBoolean(v) ?? failed('&& or || of what is no boolean');
+  return asBoolean(v) ?? errorValue('&& or || of what is no boolean');
 }
 
-function unary(op: '-' | '+' | '!' | '~', v: Value): Value {
-  if (v instanceof Undefined || v instanceof ErrorValue) return v;
+function unary(op: '-' | '+' | '!' | '~', operand: Value): Value {
+  if (operand instanceof Undefined || operand instanceof ErrorValue) return operand;
   if (op === '!') {
-    const b = asBoolean(v);
-    return b === null ? failed('! of what is no boolean') : !b;
+    const b = asBoolean(operand);
+    return b === null ? errorValue('! of what is no boolean') : !b;
   }
-  const n = asNumber(v);
-  if (n === null) return failed(`${op} of what is no number`);
-  if (op === '~') return typeof n === 'bigint' ? wrap(~n) : failed('~ of what is no integer');
+  const n = asNumber(operand);
+  if (n === null) return errorValue(`${op} of what is no number`);
+  if (op === '~') return typeof n === 'bigint' ? wrapToInt64(~n) : errorValue('~ of what is no integer');
   if (op === '+') return n;
-  return typeof n === 'bigint' ? wrap(-n) : -n;
+  return typeof n === 'bigint' ? wrapToInt64(-n) : -n;
 }
 
-const COMPARE: Record<string, (sign: number) => boolean> = {
+const COMPARISONS: Record<string, (sign: number) => boolean> = {
   '<': (s) => s < 0,
   '<=': (s) => s <= 0,
   '>': (s) => s > 0,
@@ -237,59 +245,59 @@
 };
 
 /** -1, 0 or 1, NaN when nothing holds; null when the two cannot be compared. Text is compared whatever its case. */
-export function order(a: Value, b: Value): number | null {
-  if (typeof a === 'string' && typeof b === 'string') {
-    const [x, y] = [a.toLowerCase(), b.toLowerCase()];
+export function compareValues(left: Value, right: Value): number | null {
+  if (typeof left === 'string' && typeof right === 'string') {
+    const [x, y] = [left.toLowerCase(), right.toLowerCase()];
     return x < y ? -1 : x > y ? 1 : 0;
   }
-  const x = asNumber(a);
-  const y = asNumber(b);
+  const x = asNumber(left);
+  const y = asNumber(right);
   if (x === null || y === null) return null;
   return x < y ? -1 : x > y ? 1 : x >= y ? 0 : Number.NaN;
 }
 
-function compare(op: BinaryOp, a: Value, b: Value): Value {
-  const sign = order(a, b);
-  if (sign === null) return failed(`${op} of what cannot be compared`);
-  return Number.isNaN(sign) ? op === '!=' : COMPARE[op]!(sign);
+function evaluateComparison(op: BinaryOp, a: Value, b: Value): Value {
+  const sign = compareValues(a, b);
+  if (sign === null) return errorValue(`${op} of what cannot be compared`);
+  return Number.isNaN(sign) ? op === '!=' : COMPARISONS[op]!(sign);
 }
 
 /** An arithmetic operator on two values; an error value where one is no number. */
-export function arithmetic(op: BinaryOp, a: Value, b: Value): Value {
-  const x = asNumber(a);
-  const y = asNumber(b);
-  if (x === null || y === null) return failed(`${op} of what is no number`);
-  if (typeof x === 'bigint' && typeof y === 'bigint') return integers(op, x, y);
-  const [p, q] = [Number(x), Number(y)];
+export function arithmetic(op: BinaryOp, left: Value, right: Value): Value {
+  const x = asNumber(left);
+  const y = asNumber(right);
+  if (x === null || y === null) return errorValue(`${op} of what is no number`);
+  if (typeof x === 'bigint' && typeof y === 'bigint') return integerArithmetic(op, x, y);
+  const [leftReal, rightReal] = [Number(x), Number(y)];
   switch (op) {
     case '+':
-      return p + q;
+      return leftReal + rightReal;
     case '-':
-      return p - q;
+      return leftReal - rightReal;
     case '*':
-      return p * q;
+      return leftReal * rightReal;
     case '/':
-      return q === 0 ? failed('division by zero') : p / q;
+      return rightReal === 0 ? errorValue('division by zero') : leftReal / rightReal;
     case '%':
-      return q === 0 ? failed('division by zero') : p % q;
+      return rightReal === 0 ? errorValue('division by zero') : leftReal % rightReal;
     default:
-      return failed(`${op} of what is no integer`);
+      return errorValue(`${op} of what is no integer`);
   }
 }
 
-function integers(op: BinaryOp, x: bigint, y: bigint): Value {
-  const by = y & 63n;
+function integerArithmetic(op: BinaryOp, x: bigint, y: bigint): Value {
+  const shift = y & 63n;
   switch (op) {
     case '+':
-      return wrap(x + y);
+      return wrapToInt64(x + y);
     case '-':
-      return wrap(x - y);
+      return wrapToInt64(x - y);
     case '*':
-      return wrap(x * y);
+      return wrapToInt64(x * y);
     case '/':
-      return y === 0n ? failed('division by zero') : wrap(x / y);
+      return y === 0n ? errorValue('division by zero') : wrapToInt64(x / y);
     case '%':
-      return y === 0n ? failed('division by zero') : x % y;
+      return y === 0n ? errorValue('division by zero') : x % y;
     case '&':
       return x & y;
     case '|':
@@ -297,10 +305,10 @@
     case '^':
       return x ^ y;
     case '<<':
-      return wrap(x << by);
+      return wrapToInt64(x << shift);
     case '>>':
-      return x >> by;
+      return x >> shift;
     default:
-      return wrap(BigInt.asUintN(64, x) >> by);
+      return wrapToInt64(BigInt.asUintN(64, x) >> shift);
   }
 }
--- a/src/classad/flatten.ts
+++ b/src/classad/flatten.ts
@@ -4,7 +4,7 @@
 const IMPURE = new Set(['time', 'formattime', 'random']);
 
 /** Names of attributes that an expression asks of the other side, in lower case; its own ad has `my`. */
-export function namesAsked(e: Expr, my: Ad): Set<string> {
+export function targetAttributeNames(expr: Expr, my: Ad): Set<string> {
   const names = new Set<string>();
   const visit = (x: Expr): void => {
     if (x.node === 'name' && x.scope !== 'my' && (x.scope === 'target' || !my.has(x.name)))
@@ -12,7 +12,7 @@
     if (x.node === 'ad') for (const [, inner] of x.ad) visit(inner);
     else childrenOf(x).forEach(visit);
   };
-  visit(e);
+  visit(expr);
   return names;
 }
 
@@ -20,63 +20,75 @@
  * The expression with all that its own side says put in, and worked out as far as that goes: what is left asks the other
  * side alone. It has the same value beside every other side, as long as time plays no part.
  */
-export function flatten(e: Expr, my: Ad, depth = 0): Expr {
-  const inner = (x: Expr) => flatten(x, my, depth + 1);
-  const put = (): Expr => {
-    switch (e.node) {
+export function flatten(expr: Expr, my: Ad, depth = 0): Expr {
+  const flattenChild = (x: Expr) => flatten(x, my, depth + 1);
+  const substitute = (): Expr => {
+    switch (expr.node) {
       case 'literal':
       case 'ad':
-        return e;
+        return expr;
       case 'name': {
-        if (e.scope === 'target' || depth > 50) return e;
-        const own = my.get(e.name);
-        if (own) return inner(own);
-        return e.scope === 'my' ? { node: 'literal', value: UNDEFINED } : { ...e, scope: 'target' };
+        if (expr.scope === 'target' || depth > 50) return expr;
+        const ownExpr = my.get(expr.name);
+        if (ownExpr) return flattenChild(ownExpr);
+        return expr.scope === 'my' ? { node: 'literal', value: UNDEFINED } : { ...expr, scope: 'target' };
       }
       case 'select':
-        return { ...e, of: inner(e.of) };
+        return { ...expr, operand: flattenChild(expr.operand) };
       case 'index':
-        return { ...e, of: inner(e.of), at: inner(e.at) };
+        return { ...expr, operand: flattenChild(expr.operand), at: flattenChild(expr.at) };
       case 'unary':
-        return { ...e, of: inner(e.of) };
+        return { ...expr, operand: flattenChild(expr.operand) };
       case 'binary':
-        return shorten({ ...e, left: inner(e.left), right: inner(e.right) });
+        return simplifyLogical({ ...expr, left: flattenChild(expr.left), right: flattenChild(expr.right) });
       case 'if': {
-        const test = inner(e.test);
-        return { ...e, test, yes: e.yes && inner(e.yes), no: inner(e.no) };
+        const test = flattenChild(expr.test);
+        return {
+          ...expr,
+          test,
+          consequent: expr.consequent && flattenChild(expr.consequent),
+          alternate: flattenChild(expr.alternate),
+        };
       }
       case 'list':
-        return { ...e, items: e.items.map(inner) };
+        return { ...expr, items: expr.items.map(flattenChild) };
       case 'call':
-        return { ...e, args: e.args.map(inner) };
+        return { ...expr, args: expr.args.map(flattenChild) };
     }
   };
-  const x = put();
-  if (x.node === 'literal' || !settled(x)) return x;
-  const value = evaluate(x, { my, target: null });
-  return isLiteral(value) && !(value instanceof Undefined && asks(x)) ? { node: 'literal', value } : x;
+  const substituted = substitute();
+  if (substituted.node === 'literal' || !isConstant(substituted)) return substituted;
+  const value = evaluate(substituted, { my, target: null });
+  return isLiteral(value) && !(value instanceof Undefined && readsAttribute(substituted))
+    ? { node: 'literal', value }
+    : substituted;
 }
 
 /** Nothing of the other side, and nothing that changes, is left in it. */
-function settled(e: Expr): boolean {
-  if (e.node === 'name' || e.node === 'ad') return false;
-  if (e.node === 'call' && IMPURE.has(e.name.toLowerCase())) return false;
-  return childrenOf(e).every(settled);
+function isConstant(expr: Expr): boolean {
+  if (expr.node === 'name' || expr.node === 'ad') return false;
+  if (expr.node === 'call' && IMPURE.has(expr.name.toLowerCase())) return false;
+  return childrenOf(expr).every(isConstant);
 }
 
-function asks(e: Expr): boolean {
-  return e.node === 'name' || childrenOf(e).some(asks);
+function readsAttribute(expr: Expr): boolean {
+  return expr.node === 'name' || childrenOf(expr).some(readsAttribute);
 }
 
 /** `true && x` asks no more than `x` where x is asked for a truth, as operands of && and || are. */
-function shorten(e: Expr & { node: 'binary' }): Expr {
-  const truth = (x: Expr, value: boolean) => x.node === 'literal' && x.value === value;
-  const logical = (x: Expr) => x.node === 'binary' && /^(&&|\|\||==|!=|=\?=|=!=|<|<=|>|>=)$/.test(x.op);
-  if (e.op === '&&' && truth(e.left, true) && logical(e.right)) return e.right;
-  if (e.op === '&&' && truth(e.right, true) && logical(e.left)) return e.left;
-  if (e.op === '&&' && truth(e.left, false)) return e.left;
-  if (e.op === '||' && truth(e.left, false) && logical(e.right)) return e.right;
-  if (e.op === '||' && truth(e.right, false) && logical(e.left)) return e.left;
-  if (e.op === '||' && truth(e.left, true)) return e.left;
-  return e;
+function simplifyLogical(expr: Expr & { node: 'binary' }): Expr {
+  const isBooleanLiteral = (x: Expr, value: boolean) => x.node === 'literal' && x.value === value;
+  const yieldsLogicalValue = (x: Expr) =>
+    x.node === 'binary' && /^(&&|\|\||==|!=|=\?=|=!=|<|<=|>|>=)$/.test(x.op);
+  if (expr.op === '&&' && isBooleanLiteral(expr.left, true) && yieldsLogicalValue(expr.right))
+    return expr.right;
+  if (expr.op === '&&' && isBooleanLiteral(expr.right, true) && yieldsLogicalValue(expr.left))
+    return expr.left;
+  if (expr.op === '&&' && isBooleanLiteral(expr.left, false)) return expr.left;
+  if (expr.op === '||' && isBooleanLiteral(expr.left, false) && yieldsLogicalValue(expr.right))
+    return expr.right;
+  if (expr.op === '||' && isBooleanLiteral(expr.right, false) && yieldsLogicalValue(expr.left))
+    return expr.left;
+  if (expr.op === '||' && isBooleanLiteral(expr.left, true)) return expr.left;
+  return expr;
 }
--- a/src/classad/parser.ts
+++ b/src/classad/parser.ts
@@ -79,8 +79,8 @@
   CloseAd,
 ];
 const lexer = new Lexer(TOKENS, { ensureOptimizations: false });
-const WORDS: Record<string, BinaryOp> = { is: '=?=', isnt: '=!=' };
-const SIZES: Record<string, number> = { b: 0, k: 1, m: 2, g: 3, t: 4 };
+const WORD_OPERATORS: Record<string, BinaryOp> = { is: '=?=', isnt: '=!=' };
+const SIZE_SUFFIXES: Record<string, number> = { b: 0, k: 1, m: 2, g: 3, t: 4 };
 
 class Grammar extends EmbeddedActionsParser {
   constructor() {
@@ -97,7 +97,7 @@
       operators.push(this.SUBRULE(this.operator));
       operands.push(this.SUBRULE2(this.unary));
     });
-    const test = this.ACTION(() => bind(operands, operators));
+    const test = this.ACTION(() => applyPrecedence(operands, operators));
     const rest = this.OPTION(() => {
       this.CONSUME(Question);
       let yes: Expr | null = null;
@@ -107,7 +107,7 @@
       this.CONSUME(Colon);
       return { yes, no: this.SUBRULE2(this.expression) };
     });
-    return rest ? { node: 'if', test, yes: rest.yes, no: rest.no } : test;
+    return rest ? { node: 'if', test, consequent: rest.yes, alternate: rest.no } : test;
   });
 
   private readonly operator = this.RULE(
@@ -117,10 +117,10 @@
         { ALT: () => this.CONSUME(Operator).image as BinaryOp },
         { ALT: () => this.CONSUME(Sign).image as BinaryOp },
         {
-          GATE: () => this.LA(1).image.toLowerCase() in WORDS,
+          GATE: () => this.LA(1).image.toLowerCase() in WORD_OPERATORS,
           ALT: () => {
             const { image } = this.CONSUME(Name);
-            return this.ACTION(() => WORDS[image.toLowerCase()]!);
+            return this.ACTION(() => WORD_OPERATORS[image.toLowerCase()]!);
           },
         },
       ]),
@@ -133,18 +133,18 @@
       ops.push(op.image as UnaryOp);
     });
     const of = this.SUBRULE(this.postfix);
-    return this.ACTION(() => ops.reduceRight<Expr>((e, op) => ({ node: 'unary', op, of: e }), of));
+    return this.ACTION(() => ops.reduceRight<Expr>((e, op) => ({ node: 'unary', op, operand: e }), of));
   });
 
   private readonly postfix = this.RULE('postfix', (): Expr => {
-    let e = this.SUBRULE(this.primary);
+    let expr = this.SUBRULE(this.primary);
     this.MANY(() => {
       this.OR([
         {
           ALT: () => {
             this.CONSUME(Dot);
             const name = this.SUBRULE(this.name);
-            e = this.ACTION(() => select(e, name));
+            expr = this.ACTION(() => select(expr, name));
           },
         },
         {
@@ -152,26 +152,26 @@
             this.CONSUME(OpenAd);
             const at = this.SUBRULE(this.expression);
             this.CONSUME(CloseAd);
-            e = { node: 'index', of: e, at };
+            expr = { node: 'index', operand: expr, at };
           },
         },
       ]);
     });
-    return e;
+    return expr;
   });
 
-  private literal(type: TokenType, read: (t: IToken) => Literal): Expr {
+  private literal(type: TokenType, lexed: (t: IToken) => Literal): Expr {
     const t = this.CONSUME(type);
-    return this.ACTION((): Expr => ({ node: 'literal', value: read(t) }));
+    return this.ACTION((): Expr => ({ node: 'literal', value: lexed(t) }));
   }
 
   private readonly primary = this.RULE(
     'primary',
     (): Expr =>
       this.OR([
-        { ALT: () => this.literal(Integer, integer) },
-        { ALT: () => this.literal(Real, (t) => real(t.image)) },
-        { ALT: () => this.literal(Text, (t) => unquote(t.image)) },
+        { ALT: () => this.literal(Integer, parseInteger) },
+        { ALT: () => this.literal(Real, (t) => parseReal(t.image)) },
+        { ALT: () => this.literal(Text, (t) => unescapeQuoted(t.image)) },
         {
           ALT: () => {
             this.CONSUME(Open);
@@ -236,7 +236,7 @@
       {
         ALT: () => {
           const t = this.CONSUME(QuotedName);
-          return this.ACTION(() => unquote(t.image));
+          return this.ACTION(() => unescapeQuoted(t.image));
         },
       },
     ]),
@@ -264,55 +264,59 @@
   }
 }
 
-function select(of: Expr, name: string): Expr {
-  if (of.node === 'name' && of.scope === null) {
-    const scope = of.name.toLowerCase();
+function select(operand: Expr, name: string): Expr {
+  if (operand.node === 'name' && operand.scope === null) {
+    const scope = operand.name.toLowerCase();
     if (scope === 'my' || scope === 'target') return { node: 'name', scope, name };
   }
-  return { node: 'select', of, name };
+  return { node: 'select', operand, name };
 }
 
-function bind(operands: Expr[], operators: BinaryOp[]): Expr {
-  const out: Expr[] = [operands[0]!];
-  const ops: BinaryOp[] = [];
+function applyPrecedence(operands: Expr[], operators: BinaryOp[]): Expr {
+  const output: Expr[] = [operands[0]!];
+  const pending: BinaryOp[] = [];
   const reduce = () => {
-    const right = out.pop()!;
-    const left = out.pop()!;
-    out.push({ node: 'binary', op: ops.pop()!, left, right });
+    const right = output.pop()!;
+    const left = output.pop()!;
+    output.push({ node: 'binary', op: pending.pop()!, left, right });
   };
   operators.forEach((op, i) => {
-    while (ops.length > 0 && PRECEDENCE[ops.at(-1)!] >= PRECEDENCE[op]) reduce();
-    ops.push(op);
-    out.push(operands[i + 1]!);
+    while (pending.length > 0 && PRECEDENCE[pending.at(-1)!] >= PRECEDENCE[op]) reduce();
+    pending.push(op);
+    output.push(operands[i + 1]!);
   });
-  while (ops.length > 0) reduce();
-  return out[0]!;
+  while (pending.length > 0) reduce();
+  return output[0]!;
 }
 
-function scaled(image: string): { digits: string; factor: number } {
-  const size = SIZES[image.at(-1)!.toLowerCase()];
+function splitSizeSuffix(image: string): { digits: string; factor: number } {
+  const size = SIZE_SUFFIXES[image.at(-1)!.toLowerCase()];
   return size === undefined
     ? { digits: image, factor: 1 }
     : { digits: image.slice(0, -1), factor: 1024 ** size };
 }
 
-function integer(t: IToken): bigint {
-  if (/^0x/i.test(t.image)) return BigInt.asIntN(64, BigInt(t.image));
-  const { digits, factor } = scaled(t.image);
+function parseInteger(integerToken: IToken): bigint {
+  if (/^0x/i.test(integerToken.image)) return BigInt.asIntN(64, BigInt(integerToken.image));
+  const { digits, factor } = splitSizeSuffix(integerToken.image);
   const value = BigInt(digits) * BigInt(factor);
   if (value > 2n ** 63n)
-    throw new ClassAdError('an integer beyond 64 bits', t.startLine ?? 1, t.startColumn ?? 1);
+    throw new ClassAdError(
+      'an integer beyond 64 bits',
+      integerToken.startLine ?? 1,
+      integerToken.startColumn ?? 1,
+    );
   return BigInt.asIntN(64, value);
 }
 
-function real(image: string): number {
-  const { digits, factor } = scaled(image);
+function parseReal(image: string): number {
+  const { digits, factor } = splitSizeSuffix(image);
   return Number(digits) * factor;
 }
 
 const ESCAPES: Record<string, string> = { n: '\n', t: '\t', r: '\r', b: '\b', f: '\f' };
 
-function unquote(image: string): string {
+function unescapeQuoted(image: string): string {
   return image
     .slice(1, -1)
     .replace(/\\([0-3]?[0-7]{1,2}|[\s\S])/g, (_, c: string) =>
@@ -323,49 +327,53 @@
 const OPENING = new Set([Open, OpenList, OpenAd]);
 const CLOSING = new Set([Close, CloseList, CloseAd]);
 
-function tokens(text: string): IToken[] {
+function tokenize(text: string): IToken[] {
   if (text.length > LIMITS.text) throw new ClassAdError(`longer than ${LIMITS.text} characters`, 1, 1);
-  const read = lexer.tokenize(text);
-  const [bad] = read.errors;
-  if (bad) {
-    const found = text.slice(bad.offset, bad.offset + 1);
-    const what =
+  const lexed = lexer.tokenize(text);
+  const [lexingError] = lexed.errors;
+  if (lexingError) {
+    const found = text.slice(lexingError.offset, lexingError.offset + 1);
+    const message =
       found === '"' ? 'a string that does not end' : `${JSON.stringify(found)} has no meaning here`;
-    throw new ClassAdError(what, bad.line ?? 1, bad.column ?? 1);
+    throw new ClassAdError(message, lexingError.line ?? 1, lexingError.column ?? 1);
   }
   let depth = 0;
-  let row = 0;
-  for (const t of read.tokens) {
-    if (OPENING.has(t.tokenType)) depth++;
-    if (CLOSING.has(t.tokenType)) depth--;
+  let unbracketedNesting = 0;
+  for (const current of lexed.tokens) {
+    if (OPENING.has(current.tokenType)) depth++;
+    if (CLOSING.has(current.tokenType)) depth--;
     // Signs and conditions nest without brackets.
-    row = [Sign, Not, Question, Colon].includes(t.tokenType)
-      ? row + 1
-      : [Comma, Semicolon].includes(t.tokenType)
+    unbracketedNesting = [Sign, Not, Question, Colon].includes(current.tokenType)
+      ? unbracketedNesting + 1
+      : [Comma, Semicolon].includes(current.tokenType)
         ? 0
-        : row;
-    if (depth > LIMITS.depth || row > LIMITS.depth * 5)
-      throw new ClassAdError(`nested deeper than ${LIMITS.depth}`, t.startLine ?? 1, t.startColumn ?? 1);
+        : unbracketedNesting;
+    if (depth > LIMITS.depth || unbracketedNesting > LIMITS.depth * 5)
+      throw new ClassAdError(
+        `nested deeper than ${LIMITS.depth}`,
+        current.startLine ?? 1,
+        current.startColumn ?? 1,
+      );
   }
-  return read.tokens;
+  return lexed.tokens;
 }
 
-function run<T>(text: string, rule: () => T): T {
-  grammar.input = tokens(text);
+function parseWith<T>(text: string, rule: () => T): T {
+  grammar.input = tokenize(text);
   const result = rule();
   const [error] = grammar.errors;
   if (!error) return result;
-  const at = error.token.tokenType.name === 'EOF' ? grammar.input.at(-1) : error.token;
+  const position = error.token.tokenType.name === 'EOF' ? grammar.input.at(-1) : error.token;
   const found = error.token.image === '' ? 'the end' : JSON.stringify(error.token.image);
-  const column = at === error.token ? (at.startColumn ?? 1) : (at?.endColumn ?? 0) + 1;
+  const column = position === error.token ? (position.startColumn ?? 1) : (position?.endColumn ?? 0) + 1;
   throw new ClassAdError(
-    `${found} where ${EXPECTED[error.name] ?? 'something else'} was expected`,
-    at?.startLine ?? 1,
+    `${found} where ${EXPECTED_BY_ERROR[error.name] ?? 'something else'} was expected`,
+    position?.startLine ?? 1,
     column,
   );
 }
 
-const EXPECTED: Record<string, string> = {
+const EXPECTED_BY_ERROR: Record<string, string> = {
   MismatchedTokenException: 'a closing bracket, a name or "="',
   NoViableAltException: 'a value',
   NotAllInputParsedException: 'an operator or the end',
@@ -374,12 +382,12 @@
 
 /** Reads one expression. Fails with `ClassAdError`. */
 export function parseExpr(text: string): Expr {
-  return run(text, () => grammar.expression());
+  return parseWith(text, () => grammar.expression());
 }
 
 /** Reads an ad in the new syntax, `[ a = 1; b = 2 ]`, or in the old one, a line an attribute. Fails with `ClassAdError`. */
 export function parseAd(text: string): Ad {
-  if (/^\s*\[/.test(text)) return run(text, () => grammar.ad());
+  if (/^\s*\[/.test(text)) return parseWith(text, () => grammar.ad());
   const ad = new Ad();
   text.split('\n').forEach((line, i) => {
     if (/^\s*(#.*|\/\/.*)?$/.test(line)) return;
--- a/src/classad/print.ts
+++ b/src/classad/print.ts
@@ -2,13 +2,13 @@
 
 const NAME = /^[A-Za-z_][A-Za-z0-9_]*$/;
 const RESERVED = new Set(['true', 'false', 'undefined', 'error', 'is', 'isnt', 'my', 'target']);
-const IF = 0;
+const CONDITIONAL = 0;
 const UNARY = 11;
 const POSTFIX = 12;
 
 /** An expression as text that reads back as the same. */
 export function printExpr(e: Expr): string {
-  return print(e, IF);
+  return printWithin(e, CONDITIONAL);
 }
 
 /** An ad as text that can be parsed again. */
@@ -28,7 +28,7 @@
   return `"${escapeText(text, '"')}"`;
 }
 
-const ESCAPED: Record<string, string> = {
+const ESCAPE_SEQUENCES: Record<string, string> = {
   '\n': '\\n',
   '\t': '\\t',
   '\r': '\\r',
@@ -37,11 +37,11 @@
   '\\': '\\\\',
 };
 
-function escapeText(text: string, mark: string): string {
+function escapeText(text: string, quoteMark: string): string {
   // biome-ignore lint/suspicious/noControlCharactersInRegex: control characters are what is escaped
   return text.replace(/[\u0000-\u001f\\"']/g, (c) => {
-    if (c === '"' || c === "'") return c === mark ? `\\${c}` : c;
-    return ESCAPED[c] ?? `\\${c.charCodeAt(0).toString(8).padStart(3, '0')}`;
+    if (c === '"' || c === "'") return c === quoteMark ? `\\${c}` : c;
+    return ESCAPE_SEQUENCES[c] ?? `\\${c.charCodeAt(0).toString(8).padStart(3, '0')}`;
   });
 }
 
@@ -60,43 +60,60 @@
   return /[.e]/.test(text) ? text : `${text}.0`;
 }
 
-function print(e: Expr, within: number): string {
-  const [text, binds] = form(e);
-  return binds < within ? `(${text})` : text;
+function printWithin(expr: Expr, minPrecedence: number): string {
+  const [text, precedence] = format(expr);
+  return precedence < minPrecedence ? `(${text})` : text;
 }
 
 /** Its text, and how tightly that binds. */
-function form(e: Expr): [string, number] {
-  switch (e.node) {
+function format(expr: Expr): [string, number] {
+  switch (expr.node) {
     case 'literal': {
-      const text = printLiteral(e.value);
+      const text = printLiteral(expr.value);
       return [text, text.startsWith('-') ? UNARY : POSTFIX];
     }
     case 'name':
       return [
-        e.scope === null ? printName(e.name) : `${e.scope.toUpperCase()}.${printName(e.name)}`,
+        expr.scope === null ? printName(expr.name) : `${expr.scope.toUpperCase()}.${printName(expr.name)}`,
         POSTFIX,
       ];
     case 'select': {
       // `(my).x` is not `MY.x`, and `1.x` is no selection.
-      const of = e.of.node === 'literal' ? `(${print(e.of, IF)})` : print(e.of, POSTFIX);
-      return [`${of}.${printName(e.name)}`, POSTFIX];
+      const of =
+        expr.operand.node === 'literal'
+          ? `(${printWithin(expr.operand, CONDITIONAL)})`
+          : printWithin(expr.operand, POSTFIX);
+      return [`${of}.${printName(expr.name)}`, POSTFIX];
     }
     case 'index':
-      return [`${print(e.of, POSTFIX)}[${print(e.at, IF)}]`, POSTFIX];
+      return [`${printWithin(expr.operand, POSTFIX)}[${printWithin(expr.at, CONDITIONAL)}]`, POSTFIX];
     case 'unary':
-      return [`${e.op}${print(e.of, UNARY)}`, UNARY];
+      return [`${expr.op}${printWithin(expr.operand, UNARY)}`, UNARY];
     case 'binary': {
-      const p = PRECEDENCE[e.op];
-      return [`${print(e.left, p)} ${e.op} ${print(e.right, p + 1)}`, p];
+      const precedence = PRECEDENCE[expr.op];
+      return [
+        `${printWithin(expr.left, precedence)} ${expr.op} ${printWithin(expr.right, precedence + 1)}`,
+        precedence,
+      ];
     }
     case 'if':
-      return [`${print(e.test, 1)} ?${e.yes ? ` ${print(e.yes, IF)} ` : ''}: ${print(e.no, IF)}`, IF];
+      return [
+        `${printWithin(expr.test, 1)} ?${expr.consequent ? ` ${printWithin(expr.consequent, CONDITIONAL)} ` : ''}: ${printWithin(expr.alternate, CONDITIONAL)}`,
+        CONDITIONAL,
+      ];
     case 'list':
-      return [e.items.length === 0 ? '{ }' : `{ ${e.items.map((i) => print(i, IF)).join(', ')} }`, POSTFIX];
+      return [
+        expr.items.length === 0
+          ? '{ }'
+          : `{ ${expr.items.map((i) => printWithin(i, CONDITIONAL)).join(', ')} }`,
+        POSTFIX,
+      ];
     case 'ad':
-      return [printAd(e.ad), POSTFIX];
+      return [printAd(expr.ad), POSTFIX];
     case 'call':
-      return [`${printName(e.name)}(${e.args.map((a) => print(a, IF)).join(', ')})`, POSTFIX];
+      return [
+        `${printName(expr.name)}(${expr.args.map((a) => printWithin(a, CONDITIONAL)).join(', ')})`,
+        POSTFIX,
+      ];
   }
 }
--- a/src/condor/analyze.ts
+++ b/src/condor/analyze.ts
@@ -31,36 +31,38 @@
 }
 
 /** The parts of a requirement that must all hold. */
-function clausesOf(e: Expr): Expr[] {
-  return e.node === 'binary' && e.op === '&&' ? [...clausesOf(e.left), ...clausesOf(e.right)] : [e];
+function conjunctsOf(expr: Expr): Expr[] {
+  return expr.node === 'binary' && expr.op === '&&'
+    ? [...conjunctsOf(expr.left), ...conjunctsOf(expr.right)]
+    : [expr];
 }
 
-const TRUE = (e: Expr, my: Ad, offer: Offer) => evaluate(e, { my, target: offer.ad }) === true;
+const isSatisfied = (expr: Expr, my: Ad, offer: Offer) => evaluate(expr, { my, target: offer.ad }) === true;
 
 /** Which clauses of a requirement fail on which kinds. Requests that no kind is large enough for count as clauses. */
 export function analyze(
   requirements: Expr,
   my: Ad,
   offers: readonly Offer[],
-  extra: readonly Expr[] = [],
+  sizeRequirements: readonly Expr[] = [],
 ): Analysis {
-  const parts = [...extra, ...clausesOf(requirements)];
-  const clauses = parts.map((e) => {
-    const matches = offers.filter((o) => TRUE(e, my, o)).length;
-    const nearest = matches === 0 ? nearestOf(e, my, offers) : null;
+  const conjuncts = [...sizeRequirements, ...conjunctsOf(requirements)];
+  const clauses = conjuncts.map((e) => {
+    const matches = offers.filter((o) => isSatisfied(e, my, o)).length;
+    const nearest = matches === 0 ? nearestValue(e, my, offers) : null;
     return { text: printExpr(e), matches, ...(nearest !== null && { nearest }) };
   });
-  const matches = offers.filter((o) => parts.every((e) => TRUE(e, my, o))).length;
+  const matches = offers.filter((o) => conjuncts.every((e) => isSatisfied(e, my, o))).length;
   return {
     kinds: offers.length,
     matches,
     clauses,
-    reason: matches > 0 ? null : reasonOf(parts, clauses, my, offers),
+    reason: matches > 0 ? null : reasonOf(conjuncts, clauses, my, offers),
   };
 }
 
 function reasonOf(
-  parts: readonly Expr[],
+  conjuncts: readonly Expr[],
   clauses: readonly Clause[],
   my: Ad,
   offers: readonly Offer[],
@@ -69,28 +71,37 @@
   const failing = clauses.filter((c) => c.matches === 0);
   if (failing.length === 0)
     return `every clause matches some kinds, but none of the ${offers.length} matches all: ${clauses.map((c) => `${c.text} ${c.matches}`).join('; ')}`;
-  const others = parts.filter((_, i) => clauses[i]!.matches > 0);
-  const rest = offers.filter((o) => others.every((e) => TRUE(e, my, o))).length;
-  const told = failing.map((c) =>
+  const others = conjuncts.filter((_, i) => clauses[i]!.matches > 0);
+  const matchingOthers = offers.filter((o) => others.every((e) => isSatisfied(e, my, o))).length;
+  const explanations = failing.map((c) =>
     c.nearest ? `${c.text}: ${c.nearest}` : `${c.text}: on none of ${offers.length} kinds`,
   );
-  return others.length === 0 ? told.join('; ') : `${told.join('; ')}; the other clauses match ${rest}`;
+  return others.length === 0
+    ? explanations.join('; ')
+    : `${explanations.join('; ')}; the other clauses match ${matchingOthers}`;
 }
 
 /** Of `Memory > 512000`: the largest memory that there is. */
-function nearestOf(e: Expr, my: Ad, offers: readonly Offer[]): string | null {
-  if (e.node !== 'binary' || !/^(<|<=|>|>=|==)$/.test(e.op)) return null;
-  const asks = (x: Expr) => x.node === 'name' && (x.scope === 'target' || !my.has(x.name));
-  const side = asks(e.left) ? e.left : asks(e.right) ? e.right : null;
-  if (!side) return null;
-  const values = offers.map((o) => evaluate(side, { my, target: o.ad }));
+function nearestValue(clause: Expr, my: Ad, offers: readonly Offer[]): string | null {
+  if (clause.node !== 'binary' || !/^(<|<=|>|>=|==)$/.test(clause.op)) return null;
+  const isTargetAttribute = (x: Expr) => x.node === 'name' && (x.scope === 'target' || !my.has(x.name));
+  const targetAttribute = isTargetAttribute(clause.left)
+    ? clause.left
+    : isTargetAttribute(clause.right)
+      ? clause.right
+      : null;
+  if (!targetAttribute) return null;
+  const values = offers.map((o) => evaluate(targetAttribute, { my, target: o.ad }));
   const numbers = values.filter((v) => typeof v === 'bigint' || typeof v === 'number');
   if (numbers.length === 0) {
-    const known = new Set(values.filter((v) => typeof v === 'string').map(printValue));
-    return known.size === 0 ? 'no kind has that attribute' : `there are ${[...known].slice(0, 8).join(', ')}`;
+    const offeredStrings = new Set(values.filter((v) => typeof v === 'string').map(printValue));
+    return offeredStrings.size === 0
+      ? 'no kind has that attribute'
+      : `there are ${[...offeredStrings].slice(0, 8).join(', ')}`;
   }
-  const larger = (side === e.left) === (e.op === '>' || e.op === '>=' || e.op === '==');
-  const best = numbers.reduce((a, b) => ((larger ? b > a : b < a) ? b : a));
+  const wantsLarger =
+    (targetAttribute === clause.left) === (clause.op === '>' || clause.op === '>=' || clause.op === '==');
+  const best = numbers.reduce((a, b) => ((wantsLarger ? b > a : b < a) ? b : a));
   const types = new Set(offers.filter((_, i) => values[i] === best).map((o) => o.type));
-  return `${larger ? 'largest' : 'smallest'} is ${printValue(best)} on ${types.size} type${types.size === 1 ? '' : 's'}`;
+  return `${wantsLarger ? 'largest' : 'smallest'} is ${printValue(best)} on ${types.size} type${types.size === 1 ? '' : 's'}`;
 }
--- a/src/condor/cluster.ts
+++ b/src/condor/cluster.ts
@@ -4,10 +4,10 @@
 import type { ProcState } from '../wire/condor.js';
 import type { JobSpec, ListedJob } from '../wire/users.js';
 import type { ClusterPlan, Proc } from './procs.js';
-import { CHUNK, type ClusterRecord, type Exception } from './records.js';
+import { type ClusterRecord, type Exception, PROCS_PER_CHUNK } from './records.js';
 
 /** The numbers that the language has for states. */
-const STATUS: Record<ProcState, bigint> = {
+const JOB_STATUS: Record<ProcState, bigint> = {
   idle: 1n,
   running: 2n,
   removed: 3n,
@@ -15,7 +15,7 @@
   held: 5n,
 };
 
-const PROCS_KEPT = 2000;
+const MAX_CACHED_PROCS = 2000;
 
 /** The id of the job that one start of a process is; nobody else makes ids like it. */
 export function jobId(cluster: number, proc: number, start: number): string {
@@ -23,7 +23,7 @@
 }
 
 /** What the ids of all jobs of a cluster begin with. */
-export const jobsUnder = (cluster: number) => `wk-condor-${cluster}-`;
+export const jobIdPrefix = (cluster: number) => `wk-condor-${cluster}-`;
 
 /** One cluster as the expander has it: which of its processes are jobs, and which were held, released or removed. */
 export class Cluster {
@@ -34,16 +34,16 @@
   listedAt = Number.NEGATIVE_INFINITY;
   listedCursor = 0;
   /** Jobs that have to be cancelled yet. */
-  readonly cancelling = new Set<string>();
-  readonly since = new Map<number, { state: ProcState; at: number }>();
+  readonly pendingCancellations = new Set<string>();
+  readonly stateSince = new Map<number, { state: ProcState; at: number }>();
   checkedAt = 0;
   /** Released processes whose new start is not a job yet. */
-  readonly waiting = new Set<number>();
+  readonly pendingRestarts = new Set<number>();
   /** It is being removed, and its jobs have not been looked at under this term. */
-  unswept = false;
+  cancellationSweepDue = false;
   /** What changes its records goes one after the other. */
   readonly mutex = new Mutex();
-  private readonly made = new Map<number, Proc>();
+  private readonly procCache = new Map<number, Proc>();
 
   constructor(
     readonly number: number,
@@ -51,32 +51,32 @@
     public version: number,
     readonly plan: ClusterPlan,
     readonly exceptions: Map<number, Exception>,
-    readonly chunks: Map<number, number>,
+    readonly chunkVersions: Map<number, number>,
   ) {
     this.cursor = record.from;
     // Whoever expanded it before may have been cut off between storing an exception and cancelling what it is about.
-    for (const [proc, x] of exceptions) {
-      this.cancelBefore(proc, x);
-      if (x.state === 'idle' && proc < this.cursor) this.waiting.add(proc);
+    for (const [proc, exception] of exceptions) {
+      this.cancelSupersededStarts(proc, exception);
+      if (exception.state === 'idle' && proc < this.cursor) this.pendingRestarts.add(proc);
     }
-    this.unswept = record.state === 'removing';
+    this.cancellationSweepDue = record.state === 'removing';
   }
 
   /** Orders the cancelling of all starts of a process that do not count any more. */
-  cancelBefore(proc: number, x: Exception): void {
+  cancelSupersededStarts(proc: number, exception: Exception): void {
     if (proc >= this.record.upTo) return;
-    const starts = x.state === 'removed' ? x.start + 1 : x.start;
-    for (let s = 0; s < starts; s++) this.cancelling.add(jobId(this.number, proc, s));
+    const starts = exception.state === 'removed' ? exception.start + 1 : exception.start;
+    for (let s = 0; s < starts; s++) this.pendingCancellations.add(jobId(this.number, proc, s));
   }
 
   proc(n: number): Proc {
-    let p = this.made.get(n);
-    if (!p) {
-      p = this.plan.proc(this.number, n);
-      if (this.made.size >= PROCS_KEPT) this.made.delete(this.made.keys().next().value!);
-      this.made.set(n, p);
+    let proc = this.procCache.get(n);
+    if (!proc) {
+      proc = this.plan.proc(this.number, n);
+      if (this.procCache.size >= MAX_CACHED_PROCS) this.procCache.delete(this.procCache.keys().next().value!);
+      this.procCache.set(n, proc);
     }
-    return p;
+    return proc;
   }
 
   /** The job that a process is now. */
@@ -85,8 +85,8 @@
   }
 
   get priority(): bigint {
-    const e = this.proc(0).ad.get('JobPrio');
-    return e?.node === 'literal' && typeof e.value === 'bigint' ? e.value : 0n;
+    const expr = this.proc(0).ad.get('JobPrio');
+    return expr?.node === 'literal' && typeof expr.value === 'bigint' ? expr.value : 0n;
   }
 
   /** Most clusters say nothing of it, and then no process has to be made to know. */
@@ -95,31 +95,33 @@
   }
 
   /** Whether a process is to become a job, as far as its owner has said. */
-  wanted(n: number): boolean {
-    const x = this.exceptions.get(n);
-    if (x) return x.state === 'idle';
+  shouldBecomeJob(n: number): boolean {
+    const exception = this.exceptions.get(n);
+    if (exception) return exception.state === 'idle';
     return !this.heldFromStart(n);
   }
 
   state(n: number): ProcState {
-    const x = this.exceptions.get(n);
-    if (x && x.state !== 'idle') return x.state;
-    if (!x && this.heldFromStart(n)) return 'held';
+    const exception = this.exceptions.get(n);
+    if (exception && exception.state !== 'idle') return exception.state;
+    if (!exception && this.heldFromStart(n)) return 'held';
     if (this.record.state === 'removing') return 'removed';
-    const job = this.jobs.get(jobId(this.number, n, x?.start ?? 0));
+    const job = this.jobs.get(jobId(this.number, n, exception?.start ?? 0));
     if (job) return job.running > 0 ? 'running' : 'idle';
     // What was listed as unfinished and is no longer has ended; what became a job since has not been listed yet.
-    return n < Math.min(this.listedCursor, this.cursor) && !this.waiting.has(n) ? 'completed' : 'idle';
+    return n < Math.min(this.listedCursor, this.cursor) && !this.pendingRestarts.has(n)
+      ? 'completed'
+      : 'idle';
   }
 
   /** A process's ad as it stands, for constraints and periodic expressions. */
   adOf(n: number, now: number): Ad {
     const state = this.state(n);
-    const known = this.since.get(n);
-    if (known?.state !== state) this.since.set(n, { state, at: now });
+    const lastState = this.stateSince.get(n);
+    if (lastState?.state !== state) this.stateSince.set(n, { state, at: now });
     const ad = this.proc(n).ad.copy();
-    ad.setValue('JobStatus', STATUS[state])
-      .setValue('EnteredCurrentStatus', BigInt(Math.floor(this.since.get(n)!.at)))
+    ad.setValue('JobStatus', JOB_STATUS[state])
+      .setValue('EnteredCurrentStatus', BigInt(Math.floor(this.stateSince.get(n)!.at)))
       .setValue('NumJobStarts', BigInt(this.exceptions.get(n)?.start ?? 0))
       .setValue('CurrentTime', BigInt(Math.floor(now)));
     const why = this.exceptions.get(n)?.why;
@@ -127,11 +129,11 @@
     return ad;
   }
 
-  says(n: number, attribute: string, now: number): boolean {
+  attributeIsTrue(n: number, attribute: string, now: number): boolean {
     const ad = this.adOf(n, now);
-    const e = ad.get(attribute);
-    if (!e) return false;
-    const value = evaluate(e, { my: ad, now });
+    const expr = ad.get(attribute);
+    if (!expr) return false;
+    const value = evaluate(expr, { my: ad, now });
     return isLiteral(value) && value === true;
   }
 
@@ -142,6 +144,6 @@
   }
 
   chunkNumbers(procs: Iterable<number>): number[] {
-    return [...new Set([...procs].map((p) => Math.floor(p / CHUNK)))];
+    return [...new Set([...procs].map((p) => Math.floor(p / PROCS_PER_CHUNK)))];
   }
 }
--- a/src/condor/commands.ts
+++ b/src/condor/commands.ts
@@ -12,8 +12,8 @@
 const kept = (attribute: string, why: string): Command => ({ use: 'kept', attribute, why });
 const refused = (why: string): Command => ({ use: 'refused', attribute: '', why });
 
-const FETCHED = 'workers fetch what they run themselves';
-const RETRIED = 'a task that fails is started again until it is done or removed';
+const FETCHED_BY_WORKERS = 'workers fetch what they run themselves';
+const ALWAYS_RETRIED = 'a task that fails is started again until it is done or removed';
 
 /** Every command that is known, by its name in lower case; docs/condor.md has the same table. */
 export const COMMANDS: Readonly<Record<string, Command>> = {
@@ -45,25 +45,25 @@
   on_exit_remove: used('OnExitRemove'),
   on_exit_hold: used('OnExitHold'),
   universe: used('Universe'),
-  max_retries: kept('JobMaxRetries', RETRIED),
-  retry_until: kept('RetryUntil', RETRIED),
-  success_exit_code: kept('JobSuccessExitCode', RETRIED),
-  input: kept('In', FETCHED),
-  output: kept('Out', FETCHED),
-  error: kept('Err', FETCHED),
+  max_retries: kept('JobMaxRetries', ALWAYS_RETRIED),
+  retry_until: kept('RetryUntil', ALWAYS_RETRIED),
+  success_exit_code: kept('JobSuccessExitCode', ALWAYS_RETRIED),
+  input: kept('In', FETCHED_BY_WORKERS),
+  output: kept('Out', FETCHED_BY_WORKERS),
+  error: kept('Err', FETCHED_BY_WORKERS),
   log: kept('UserLog', 'condor q and the cluster’s own records say what became of a process'),
-  initialdir: kept('Iwd', FETCHED),
-  should_transfer_files: kept('ShouldTransferFiles', FETCHED),
-  when_to_transfer_output: kept('WhenToTransferOutput', FETCHED),
-  transfer_input_files: kept('TransferInput', FETCHED),
-  transfer_output_files: kept('TransferOutput', FETCHED),
-  transfer_executable: kept('TransferExecutable', FETCHED),
+  initialdir: kept('Iwd', FETCHED_BY_WORKERS),
+  should_transfer_files: kept('ShouldTransferFiles', FETCHED_BY_WORKERS),
+  when_to_transfer_output: kept('WhenToTransferOutput', FETCHED_BY_WORKERS),
+  transfer_input_files: kept('TransferInput', FETCHED_BY_WORKERS),
+  transfer_output_files: kept('TransferOutput', FETCHED_BY_WORKERS),
+  transfer_executable: kept('TransferExecutable', FETCHED_BY_WORKERS),
   getenv: kept('GetEnv', 'a worker knows nothing of your environment'),
   notification: kept('JobNotification', 'nobody is written to'),
   notify_user: kept('NotifyUser', 'nobody is written to'),
   concurrency_limits: kept('ConcurrencyLimits', 'limits are those of the team (accounting_group)'),
-  stream_output: kept('StreamOut', FETCHED),
-  stream_error: kept('StreamErr', FETCHED),
+  stream_output: kept('StreamOut', FETCHED_BY_WORKERS),
+  stream_error: kept('StreamErr', FETCHED_BY_WORKERS),
   want_graceful_removal: kept('WantGracefulRemoval', 'a removed process is gone within the cluster’s bound'),
   job_lease_duration: kept('JobLeaseDuration', 'leases are the platform’s'),
   leave_in_queue: kept('LeaveJobInQueue', 'how a process ended is kept in any case'),
--- a/src/condor/expander.ts
+++ b/src/condor/expander.ts
@@ -8,36 +8,36 @@
 import { StateStoreError } from '../state/statestore.js';
 import type { ProcState } from '../wire/condor.js';
 import type { JobSpec, ListedJob } from '../wire/users.js';
-import { Cluster, jobId, jobsUnder } from './cluster.js';
+import { Cluster, jobId, jobIdPrefix } from './cluster.js';
 import { ClusterPlan, type ProcOptions } from './procs.js';
-import { type ClusterRecords, EXPANDER, type Exception, type Loaded } from './records.js';
+import { type ClusterRecords, EXPANDER, type Exception, type StoredCluster } from './records.js';
 
 const TICK_MS = 500;
-const LIST_MS = 2000;
-const LOOK_MS = 1500;
-const PERIODIC_MS = 20_000;
+const LIST_INTERVAL_MS = 2000;
+const DISCOVERY_INTERVAL_MS = 1500;
+const PERIODIC_INTERVAL_MS = 20_000;
 /** Processes that may have become jobs before that is stored: what a new expander goes through again. */
-const WINDOW = 64;
+const EXPANSION_WINDOW = 64;
 /** Of the key-value store's rate of changes, what becoming a job may take beside all else. */
 const WRITE_RATE_SHARE = 0.3;
 /** While a change would wait longer than this, others need the key-value store more. */
-const BUSY_MS = 150;
+const BUSY_WRITE_DELAY_MS = 150;
 /** Unfinished jobs of one cluster at once, unless its owner asks for fewer: the rest waits as a line in its record. */
 const MAX_UNFINISHED_JOBS = 500;
-const AT_ONCE = 4;
-const CHECKED_PER_TURN = 500;
+const MAX_CONCURRENT_REQUESTS = 4;
+const PROCS_PER_SLICE = 500;
 
 /** What a user may do to processes. */
-export type Act = 'hold' | 'release' | 'remove';
+export type ProcAction = 'hold' | 'release' | 'remove';
 
 /** Turns processes into jobs, one node for all clusters; and keeps what was held, released and removed. */
 export class Expander {
   readonly clusters = new Map<number, Cluster>();
   private term: number | null = null;
-  private lookedAt = Number.NEGATIVE_INFINITY;
-  private notBefore = 0;
-  private budget = 0;
-  private turn = 0;
+  private lastDiscoveryAt = Number.NEGATIVE_INFINITY;
+  private backoffUntil = 0;
+  private writeBudget = 0;
+  private roundRobinCounter = 0;
   private readonly clock: Clock;
 
   constructor(
@@ -59,7 +59,7 @@
       } catch (error) {
         if (!(error instanceof StateStoreError || error instanceof UnavailableError))
           this.log.error({ err: error }, 'expanding failed');
-        this.notBefore = this.clock.now() + 1000;
+        this.backoffUntil = this.clock.now() + 1000;
       }
     }
   }
@@ -67,12 +67,12 @@
   /** Whether this node expands now. */
   get active(): boolean {
     if (this.term === null) return false;
-    const e = this.node.membership.stateCache.entries.get(EXPANDER);
+    const entry = this.node.membership.stateCache.entries.get(EXPANDER);
     return (
       this.node.membership.holdsLease &&
-      e !== undefined &&
-      e.version === this.term &&
-      this.node.membership.isHeldHere(e.value)
+      entry !== undefined &&
+      entry.version === this.term &&
+      this.node.membership.isHeldHere(entry.value)
     );
   }
 
@@ -80,14 +80,14 @@
     return this.clock.wall() / 1000;
   }
 
-  private drop(): void {
+  private resetTerm(): void {
     this.term = null;
     this.clusters.clear();
-    this.lookedAt = Number.NEGATIVE_INFINITY;
+    this.lastDiscoveryAt = Number.NEGATIVE_INFINITY;
   }
 
   private async tick(): Promise<void> {
-    if (this.term !== null && !this.active) this.drop();
+    if (this.term !== null && !this.active) this.resetTerm();
     if (this.term === null) {
       const { stateCache } = this.node.membership;
       if (!stateCache.isLoaded || stateCache.entries.has(EXPANDER) || !this.node.allSupportMatching) return;
@@ -95,140 +95,161 @@
       if (this.term === null) return;
       this.log.info({ term: this.term }, 'expands clusters');
     }
-    if (this.clock.now() < this.notBefore) return;
-    if (this.clock.now() - this.lookedAt > LOOK_MS) await this.look();
+    if (this.clock.now() < this.backoffUntil) return;
+    if (this.clock.now() - this.lastDiscoveryAt > DISCOVERY_INTERVAL_MS) await this.discoverClusters();
     const rate = this.context.settings.stateLimits.writeRps * WRITE_RATE_SHARE;
-    this.budget = Math.min(rate * 2, this.budget + (rate * TICK_MS) / 1000);
-    const order = [...this.clusters.values()].sort(
+    this.writeBudget = Math.min(rate * 2, this.writeBudget + (rate * TICK_MS) / 1000);
+    const byPriority = [...this.clusters.values()].sort(
       (a, b) => Number(b.priority - a.priority) || a.number - b.number,
     );
-    for (const c of order) await this.attend(c);
-    await this.expand(order);
+    for (const cluster of byPriority) await this.maintain(cluster);
+    await this.expand(byPriority);
   }
 
   /** Takes in clusters that are new. */
-  async look(): Promise<void> {
+  async discoverClusters(): Promise<void> {
     const term = this.term;
     const all = await this.records.all();
-    for (const l of all) {
-      if (l.record.state === 'over' || this.clusters.has(l.number)) continue;
-      const c = await this.load(l);
-      if (this.term !== term || !c) continue;
-      this.clusters.set(l.number, c);
-      this.log.info({ cluster: l.number, procs: l.record.total, from: c.cursor }, 'cluster taken up');
+    for (const stored of all) {
+      if (stored.record.state === 'over' || this.clusters.has(stored.number)) continue;
+      const cluster = await this.load(stored);
+      if (this.term !== term || !cluster) continue;
+      this.clusters.set(stored.number, cluster);
+      this.log.info(
+        { cluster: stored.number, procs: stored.record.total, from: cluster.cursor },
+        'cluster taken up',
+      );
     }
-    this.lookedAt = this.clock.now();
+    this.lastDiscoveryAt = this.clock.now();
   }
 
-  private async load(l: Loaded): Promise<Cluster | null> {
-    const plan = new ClusterPlan(await this.records.submission(l.record), this.options);
-    const { exceptions, versions } = await this.records.exceptions(l.number);
-    return new Cluster(l.number, l.record, l.version, plan, exceptions, versions);
+  private async load(stored: StoredCluster): Promise<Cluster | null> {
+    const plan = new ClusterPlan(await this.records.submission(stored.record), this.options);
+    const { exceptions, versions } = await this.records.exceptions(stored.number);
+    return new Cluster(stored.number, stored.record, stored.version, plan, exceptions, versions);
   }
 
   // --- becoming jobs
 
-  private async expand(order: Cluster[]): Promise<void> {
-    if (this.context.store.writeDelayMs > BUSY_MS) return;
-    const open = order.filter((c) => c.record.state === 'active' && this.allowance(c) > 0);
-    const top = open.filter((c) => c.priority === open[0]!.priority);
-    while (this.budget >= 1 && top.length > 0 && this.active) {
+  private async expand(byPriority: Cluster[]): Promise<void> {
+    if (this.context.store.writeDelayMs > BUSY_WRITE_DELAY_MS) return;
+    const expandable = byPriority.filter(
+      (cluster) => cluster.record.state === 'active' && this.allowance(cluster) > 0,
+    );
+    const candidates = expandable.filter((cluster) => cluster.priority === expandable[0]!.priority);
+    while (this.writeBudget >= 1 && candidates.length > 0 && this.active) {
       // Clusters of one priority take turns, so that a large one keeps no small one waiting.
-      const c = top[this.turn++ % top.length]!;
-      const took = await this.grow(c, Math.min(AT_ONCE, this.allowance(c), Math.floor(this.budget)));
-      this.budget -= took;
-      if (took === 0 || this.allowance(c) <= 0) top.splice(top.indexOf(c), 1);
-      if (this.clock.now() < this.notBefore) return;
+      const cluster = candidates[this.roundRobinCounter++ % candidates.length]!;
+      const steps = await this.submitNext(
+        cluster,
+        Math.min(MAX_CONCURRENT_REQUESTS, this.allowance(cluster), Math.floor(this.writeBudget)),
+      );
+      this.writeBudget -= steps;
+      if (steps === 0 || this.allowance(cluster) <= 0) candidates.splice(candidates.indexOf(cluster), 1);
+      if (this.clock.now() < this.backoffUntil) return;
     }
   }
 
   /** How many more processes may become jobs now. */
-  private allowance(c: Cluster): number {
-    if (c.cursor >= c.record.total && c.waiting.size === 0) return 0;
-    const unlisted = Math.max(0, c.cursor - c.listedCursor);
-    const room = this.limitOf(c) - c.jobs.size - unlisted;
-    const most = this.asked(c, 'JobMaterializeMaxIdle');
-    if (most === null) return room;
+  private allowance(cluster: Cluster): number {
+    if (cluster.cursor >= cluster.record.total && cluster.pendingRestarts.size === 0) return 0;
+    const unlisted = Math.max(0, cluster.cursor - cluster.listedCursor);
+    const room = this.limitOf(cluster) - cluster.jobs.size - unlisted;
+    const maxIdle = this.ownerLimit(cluster, 'JobMaterializeMaxIdle');
+    if (maxIdle === null) return room;
     let idle = unlisted;
-    for (const j of c.jobs.values()) if (j.running === 0) idle++;
-    return Math.min(room, most - idle);
+    for (const j of cluster.jobs.values()) if (j.running === 0) idle++;
+    return Math.min(room, maxIdle - idle);
   }
 
-  private limitOf(c: Cluster): number {
-    return Math.min(MAX_UNFINISHED_JOBS, this.asked(c, 'JobMaterializeLimit') ?? MAX_UNFINISHED_JOBS);
+  private limitOf(cluster: Cluster): number {
+    return Math.min(
+      MAX_UNFINISHED_JOBS,
+      this.ownerLimit(cluster, 'JobMaterializeLimit') ?? MAX_UNFINISHED_JOBS,
+    );
   }
 
   /** A limit that the cluster's owner asks for; null for none. */
-  private asked(c: Cluster, name: string): number | null {
-    const limit = evaluate({ node: 'name', scope: 'my', name }, { my: c.proc(0).ad });
+  private ownerLimit(cluster: Cluster, name: string): number | null {
+    const limit = evaluate({ node: 'name', scope: 'my', name }, { my: cluster.proc(0).ad });
     return typeof limit === 'bigint' && limit > 0n ? Number(limit) : null;
   }
 
   /** It is not being removed, and what is known of it here is what counts. */
-  private grows(c: Cluster): boolean {
-    return c.record.state === 'active' && this.clusters.get(c.number) === c;
+  private isExpandable(cluster: Cluster): boolean {
+    return cluster.record.state === 'active' && this.clusters.get(cluster.number) === cluster;
   }
 
   /** Makes jobs of the next processes; returns how many steps that took. */
-  private async grow(c: Cluster, most: number): Promise<number> {
+  private async submitNext(cluster: Cluster, maxSteps: number): Promise<number> {
     // Its owner may have removed it while others had their turn.
-    if (!this.grows(c)) return 0;
-    if (c.waiting.size > 0) {
-      const again = [...c.waiting].slice(0, most);
-      await Promise.all(again.map((n) => this.submit(c, n).then(() => c.waiting.delete(n))));
-      return again.length;
+    if (!this.isExpandable(cluster)) return 0;
+    if (cluster.pendingRestarts.size > 0) {
+      const restarts = [...cluster.pendingRestarts].slice(0, maxSteps);
+      await Promise.all(
+        restarts.map((n) => this.submit(cluster, n).then(() => cluster.pendingRestarts.delete(n))),
+      );
+      return restarts.length;
     }
-    if (c.cursor >= c.record.upTo && !(await this.widen(c))) return 0;
+    if (cluster.cursor >= cluster.record.upTo && !(await this.extendWindow(cluster))) return 0;
     const procs = [];
-    for (let n = c.cursor; n < c.record.upTo && procs.length < most; n++) procs.push(n);
+    for (let n = cluster.cursor; n < cluster.record.upTo && procs.length < maxSteps; n++) procs.push(n);
     // All of a step or none of it: the cursor passes only what is surely a job.
-    await Promise.all(procs.filter((n) => c.wanted(n)).map((n) => this.submit(c, n)));
-    c.cursor += procs.length;
+    await Promise.all(procs.filter((n) => cluster.shouldBecomeJob(n)).map((n) => this.submit(cluster, n)));
+    cluster.cursor += procs.length;
     return procs.length;
   }
 
   /** Stores which processes may become jobs next, before any of them does. */
-  private async widen(c: Cluster): Promise<boolean> {
-    const upTo = Math.min(c.record.total, c.cursor + WINDOW);
-    return this.put(c, { from: c.cursor, upTo }, true);
+  private async extendWindow(cluster: Cluster): Promise<boolean> {
+    const upTo = Math.min(cluster.record.total, cluster.cursor + EXPANSION_WINDOW);
+    return this.storeRecord(cluster, { from: cluster.cursor, upTo }, true);
   }
 
-  private put(c: Cluster, change: Partial<Cluster['record']>, growing = false): Promise<boolean> {
-    return c.mutex.runExclusive(async () => {
-      if (this.term === null || this.clusters.get(c.number) !== c || (growing && !this.grows(c)))
+  private storeRecord(
+    cluster: Cluster,
+    change: Partial<Cluster['record']>,
+    forExpansion = false,
+  ): Promise<boolean> {
+    return cluster.mutex.runExclusive(async () => {
+      if (
+        this.term === null ||
+        this.clusters.get(cluster.number) !== cluster ||
+        (forExpansion && !this.isExpandable(cluster))
+      )
         return false;
-      const record = { ...c.record, ...change };
+      const record = { ...cluster.record, ...change };
       let version: number | null = null;
       try {
         version = await (record.state === 'over'
-          ? this.records.end(this.term, c, record)
-          : this.records.put(this.term, c, record));
+          ? this.records.end(this.term, cluster, record)
+          : this.records.put(this.term, cluster, record));
       } finally {
-        if (version === null) this.forget(c);
+        if (version === null) this.invalidate(cluster);
       }
       if (version === null) return false;
-      c.record = record;
-      c.version = version;
+      cluster.record = record;
+      cluster.version = version;
       return true;
     });
   }
 
   /** Another term has begun, or a write may have been applied without an answer: what is stored is read anew. */
-  private forget(c: Cluster): void {
-    if (this.clusters.get(c.number) === c) this.clusters.delete(c.number);
-    this.lookedAt = Number.NEGATIVE_INFINITY;
+  private invalidate(cluster: Cluster): void {
+    if (this.clusters.get(cluster.number) === cluster) this.clusters.delete(cluster.number);
+    this.lastDiscoveryAt = Number.NEGATIVE_INFINITY;
   }
 
-  private async submit(c: Cluster, n: number): Promise<void> {
-    const spec = c.spec(n);
+  private async submit(cluster: Cluster, n: number): Promise<void> {
+    const spec = cluster.spec(n);
     await this.upload(spec);
     // From here on until the answer another node may have taken over: it submits the same id, which is accepted once.
-    if (!this.active || !this.grows(c)) throw new UnavailableError('no longer expanded here');
+    if (!this.active || !this.isExpandable(cluster)) throw new UnavailableError('no longer expanded here');
     let answer = await this.node.submit(spec);
     // The cluster was accepted as a whole: a deadline that cannot be met any more is kept as well as can be.
     if (answer.kind === 'refused') answer = await this.node.submit({ ...spec, deadlineS: null });
     if (answer.kind === 'refused' || answer.kind === 'busy') {
-      this.notBefore = Math.max(this.notBefore, this.clock.now() + answer.retryS * 1000);
+      this.backoffUntil = Math.max(this.backoffUntil, this.clock.now() + answer.retryS * 1000);
       throw new UnavailableError('not taken now');
     }
     if (answer.kind === 'never') throw new UnavailableError(`${answer.needs} was never accepted`);
@@ -236,30 +257,31 @@
 
   // --- what has become of them
 
-  private async attend(c: Cluster): Promise<void> {
-    await this.cancelSome(c);
-    const cursor = c.cursor;
-    if (this.clock.now() - c.listedAt >= LIST_MS) {
-      const jobs = await this.list(c.number);
-      c.jobs = new Map(jobs.map((j) => [j.id, j]));
-      c.listedCursor = cursor;
-      c.listedAt = this.clock.now();
-      if (c.unswept) {
-        c.unswept = false;
-        this.cancelAll(c);
+  private async maintain(cluster: Cluster): Promise<void> {
+    await this.cancelPending(cluster);
+    const cursor = cluster.cursor;
+    if (this.clock.now() - cluster.listedAt >= LIST_INTERVAL_MS) {
+      const jobs = await this.list(cluster.number);
+      cluster.jobs = new Map(jobs.map((j) => [j.id, j]));
+      cluster.listedCursor = cursor;
+      cluster.listedAt = this.clock.now();
+      if (cluster.cancellationSweepDue) {
+        cluster.cancellationSweepDue = false;
+        this.cancelAll(cluster);
       }
-      if (c.cancelling.size === 0 && c.waiting.size === 0) await this.close(c);
+      if (cluster.pendingCancellations.size === 0 && cluster.pendingRestarts.size === 0)
+        await this.endIfFinished(cluster);
     }
-    if (this.clock.now() - c.checkedAt >= PERIODIC_MS) {
-      c.checkedAt = this.clock.now();
-      await this.periodic(c);
+    if (this.clock.now() - cluster.checkedAt >= PERIODIC_INTERVAL_MS) {
+      cluster.checkedAt = this.clock.now();
+      await this.periodic(cluster);
     }
   }
 
   private async list(n: number): Promise<ListedJob[]> {
     const all: ListedJob[] = [];
     for (let after = ''; ; ) {
-      const { jobs, more } = await this.node.list(jobsUnder(n), after);
+      const { jobs, more } = await this.node.list(jobIdPrefix(n), after);
       all.push(...jobs);
       const last = jobs.at(-1);
       if (!more || !last) return all;
@@ -267,9 +289,13 @@
     }
   }
 
-  private async cancelSome(c: Cluster): Promise<void> {
-    while (c.cancelling.size > 0 && this.active && this.clock.now() >= this.notBefore) {
-      await Promise.all([...c.cancelling].slice(0, AT_ONCE).map((id) => this.cancel(c, id)));
+  private async cancelPending(cluster: Cluster): Promise<void> {
+    while (cluster.pendingCancellations.size > 0 && this.active && this.clock.now() >= this.backoffUntil) {
+      await Promise.all(
+        [...cluster.pendingCancellations]
+          .slice(0, MAX_CONCURRENT_REQUESTS)
+          .map((id) => this.cancel(cluster, id)),
+      );
     }
   }
 
@@ -277,62 +303,69 @@
    * Cancels a job for good. One that is not known may yet be submitted by whoever expanded before, late: it is submitted
    * here first, so that its end is stored and whatever comes late finds it over.
    */
-  private async cancel(c: Cluster, id: string): Promise<void> {
+  private async cancel(cluster: Cluster, id: string): Promise<void> {
     if ((await this.node.cancel(id)) === null) {
       const proc = Number(/^wk-condor-\d+-(\d+)/.exec(id)![1]);
-      await this.node.submit({ ...c.proc(proc).spec, deadlineS: null, id });
+      await this.node.submit({ ...cluster.proc(proc).spec, deadlineS: null, id });
       if ((await this.node.cancel(id)) === null) throw new UnavailableError('not cancelled yet');
     }
-    c.cancelling.delete(id);
+    cluster.pendingCancellations.delete(id);
   }
 
   /** A cluster all of whose processes have ended is over; one that is being removed, when all its jobs are cancelled. */
-  private async close(c: Cluster): Promise<void> {
-    if (c.jobs.size > 0) return;
-    if (c.record.state !== 'removing') {
-      if (c.cursor < c.record.total) return;
-      for (let n = 0; n < c.record.total; n++)
-        if (c.state(n) !== 'completed' && c.state(n) !== 'removed') return;
+  private async endIfFinished(cluster: Cluster): Promise<void> {
+    if (cluster.jobs.size > 0) return;
+    if (cluster.record.state !== 'removing') {
+      if (cluster.cursor < cluster.record.total) return;
+      for (let n = 0; n < cluster.record.total; n++)
+        if (cluster.state(n) !== 'completed' && cluster.state(n) !== 'removed') return;
     }
-    const { removed } = c.counts;
-    if (!(await this.put(c, { state: 'over', removed }))) return;
-    this.clusters.delete(c.number);
-    this.log.info({ cluster: c.number, procs: c.record.total, removed }, 'cluster over');
+    const { removed } = cluster.counts;
+    if (!(await this.storeRecord(cluster, { state: 'over', removed }))) return;
+    this.clusters.delete(cluster.number);
+    this.log.info({ cluster: cluster.number, procs: cluster.record.total, removed }, 'cluster over');
     if (this.term !== null)
-      await this.records.sweep(this.term, { number: c.number, record: c.record, version: c.version });
+      await this.records.sweep(this.term, {
+        number: cluster.number,
+        record: cluster.record,
+        version: cluster.version,
+      });
   }
 
-  private async periodic(c: Cluster): Promise<void> {
-    const { ad } = c.proc(0);
-    const acts: [string, Act, ProcState[]][] = [
+  private async periodic(cluster: Cluster): Promise<void> {
+    const { ad } = cluster.proc(0);
+    const periodicActions: [string, ProcAction, ProcState[]][] = [
       ['PeriodicRemove', 'remove', ['idle', 'running', 'held']],
       ['PeriodicHold', 'hold', ['idle', 'running']],
       ['PeriodicRelease', 'release', ['held']],
     ];
-    for (const [attribute, act, states] of acts) {
+    for (const [attribute, action, states] of periodicActions) {
       if (!ad.has(attribute)) continue;
-      const procs = await this.which(c, (n) => states.includes(c.state(n)) && c.says(n, attribute, this.now));
+      const procs = await this.filterProcs(
+        cluster,
+        (n) => states.includes(cluster.state(n)) && cluster.attributeIsTrue(n, attribute, this.now),
+      );
       const reason = evaluate({ node: 'name', scope: 'my', name: `${attribute}Reason` }, { my: ad });
       const why = typeof reason === 'string' ? reason : `${attribute} is true`;
-      if (procs.length > 0) await this.act(c, act, procs, why);
+      if (procs.length > 0) await this.applyAction(cluster, action, procs, why);
     }
   }
 
   /** Processes for which something holds, looked at a part at a time so that other work comes in between. */
-  async which(c: Cluster, holds: (n: number) => boolean): Promise<number[]> {
+  async filterProcs(cluster: Cluster, predicate: (n: number) => boolean): Promise<number[]> {
     const procs: number[] = [];
-    for (let n = 0; n < c.record.total; n++) {
-      if (holds(n)) procs.push(n);
-      if (n % CHECKED_PER_TURN === CHECKED_PER_TURN - 1) await pause(this.clock, 0);
+    for (let n = 0; n < cluster.record.total; n++) {
+      if (predicate(n)) procs.push(n);
+      if (n % PROCS_PER_SLICE === PROCS_PER_SLICE - 1) await pause(this.clock, 0);
     }
     return procs;
   }
 
   /** Processes that a constraint picks; all of them when there is none. */
-  matching(c: Cluster, constraint: Expr | null): Promise<number[]> {
-    return this.which(c, (n) => {
+  procsMatching(cluster: Cluster, constraint: Expr | null): Promise<number[]> {
+    return this.filterProcs(cluster, (n) => {
       if (constraint === null) return true;
-      return evaluate(constraint, { my: c.adOf(n, this.now), now: this.now }) === true;
+      return evaluate(constraint, { my: cluster.adOf(n, this.now), now: this.now }) === true;
     });
   }
 
@@ -340,59 +373,74 @@
    * Holds, releases or removes processes. Resolves with how many, once that is durable: from then on no task of one that
    * is held or removed starts anew, and what runs is stopped as fast as a cancelled job is.
    */
-  act(c: Cluster, act: Act, procs: readonly number[], why: string): Promise<number> {
-    return c.mutex.runExclusive(() => this.change(c, act, procs, why));
+  applyAction(cluster: Cluster, action: ProcAction, procs: readonly number[], why: string): Promise<number> {
+    return cluster.mutex.runExclusive(() => this.storeAction(cluster, action, procs, why));
   }
 
-  private async change(c: Cluster, act: Act, procs: readonly number[], why: string): Promise<number> {
-    if (!this.active || this.term === null || this.clusters.get(c.number) !== c)
+  private async storeAction(
+    cluster: Cluster,
+    action: ProcAction,
+    procs: readonly number[],
+    why: string,
+  ): Promise<number> {
+    if (!this.active || this.term === null || this.clusters.get(cluster.number) !== cluster)
       throw new UnavailableError('no longer the expander');
     const changed: [number, Exception][] = [];
     for (const n of procs) {
-      const state = c.state(n);
-      const start = c.exceptions.get(n)?.start ?? 0;
+      const state = cluster.state(n);
+      const start = cluster.exceptions.get(n)?.start ?? 0;
       if (state === 'completed' || state === 'removed') continue;
-      if (act === 'remove') changed.push([n, { start, state: 'removed', why }]);
-      if (act === 'hold' && state !== 'held') changed.push([n, { start: start + 1, state: 'held', why }]);
-      if (act === 'release' && state === 'held') changed.push([n, { start, state: 'idle', why }]);
+      if (action === 'remove') changed.push([n, { start, state: 'removed', why }]);
+      if (action === 'hold' && state !== 'held') changed.push([n, { start: start + 1, state: 'held', why }]);
+      if (action === 'release' && state === 'held') changed.push([n, { start, state: 'idle', why }]);
     }
-    const before = changed.map(([n]) => [n, c.exceptions.get(n)] as const);
-    for (const [n, x] of changed) c.exceptions.set(n, x);
+    const previous = changed.map(([n]) => [n, cluster.exceptions.get(n)] as const);
+    for (const [n, exception] of changed) cluster.exceptions.set(n, exception);
     let stored = false;
     try {
-      const chunks = c.chunkNumbers(changed.map(([n]) => n));
-      stored = await this.records.putExceptions(this.term, c.number, c.exceptions, chunks, c.chunks);
+      const chunks = cluster.chunkNumbers(changed.map(([n]) => n));
+      stored = await this.records.putExceptions(
+        this.term,
+        cluster.number,
+        cluster.exceptions,
+        chunks,
+        cluster.chunkVersions,
+      );
     } finally {
       if (!stored) {
-        for (const [n, x] of before) {
-          if (x) c.exceptions.set(n, x);
-          else c.exceptions.delete(n);
+        for (const [n, exception] of previous) {
+          if (exception) cluster.exceptions.set(n, exception);
+          else cluster.exceptions.delete(n);
         }
-        this.forget(c);
+        this.invalidate(cluster);
       }
     }
     if (!stored) throw new UnavailableError('not stored');
-    for (const [n, x] of changed) {
-      c.cancelBefore(n, x);
-      if (x.state === 'idle' && n < c.cursor) c.waiting.add(n);
-      else c.waiting.delete(n);
+    for (const [n, exception] of changed) {
+      cluster.cancelSupersededStarts(n, exception);
+      if (exception.state === 'idle' && n < cluster.cursor) cluster.pendingRestarts.add(n);
+      else cluster.pendingRestarts.delete(n);
     }
     return changed.length;
   }
 
   /** Removes a whole cluster: one change, whatever its size; its jobs are cancelled from then on. */
-  async removeAll(c: Cluster): Promise<number> {
-    const { idle, running, held } = c.counts;
-    if (!(await this.put(c, { state: 'removing' }))) throw new UnavailableError('not stored');
-    this.cancelAll(c);
+  async removeCluster(cluster: Cluster): Promise<number> {
+    const { idle, running, held } = cluster.counts;
+    if (!(await this.storeRecord(cluster, { state: 'removing' }))) throw new UnavailableError('not stored');
+    this.cancelAll(cluster);
     return idle + running + held;
   }
 
-  private cancelAll(c: Cluster): void {
-    c.waiting.clear();
+  private cancelAll(cluster: Cluster): void {
+    cluster.pendingRestarts.clear();
     // What was listed as ended needs nothing; the last window may have become jobs unseen.
-    for (const id of c.jobs.keys()) c.cancelling.add(id);
-    for (let n = Math.max(0, Math.min(c.listedCursor, c.record.from)); n < c.record.upTo; n++)
-      c.cancelling.add(jobId(c.number, n, c.exceptions.get(n)?.start ?? 0));
+    for (const id of cluster.jobs.keys()) cluster.pendingCancellations.add(id);
+    for (
+      let n = Math.max(0, Math.min(cluster.listedCursor, cluster.record.from));
+      n < cluster.record.upTo;
+      n++
+    )
+      cluster.pendingCancellations.add(jobId(cluster.number, n, cluster.exceptions.get(n)?.start ?? 0));
   }
 }
--- a/src/condor/macros.ts
+++ b/src/condor/macros.ts
@@ -23,27 +23,27 @@
 /** Settings by their names in lower case. */
 export type Settings = ReadonlyMap<string, Setting>;
 
-const MAX_DEPTH = 32;
-const MAX_LENGTH = 64 * 1024;
+const MAX_EXPANSION_DEPTH = 32;
+const MAX_EXPANDED_LENGTH = 64 * 1024;
 /** What a file name is asked for: path, name, extension, directory, quoted. */
-const FILE_PART = /^F([pdnxbqaf]*)$/;
+const FILE_NAME_FUNCTION = /^F([pdnxbqaf]*)$/;
 
 /** Puts macros in: `$(name)`, `$(name:default)`, `$INT(..)`, `$REAL(..)`, `$CHOICE(..)`, `$SUBSTR(..)` and `$Fx(..)`. */
-export class Macros {
+export class MacroExpander {
   private expandedLength = 0;
 
   constructor(
     private readonly settings: Settings,
     /** Of the process: Cluster, Process, Item and the variables of its queue statement, by names in lower case. */
-    private readonly own: ReadonlyMap<string, string>,
+    private readonly processMacros: ReadonlyMap<string, string>,
   ) {}
 
   /** The value of a name, with all macros put in; undefined when nothing sets it. */
   get(name: string): string | undefined {
-    const own = this.own.get(name.toLowerCase());
-    if (own !== undefined) return own;
-    const s = this.settings.get(name.toLowerCase());
-    return s && this.expand(s.value, s.line, s.column);
+    const processValue = this.processMacros.get(name.toLowerCase());
+    if (processValue !== undefined) return processValue;
+    const setting = this.settings.get(name.toLowerCase());
+    return setting && this.expand(setting.value, setting.line, setting.column);
   }
 
   expand(text: string, line: number, column: number, depth = 0): string {
@@ -51,7 +51,7 @@
     const fail = (message: string, at: number): never => {
       throw new SubmitError(message, line, column + at);
     };
-    if (depth > MAX_DEPTH) fail('macros that need each other', 0);
+    if (depth > MAX_EXPANSION_DEPTH) fail('macros that need each other', 0);
     let out = '';
     for (let i = 0; i < text.length; ) {
       if (text[i] !== '$') {
@@ -65,41 +65,48 @@
         out += text[i++];
         continue;
       }
-      const end = closing(text, i + head[0].length);
+      const end = findClosingParenthesis(text, i + head[0].length);
       if (end < 0) fail(`"${head[0]}" has no closing bracket`, i);
-      const inner = text.slice(i + head[0].length, end);
-      out += this.put(head[1]!, inner, line, column + i, depth + 1);
+      const body = text.slice(i + head[0].length, end);
+      out += this.expandCall(head[1]!, body, line, column + i, depth + 1);
       this.expandedLength += out.length;
-      if (out.length > MAX_LENGTH || this.expandedLength > MAX_LENGTH * 64)
+      if (out.length > MAX_EXPANDED_LENGTH || this.expandedLength > MAX_EXPANDED_LENGTH * 64)
         fail('macros make too much text', i);
       i = end + 1;
     }
     return out;
   }
 
-  private put(fn: string, inner: string, line: number, column: number, depth: number): string {
+  private expandCall(
+    functionName: string,
+    body: string,
+    line: number,
+    column: number,
+    depth: number,
+  ): string {
     const fail = (message: string): never => {
       throw new SubmitError(message, line, column);
     };
-    if (fn === '') return this.name(inner, line, column, depth);
-    if (fn === 'ENV')
+    if (functionName === '') return this.expandReference(body, line, column, depth);
+    if (functionName === 'ENV')
       fail('$ENV( ) is not read here: a controller knows nothing of your environment, write the value');
-    if (/^RANDOM_/.test(fn)) fail(`$${fn}( ) would differ each time a process is made: write the value`);
-    const [first = '', ...rest] = this.expand(inner, line, column, depth)
+    if (/^RANDOM_/.test(functionName))
+      fail(`$${functionName}( ) would differ each time a process is made: write the value`);
+    const [first = '', ...rest] = this.expand(body, line, column, depth)
       .split(',')
       .map((s) => s.trim());
     const value = this.get(first) ?? first;
-    switch (fn) {
+    switch (functionName) {
       case 'INT':
       case 'REAL': {
         const n = Number(value);
-        if (value === '' || Number.isNaN(n)) fail(`$${fn}(${first}): "${value}" is no number`);
-        return fn === 'INT' ? String(Math.trunc(n)) : String(n);
+        if (value === '' || Number.isNaN(n)) fail(`$${functionName}(${first}): "${value}" is no number`);
+        return functionName === 'INT' ? String(Math.trunc(n)) : String(n);
       }
       case 'CHOICE': {
-        const listed =
+        const choices =
           rest.length === 1 ? (this.get(rest[0]!) ?? rest[0]!).split(',').map((s) => s.trim()) : rest;
-        return listed[Number(value)] ?? fail(`$CHOICE(${inner}): no item ${value}`);
+        return choices[Number(value)] ?? fail(`$CHOICE(${body}): no item ${value}`);
       }
       case 'SUBSTR': {
         const from = Number(rest[0] ?? 0);
@@ -109,36 +116,38 @@
         return value.slice(start, length < 0 ? length : start + length);
       }
     }
-    const part = FILE_PART.exec(fn);
-    return part ? filePart(part[1]!, value) : fail(`no macro function $${fn}( )`);
+    const fileFunction = FILE_NAME_FUNCTION.exec(functionName);
+    return fileFunction
+      ? formatFileName(fileFunction[1]!, value)
+      : fail(`no macro function $${functionName}( )`);
   }
 
-  private name(inner: string, line: number, column: number, depth: number): string {
-    const colon = inner.indexOf(':');
-    const name = this.expand(colon < 0 ? inner : inner.slice(0, colon), line, column, depth).trim();
+  private expandReference(body: string, line: number, column: number, depth: number): string {
+    const colon = body.indexOf(':');
+    const name = this.expand(colon < 0 ? body : body.slice(0, colon), line, column, depth).trim();
     if (name.toUpperCase() === 'DOLLAR') return '$';
-    const own = this.own.get(name.toLowerCase());
-    if (own !== undefined) return own;
-    const s = this.settings.get(name.toLowerCase());
-    if (s) return this.expand(s.value, s.line, s.column, depth);
-    return colon < 0 ? '' : this.expand(inner.slice(colon + 1), line, column, depth);
+    const processValue = this.processMacros.get(name.toLowerCase());
+    if (processValue !== undefined) return processValue;
+    const setting = this.settings.get(name.toLowerCase());
+    if (setting) return this.expand(setting.value, setting.line, setting.column, depth);
+    return colon < 0 ? '' : this.expand(body.slice(colon + 1), line, column, depth);
   }
 }
 
-function closing(text: string, from: number): number {
-  let open = 1;
+function findClosingParenthesis(text: string, from: number): number {
+  let openCount = 1;
   for (let i = from; i < text.length; i++) {
-    if (text[i] === '(') open++;
-    else if (text[i] === ')' && --open === 0) return i;
+    if (text[i] === '(') openCount++;
+    else if (text[i] === ')' && --openCount === 0) return i;
   }
   return -1;
 }
 
-function filePart(parts: string, path: string): string {
-  const bare = path.replace(/^"(.*)"$/, '$1');
-  const slash = bare.lastIndexOf('/');
-  const dir = bare.slice(0, slash + 1);
-  const file = bare.slice(slash + 1);
+function formatFileName(parts: string, path: string): string {
+  const unquoted = path.replace(/^"(.*)"$/, '$1');
+  const slash = unquoted.lastIndexOf('/');
+  const dir = unquoted.slice(0, slash + 1);
+  const file = unquoted.slice(slash + 1);
   const dot = file.lastIndexOf('.');
   const [stem, ext] = dot > 0 ? [file.slice(0, dot), file.slice(dot)] : [file, ''];
   let out = '';
@@ -147,6 +156,6 @@
     out += dir.replace(/\/$/, '').replace(/^.*\//, '') + (dir && /[nx]/.test(parts) ? '/' : '');
   if (parts.includes('n')) out += stem;
   if (parts.includes('x')) out += parts.includes('b') ? ext.slice(1) : ext;
-  if (!/[pdnx]/.test(parts)) out = bare;
+  if (!/[pdnx]/.test(parts)) out = unquoted;
   return parts.includes('q') ? `"${out}"` : out;
 }
--- a/src/condor/procs.ts
+++ b/src/condor/procs.ts
@@ -5,8 +5,8 @@
 import { printExpr } from '../classad/print.js';
 import { type JobSpec, PRIORITIES, PRIORITY } from '../wire/users.js';
 import { COMMANDS, UNIVERSES } from './commands.js';
-import { parseSubmit, type Queue, rowsOf, split } from './language.js';
-import { Macros, type Setting, SubmitError } from './macros.js';
+import { parseSubmit, type Queue, rowsOf, splitRow } from './language.js';
+import { MacroExpander, type Setting, SubmitError } from './macros.js';
 
 /** What a cluster is made of, whoever reads it again. */
 export interface Submission {
@@ -24,7 +24,7 @@
   /** The team of processes whose accounting group names none; null refuses them. */
   team: string | null;
   /** Why a job can never run, whatever machines there are; null when it can. */
-  never: (spec: JobSpec) => string | null;
+  neverRunsReason: (spec: JobSpec) => string | null;
 }
 
 /** One process of a cluster, expanded. */
@@ -35,15 +35,15 @@
   held: boolean;
 }
 
-const MOST_PROCS = 100_000;
-const KEPT_DESCRIPTION = 200;
-const BUILT_IN = ['clusterid', 'cluster', 'procid', 'process', 'step', 'row', 'itemindex'];
+const MAX_PROCS = 100_000;
+const MAX_IMAGE_LENGTH = 200;
+const BUILT_IN_MACROS = ['clusterid', 'cluster', 'procid', 'process', 'step', 'row', 'itemindex'];
 
 /** The processes of a cluster, made one at a time from what was submitted. */
 export class ClusterPlan {
   readonly total: number;
   readonly warnings: string[];
-  private readonly queues: { queue: Queue; count: number; rows: string[]; first: number }[] = [];
+  private readonly queues: { queue: Queue; count: number; rows: string[]; firstProc: number }[] = [];
   private readonly expressions = new Map<string, Expr>();
 
   /** Fails with `SubmitError` when any line cannot be read; processes may yet fail one by one (`check`). */
@@ -58,10 +58,10 @@
       if (rows && queue.items.kind !== 'none' && queue.items.kind !== 'in') queue.items.rows ??= rows;
       const count = this.count(queue);
       const list = rowsOf(queue);
-      this.queues.push({ queue, count, rows: list, first: total });
+      this.queues.push({ queue, count, rows: list, firstProc: total });
       total += count * list.length;
-      if (total > MOST_PROCS)
-        throw new SubmitError(`more than ${MOST_PROCS} processes`, queue.line, queue.column);
+      if (total > MAX_PROCS)
+        throw new SubmitError(`more than ${MAX_PROCS} processes`, queue.line, queue.column);
     });
     if (total === 0)
       throw new SubmitError('no process: every queue statement is empty', queues.at(-1)!.line, 1);
@@ -71,33 +71,33 @@
 
   /** Makes the first and the last process of every queue statement, so that what is wrong with all is said at once. */
   check(): void {
-    for (const q of this.queues) {
-      const n = q.count * q.rows.length;
+    for (const range of this.queues) {
+      const n = range.count * range.rows.length;
       if (n === 0) continue;
-      this.proc(0, q.first);
-      this.proc(0, q.first + n - 1);
+      this.proc(0, range.firstProc);
+      this.proc(0, range.firstProc + n - 1);
     }
   }
 
-  private queueOf(n: number): ClusterPlan['queues'][number] {
+  private rangeOf(n: number): ClusterPlan['queues'][number] {
     let i = this.queues.length - 1;
-    while (this.queues[i]!.first > n) i--;
+    while (this.queues[i]!.firstProc > n) i--;
     return this.queues[i]!;
   }
 
   /** Whether anything is set that could hold a process from its submission on. */
   mayHold(n: number): boolean {
-    const { settings } = this.queueOf(n).queue;
+    const { settings } = this.rangeOf(n).queue;
     return settings.has('hold') || settings.has('+submitonhold');
   }
 
   /** One process. Fails with `SubmitError`. */
   proc(cluster: number, n: number): Proc {
-    const q = this.queueOf(n);
-    const step = (n - q.first) % q.count;
-    const row = Math.floor((n - q.first) / q.count);
-    const own = split(q.rows[row]!, q.queue.variables);
-    for (const name of BUILT_IN) {
+    const range = this.rangeOf(n);
+    const step = (n - range.firstProc) % range.count;
+    const row = Math.floor((n - range.firstProc) / range.count);
+    const processMacros = splitRow(range.rows[row]!, range.queue.variables);
+    for (const name of BUILT_IN_MACROS) {
       const value = name.startsWith('cluster')
         ? cluster
         : name.startsWith('proc')
@@ -105,10 +105,14 @@
           : name === 'step'
             ? step
             : row;
-      own.set(name, String(value));
+      processMacros.set(name, String(value));
     }
-    const maker = new Maker(q.queue, new Macros(q.queue.settings, own), this.expressions);
-    return maker.make(cluster, n, this.submission, this.options);
+    const builder = new ProcBuilder(
+      range.queue,
+      new MacroExpander(range.queue.settings, processMacros),
+      this.expressions,
+    );
+    return builder.build(cluster, n, this.submission, this.options);
   }
 
   private count({ count, line, column }: Queue): number {
@@ -120,112 +124,120 @@
   }
 
   private parse(text: string, line: number, column: number): Expr {
-    return readExpr(text, line, column, this.expressions);
+    return parseCached(text, line, column, this.expressions);
   }
 }
 
-function readExpr(text: string, line: number, column: number, known: Map<string, Expr>): Expr {
-  let e = known.get(text);
-  if (!e) {
+function parseCached(text: string, line: number, column: number, cache: Map<string, Expr>): Expr {
+  let expr = cache.get(text);
+  if (!expr) {
     try {
-      e = parseExpr(text);
+      expr = parseExpr(text);
     } catch (error) {
       if (!(error instanceof ClassAdError)) throw error;
-      const within = error.line > 1 ? error.column : column + error.column - 1;
-      throw new SubmitError(error.message, line + error.line - 1, within);
+      const errorColumn = error.line > 1 ? error.column : column + error.column - 1;
+      throw new SubmitError(error.message, line + error.line - 1, errorColumn);
     }
-    if (known.size < 2000) known.set(text, e);
+    if (cache.size < 2000) cache.set(text, expr);
   }
-  return e;
+  return expr;
 }
 
 function warningsOf(queues: readonly Queue[]): string[] {
   const warnings = new Map<string, string>();
-  const macros = queues.map((q) => usedMacros(q));
-  for (const [i, q] of queues.entries()) {
-    for (const [key, s] of q.settings) {
+  const macros = queues.map((q) => referencedMacros(q));
+  for (const [i, queue] of queues.entries()) {
+    for (const [key, setting] of queue.settings) {
       if (key.startsWith('+') || macros[i]!.has(key)) continue;
-      const c = COMMANDS[key];
-      if (!c) warnings.set(key, `line ${s.line}: ${s.name} is not known here and has no effect`);
-      else if (c.use === 'kept')
-        warnings.set(key, `line ${s.line}: ${s.name} is kept as ${c.attribute}, with no effect: ${c.why}`);
-      else if (key === 'universe' && !(s.value.toLowerCase() in UNIVERSES))
-        warnings.set(key, `line ${s.line}: universe ${s.value} is kept; processes run as in vanilla`);
+      const command = COMMANDS[key];
+      if (!command)
+        warnings.set(key, `line ${setting.line}: ${setting.name} is not known here and has no effect`);
+      else if (command.use === 'kept')
+        warnings.set(
+          key,
+          `line ${setting.line}: ${setting.name} is kept as ${command.attribute}, with no effect: ${command.why}`,
+        );
+      else if (key === 'universe' && !(setting.value.toLowerCase() in UNIVERSES))
+        warnings.set(
+          key,
+          `line ${setting.line}: universe ${setting.value} is kept; processes run as in vanilla`,
+        );
     }
   }
   return [...warnings.values()];
 }
 
 /** Names that other values use as macros, which are no commands. */
-function usedMacros(q: Queue): Set<string> {
+function referencedMacros(queue: Queue): Set<string> {
   const names = new Set<string>();
-  const look = (text: string) => {
+  const collect = (text: string) => {
     for (const [, name] of text.matchAll(/\$[A-Za-z_]*\(\s*([A-Za-z_]\w*)/g)) names.add(name!.toLowerCase());
   };
-  for (const s of q.settings.values()) look(s.value);
-  look(q.text);
+  for (const s of queue.settings.values()) collect(s.value);
+  collect(queue.text);
   return names;
 }
 
 /** Makes the ad and the job of one process. */
-class Maker {
+class ProcBuilder {
   constructor(
     private readonly queue: Queue,
-    private readonly macros: Macros,
+    private readonly macros: MacroExpander,
     private readonly expressions: Map<string, Expr>,
   ) {}
 
-  make(cluster: number, n: number, submission: Submission, options: ProcOptions): Proc {
+  build(cluster: number, n: number, submission: Submission, options: ProcOptions): Proc {
     const ad = new Ad()
       .setValue('MyType', 'Job')
       .setValue('ClusterId', BigInt(cluster))
       .setValue('ProcId', BigInt(n))
       .setValue('Owner', submission.user)
       .setValue('QDate', BigInt(Math.floor(submission.at)));
-    for (const key of this.queue.settings.keys()) this.attribute(ad, key);
-    this.defaults(ad);
-    const spec = this.spec(ad, options);
-    const never = options.never(spec);
+    for (const key of this.queue.settings.keys()) this.setAttribute(ad, key);
+    this.applyDefaults(ad);
+    const spec = this.buildSpec(ad, options);
+    const never = options.neverRunsReason(spec);
     if (never !== null) throw new SubmitError(never, this.queue.line, this.queue.column);
-    const held = this.truth(ad, 'SubmitOnHold');
+    const held = this.booleanAttribute(ad, 'SubmitOnHold');
     return { ad, spec, held };
   }
 
-  private setting(key: string): { value: string; at: Setting } | null {
-    const at = this.queue.settings.get(key);
-    return at ? { value: this.macros.get(key) ?? '', at } : null;
+  private setting(key: string): { value: string; definition: Setting } | null {
+    const definition = this.queue.settings.get(key);
+    return definition ? { value: this.macros.get(key) ?? '', definition } : null;
   }
 
-  private attribute(ad: Ad, key: string): void {
-    const s = this.setting(key)!;
-    const { line, column, name } = s.at;
+  private setAttribute(ad: Ad, key: string): void {
+    const setting = this.setting(key)!;
+    const { line, column, name } = setting.definition;
     if (key.startsWith('+')) {
-      ad.set(name.slice(1), this.expr(s.value, line, column));
+      ad.set(name.slice(1), this.parseAttribute(setting.value, line, column));
       return;
     }
-    const c = COMMANDS[key];
-    if (!c) return;
-    if (c.use === 'refused') throw new SubmitError(`${name} is not served: ${c.why}`, line, 1);
-    if (s.value === '') return;
-    if (key === 'request_memory') ad.set(c.attribute, this.quantity(s.value, line, column, 1));
-    else if (key === 'request_disk') ad.set(c.attribute, this.quantity(s.value, line, column, 0));
-    else if (EXPRESSIONS.has(key)) ad.set(c.attribute, this.expr(s.value, line, column));
-    else ad.setValue(c.attribute, s.value.replace(/^"(.*)"$/s, '$1'));
+    const command = COMMANDS[key];
+    if (!command) return;
+    if (command.use === 'refused') throw new SubmitError(`${name} is not served: ${command.why}`, line, 1);
+    if (setting.value === '') return;
+    if (key === 'request_memory') ad.set(command.attribute, this.quantity(setting.value, line, column, 1));
+    else if (key === 'request_disk') ad.set(command.attribute, this.quantity(setting.value, line, column, 0));
+    else if (EXPRESSION_COMMANDS.has(key))
+      ad.set(command.attribute, this.parseAttribute(setting.value, line, column));
+    else ad.setValue(command.attribute, setting.value.replace(/^"(.*)"$/s, '$1'));
   }
 
-  private expr(text: string, line: number, column: number): Expr {
-    return readExpr(text, line, column, this.expressions);
+  private parseAttribute(text: string, line: number, column: number): Expr {
+    return parseCached(text, line, column, this.expressions);
   }
 
   /** `2GB`, `512 M`, `1.5T` or an expression; in units of 1,024 to the `unit`th bytes times 1,024. */
   private quantity(text: string, line: number, column: number, unit: number): Expr {
-    const m = /^(\d+(?:\.\d*)?|\.\d+)\s*([KMGT])(?:i?B)?$/i.exec(text.trim());
-    if (!m) return this.expr(text, line, column);
-    const power = 'KMGT'.indexOf(m[2]!.toUpperCase()) - unit;
-    return { node: 'literal', value: BigInt(Math.ceil(Number(m[1]) * 1024 ** power)) };
+    const match = /^(\d+(?:\.\d*)?|\.\d+)\s*([KMGT])(?:i?B)?$/i.exec(text.trim());
+    if (!match) return this.parseAttribute(text, line, column);
+    const power = 'KMGT'.indexOf(match[2]!.toUpperCase()) - unit;
+    return { node: 'literal', value: BigInt(Math.ceil(Number(match[1]) * 1024 ** power)) };
   }
 
-  private defaults(ad: Ad): void {
+  private applyDefaults(ad: Ad): void {
     const universe = this.setting('universe')?.value.toLowerCase() ?? 'vanilla';
     ad.setValue('JobUniverse', BigInt(UNIVERSES[universe] ?? 5));
     const missing: [string, bigint][] = [
@@ -242,125 +254,129 @@
       throw new SubmitError('"executable" was expected before "queue"', this.queue.line, this.queue.column);
   }
 
-  private place(attribute: string): { line: number; column: number } {
+  private positionOf(attribute: string): { line: number; column: number } {
     for (const [key, s] of this.queue.settings)
       if (key === `+${attribute.toLowerCase()}` || COMMANDS[key]?.attribute === attribute) return s;
     return this.queue;
   }
 
-  private number(ad: Ad, attribute: string, least: number): number {
+  private numberAttribute(ad: Ad, attribute: string, minimum: number): number {
     const value = asNumber(evaluate({ node: 'name', scope: 'my', name: attribute }, { my: ad }));
     const n = value === null ? Number.NaN : Number(value);
-    if (!(n >= least && n <= 1e9)) {
-      const { line, column } = this.place(attribute);
-      throw new SubmitError(`${attribute} has to be a number from ${least} on`, line, column);
+    if (!(n >= minimum && n <= 1e9)) {
+      const { line, column } = this.positionOf(attribute);
+      throw new SubmitError(`${attribute} has to be a number from ${minimum} on`, line, column);
     }
     return n;
   }
 
-  private optional(ad: Ad, attribute: string, otherwise: number): number {
-    return ad.has(attribute) ? this.number(ad, attribute, 0) : otherwise;
+  private optionalNumber(ad: Ad, attribute: string, fallback: number): number {
+    return ad.has(attribute) ? this.numberAttribute(ad, attribute, 0) : fallback;
   }
 
-  private truth(ad: Ad, attribute: string): boolean {
+  private booleanAttribute(ad: Ad, attribute: string): boolean {
     const e = ad.get(attribute);
     if (e?.node === 'literal' && typeof e.value === 'string') return /^(true|yes|1)$/i.test(e.value);
     return e !== undefined && evaluate(e, { my: ad }) === true;
   }
 
-  private text(ad: Ad, attribute: string): string | null {
+  private stringAttribute(ad: Ad, attribute: string): string | null {
     const value = ad.has(attribute)
       ? evaluate({ node: 'name', scope: 'my', name: attribute }, { my: ad })
       : UNDEFINED;
     return typeof value === 'string' && value !== '' ? value : null;
   }
 
-  private spec(ad: Ad, options: ProcOptions): JobSpec {
-    this.checkExits(ad);
-    const priority = this.priority(ad);
-    const machines = Math.max(1, Math.round(this.number(ad, 'MachineCount', 1)));
+  private buildSpec(ad: Ad, options: ProcOptions): JobSpec {
+    this.checkExitPolicies(ad);
+    const priority = this.parsePriority(ad);
+    const machines = Math.max(1, Math.round(this.numberAttribute(ad, 'MachineCount', 1)));
     const gang = evaluate({ node: 'name', scope: 'my', name: 'JobUniverse' }, { my: ad }) === 11n;
     const image =
-      this.text(ad, 'ContainerImage') ?? this.text(ad, 'DockerImage') ?? this.text(ad, 'Cmd') ?? 'none';
-    const checkpointS = this.optional(ad, 'CheckpointSeconds', 0);
+      this.stringAttribute(ad, 'ContainerImage') ??
+      this.stringAttribute(ad, 'DockerImage') ??
+      this.stringAttribute(ad, 'Cmd') ??
+      'none';
+    const checkpointS = this.optionalNumber(ad, 'CheckpointSeconds', 0);
     const requirements = flatten(ad.get('Requirements')!, ad);
     const rank = ad.has('Rank') ? flatten(ad.get('Rank')!, ad) : null;
-    const any = requirements.node === 'literal' && requirements.value === true;
-    const likes = rank !== null && rank.node !== 'literal';
+    const acceptsAny = requirements.node === 'literal' && requirements.value === true;
+    const hasRank = rank !== null && rank.node !== 'literal';
     return {
       id: '',
-      class: this.text(ad, 'JobClass') ?? 'condor',
+      class: this.stringAttribute(ad, 'JobClass') ?? 'condor',
       team: this.team(ad, options),
       kind: gang ? 'gang' : 'array',
       priority,
       tasks: gang ? machines : 1,
-      cpus: this.number(ad, 'RequestCpus', 0),
-      gpus: this.number(ad, 'RequestGPUs', 0),
-      memoryGb: this.number(ad, 'RequestMemory', 0) / 1024,
+      cpus: this.numberAttribute(ad, 'RequestCpus', 0),
+      gpus: this.numberAttribute(ad, 'RequestGPUs', 0),
+      memoryGb: this.numberAttribute(ad, 'RequestMemory', 0) / 1024,
       types: null,
       zone: null,
       oneZone: gang,
       spread: false,
-      spot: !ad.has('SpotAllowed') || this.truth(ad, 'SpotAllowed'),
-      image: image.slice(0, KEPT_DESCRIPTION),
-      imageGb: this.optional(ad, 'ImageGb', 0),
-      estimateS: this.optional(ad, 'ExpectedRunSeconds', 60),
+      spot: !ad.has('SpotAllowed') || this.booleanAttribute(ad, 'SpotAllowed'),
+      image: image.slice(0, MAX_IMAGE_LENGTH),
+      imageGb: this.optionalNumber(ad, 'ImageGb', 0),
+      estimateS: this.optionalNumber(ad, 'ExpectedRunSeconds', 60),
       checkpointS,
-      saveS: this.optional(ad, 'SaveSeconds', checkpointS > 0 ? 1 : 0),
-      deadlineS: ad.has('DeadlineSeconds') ? this.number(ad, 'DeadlineSeconds', 1) : null,
+      saveS: this.optionalNumber(ad, 'SaveSeconds', checkpointS > 0 ? 1 : 0),
+      deadlineS: ad.has('DeadlineSeconds') ? this.numberAttribute(ad, 'DeadlineSeconds', 1) : null,
       after: [],
-      ...((!any || likes) && {
-        match: { requirements: printExpr(requirements), rank: likes ? printExpr(rank) : null },
+      ...((!acceptsAny || hasRank) && {
+        match: { requirements: printExpr(requirements), rank: hasRank ? printExpr(rank) : null },
       }),
     };
   }
 
-  private priority(ad: Ad): number {
-    const said = this.text(ad, 'SpartrayPriority');
-    if (said !== null) {
-      const p = PRIORITIES[said.toLowerCase() as keyof typeof PRIORITIES];
-      if (p !== undefined) return p;
-      const { line, column } = this.place('SpartrayPriority');
+  private parsePriority(ad: Ad): number {
+    const priorityName = this.stringAttribute(ad, 'SpartrayPriority');
+    if (priorityName !== null) {
+      const priority = PRIORITIES[priorityName.toLowerCase() as keyof typeof PRIORITIES];
+      if (priority !== undefined) return priority;
+      const { line, column } = this.positionOf('SpartrayPriority');
       throw new SubmitError(
         `SpartrayPriority has to be one of ${Object.keys(PRIORITIES).join(', ')}`,
         line,
         column,
       );
     }
-    return this.truth(ad, 'NiceUser') ? PRIORITY.low : PRIORITY.normal;
+    return this.booleanAttribute(ad, 'NiceUser') ? PRIORITY.low : PRIORITY.normal;
   }
 
   /** The team that an accounting group names: itself, or the longest part before a dot that is one. */
   private team(ad: Ad, { teams, team }: ProcOptions): string {
-    const group = this.text(ad, 'AcctGroup');
+    const group = this.stringAttribute(ad, 'AcctGroup');
     for (let name = group ?? ''; name !== ''; name = name.slice(0, Math.max(0, name.lastIndexOf('.'))))
       if (teams.includes(name)) return name;
     if (team !== null) return team;
-    const { line, column } = this.place('AcctGroup');
-    const wrong = group === null ? 'accounting_group was expected' : `no team for accounting_group ${group}`;
-    throw new SubmitError(`${wrong}; the teams are ${teams.join(', ')}`, line, column);
+    const { line, column } = this.positionOf('AcctGroup');
+    const problem =
+      group === null ? 'accounting_group was expected' : `no team for accounting_group ${group}`;
+    throw new SubmitError(`${problem}; the teams are ${teams.join(', ')}`, line, column);
   }
 
   /** Workers tell only of processes that are done, so these are decided beforehand, as for exit code 0. */
-  private checkExits(ad: Ad): void {
-    const after = ad
+  private checkExitPolicies(ad: Ad): void {
+    const exited = ad
       .copy()
       .setValue('ExitCode', 0n)
       .setValue('ExitBySignal', false)
       .setValue('JobStatus', 4n);
-    const says = (name: string) => (ad.has(name) ? evaluate(ad.get(name)!, { my: after }) : null);
+    const valueAtExit = (name: string) => (ad.has(name) ? evaluate(ad.get(name)!, { my: exited }) : null);
     const fail = (name: string, why: string) => {
-      const { line, column } = this.place(name);
+      const { line, column } = this.positionOf(name);
       throw new SubmitError(`${name} ${why}`, line, column);
     };
-    if (says('OnExitRemove') === false)
+    if (valueAtExit('OnExitRemove') === false)
       fail('OnExitRemove', 'is false for exit code 0: the process would run for ever');
-    if (says('OnExitHold') === true)
+    if (valueAtExit('OnExitHold') === true)
       fail('OnExitHold', 'is true for exit code 0: a process that is done would be held');
   }
 }
 
-const EXPRESSIONS = new Set([
+const EXPRESSION_COMMANDS = new Set([
   'request_cpus',
   'request_gpus',
   'requirements',
--- a/src/condor/records.ts
+++ b/src/condor/records.ts
@@ -8,26 +8,26 @@
 import type { Submission } from './procs.js';
 
 /** Where clusters are in the key-value store. */
-const CONDOR = {
+const STORE_KEYS = {
   /** The number of the next cluster; only ever grows. */
   next: 'condor/next',
   /** Who expands clusters; under the prefix that every node watches. */
   expander: `${KEYS.cluster}condor`,
   clusters: 'condor/c/',
-  cluster: (n: number) => `condor/c/${padded(n)}`,
+  cluster: (n: number) => `condor/c/${zeroPadded(n)}`,
   /** Those that are over, apart from the others, which are read again and again. */
   over: 'condor/over/',
-  overOne: (n: number) => `condor/over/${padded(n)}`,
+  overOne: (n: number) => `condor/over/${zeroPadded(n)}`,
   submission: (id: string) => `condor/s/${id}`,
   parts: (id: string) => `condor/p/${id}/`,
-  part: (id: string, i: number) => `condor/p/${id}/${padded(i)}`,
-  exceptions: (n: number) => `condor/x/${padded(n)}/`,
-  chunk: (n: number, i: number) => `condor/x/${padded(n)}/${padded(i)}`,
+  part: (id: string, i: number) => `condor/p/${id}/${zeroPadded(i)}`,
+  exceptions: (n: number) => `condor/x/${zeroPadded(n)}/`,
+  chunk: (n: number, i: number) => `condor/x/${zeroPadded(n)}/${zeroPadded(i)}`,
 } as const;
 /** The key that names the node that expands clusters. */
-export const EXPANDER = CONDOR.expander;
+export const EXPANDER = STORE_KEYS.expander;
 
-function padded(n: number): string {
+function zeroPadded(n: number): string {
   return String(n).padStart(8, '0');
 }
 
@@ -59,13 +59,13 @@
 const chunkValue = v.record(v.string(), exceptionValue);
 
 /** So many processes are in one record of exceptions. */
-export const CHUNK = 32;
-const TRIES = 8;
-const TXN_BYTES = 40 * 1024;
-const MOST_INFLATED = 4 * 1024 * 1024;
+export const PROCS_PER_CHUNK = 32;
+const MAX_CREATE_ATTEMPTS = 8;
+const MAX_TXN_BYTES = 40 * 1024;
+const MAX_INFLATED_BYTES = 4 * 1024 * 1024;
 
 /** A cluster's record as it was read. */
-export interface Loaded {
+export interface StoredCluster {
   number: number;
   record: ClusterRecord;
   version: number;
@@ -82,23 +82,23 @@
    * Makes a cluster durable; the same submission always gets the same number, whoever repeats it and whenever. Its text
    * goes first, in parts that fit the key-value store's limits; nothing reads them before the record is there.
    */
-  async create(id: string, s: Submission, total: number, batch: string | null): Promise<number> {
-    const known = await this.numberOf(id);
-    if (known !== null) return known;
-    const parts = await this.writeParts(id, s);
+  async create(id: string, submission: Submission, total: number, batch: string | null): Promise<number> {
+    const existing = await this.numberOf(id);
+    if (existing !== null) return existing;
+    const parts = await this.writeParts(id, submission);
     const record: ClusterRecord = {
       submission: id,
       parts,
-      user: s.user,
+      user: submission.user,
       batch,
-      at: s.at,
+      at: submission.at,
       total,
       from: 0,
       upTo: 0,
       state: 'active',
       removed: 0,
     };
-    for (let i = 0; i < TRIES; i++) {
+    for (let i = 0; i < MAX_CREATE_ATTEMPTS; i++) {
       const number = await this.tryCreate(id, record);
       if (number !== null) return number;
     }
@@ -106,38 +106,41 @@
   }
 
   /** Stores the text of a submission in parts; returns how many. */
-  private async writeParts(id: string, s: Submission): Promise<number> {
-    const bytes = deflateRawSync(JSON.stringify(s));
-    const per = Math.floor((this.limits.valueKb * 1000 * 3) / 4) - 16;
+  private async writeParts(id: string, submission: Submission): Promise<number> {
+    const bytes = deflateRawSync(JSON.stringify(submission));
+    const partBytes = Math.floor((this.limits.valueKb * 1000 * 3) / 4) - 16;
     const writes: Write[] = [];
-    for (let i = 0; i * per < bytes.length; i++)
+    for (let i = 0; i * partBytes < bytes.length; i++)
       writes.push({
-        put: CONDOR.part(id, i),
-        value: bytes.subarray(i * per, (i + 1) * per).toString('base64'),
+        put: STORE_KEYS.part(id, i),
+        value: bytes.subarray(i * partBytes, (i + 1) * partBytes).toString('base64'),
       });
-    const together = Math.max(1, Math.min(this.limits.txnOps, Math.floor(TXN_BYTES / (per * 1.4))));
-    for (let i = 0; i < writes.length; i += together)
-      await this.store.compareAndSwap([], writes.slice(i, i + together));
+    const partsPerTxn = Math.max(
+      1,
+      Math.min(this.limits.txnOps, Math.floor(MAX_TXN_BYTES / (partBytes * 1.4))),
+    );
+    for (let i = 0; i < writes.length; i += partsPerTxn)
+      await this.store.compareAndSwap([], writes.slice(i, i + partsPerTxn));
     return writes.length;
   }
 
   /** Stores a record under the next free number. Null when another cluster got that number first. */
   private async tryCreate(id: string, record: ClusterRecord): Promise<number | null> {
-    const next = await this.store.get(CONDOR.next);
+    const next = await this.store.get(STORE_KEYS.next);
     const number = next ? Number(next.value) : 1;
     try {
-      const made = await this.store.compareAndSwap(
+      const result = await this.store.compareAndSwap(
         [
-          { key: CONDOR.next, version: next?.version ?? 0 },
-          { key: CONDOR.submission(id), version: 0 },
+          { key: STORE_KEYS.next, version: next?.version ?? 0 },
+          { key: STORE_KEYS.submission(id), version: 0 },
         ],
         [
-          { put: CONDOR.next, value: number + 1 },
-          { put: CONDOR.submission(id), value: number },
-          { put: CONDOR.cluster(number), value: record },
+          { put: STORE_KEYS.next, value: number + 1 },
+          { put: STORE_KEYS.submission(id), value: number },
+          { put: STORE_KEYS.cluster(number), value: record },
         ],
       );
-      if (made.ok) return number;
+      if (result.ok) return number;
     } catch (error) {
       if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
     }
@@ -145,61 +148,65 @@
   }
 
   private async numberOf(id: string): Promise<number | null> {
-    const e = await this.store.get(CONDOR.submission(id));
+    const e = await this.store.get(STORE_KEYS.submission(id));
     return e ? Number(e.value) : null;
   }
 
   /** All clusters that are not over, or all that are. */
-  async all(over = false): Promise<Loaded[]> {
-    const under = over ? CONDOR.over : CONDOR.clusters;
-    const { entries } = await this.store.list(under);
-    const out: Loaded[] = [];
+  async all(ended = false): Promise<StoredCluster[]> {
+    const prefix = ended ? STORE_KEYS.over : STORE_KEYS.clusters;
+    const { entries } = await this.store.list(prefix);
+    const out: StoredCluster[] = [];
     for (const e of entries) {
-      const p = v.safeParse(clusterValue, e.value);
-      const number = Number(e.key.slice(under.length));
-      if (p.success) out.push({ number, record: p.output, version: e.version });
+      const parsed = v.safeParse(clusterValue, e.value);
+      const number = Number(e.key.slice(prefix.length));
+      if (parsed.success) out.push({ number, record: parsed.output, version: e.version });
     }
     return out;
   }
 
   async submission(record: ClusterRecord): Promise<Submission> {
-    const { entries } = await this.store.list(CONDOR.parts(record.submission));
+    const { entries } = await this.store.list(STORE_KEYS.parts(record.submission));
     if (entries.length !== record.parts) throw new StateStoreError('a submission that is not whole', false);
     const bytes = Buffer.concat(entries.map((e) => Buffer.from(String(e.value), 'base64')));
     return JSON.parse(
-      inflateRawSync(bytes, { maxOutputLength: MOST_INFLATED }).toString('utf8'),
+      inflateRawSync(bytes, { maxOutputLength: MAX_INFLATED_BYTES }).toString('utf8'),
     ) as Submission;
   }
 
   async exceptions(
     n: number,
   ): Promise<{ exceptions: Map<number, Exception>; versions: Map<number, number> }> {
-    const { entries } = await this.store.list(CONDOR.exceptions(n));
+    const { entries } = await this.store.list(STORE_KEYS.exceptions(n));
     const exceptions = new Map<number, Exception>();
     const versions = new Map<number, number>();
     for (const e of entries) {
-      versions.set(Number(e.key.slice(CONDOR.exceptions(n).length)), e.version);
-      const p = v.safeParse(chunkValue, e.value);
-      if (p.success) for (const [proc, x] of Object.entries(p.output)) exceptions.set(Number(proc), x);
+      versions.set(Number(e.key.slice(STORE_KEYS.exceptions(n).length)), e.version);
+      const parsed = v.safeParse(chunkValue, e.value);
+      if (parsed.success)
+        for (const [proc, x] of Object.entries(parsed.output)) exceptions.set(Number(proc), x);
     }
     return { exceptions, versions };
   }
 
   /** Writes a cluster's record under a term; null when the term is over or another write came before. */
-  async put(term: number, c: Loaded, record: ClusterRecord): Promise<number | null> {
+  async put(term: number, cluster: StoredCluster, record: ClusterRecord): Promise<number | null> {
     return this.write(
       term,
-      [{ key: CONDOR.cluster(c.number), version: c.version }],
-      [{ put: CONDOR.cluster(c.number), value: record }],
+      [{ key: STORE_KEYS.cluster(cluster.number), version: cluster.version }],
+      [{ put: STORE_KEYS.cluster(cluster.number), value: record }],
     );
   }
 
   /** Puts a cluster among those that are over; null as for `put`. */
-  async end(term: number, c: Loaded, record: ClusterRecord): Promise<number | null> {
+  async end(term: number, cluster: StoredCluster, record: ClusterRecord): Promise<number | null> {
     return this.write(
       term,
-      [{ key: CONDOR.cluster(c.number), version: c.version }],
-      [{ delete: CONDOR.cluster(c.number) }, { put: CONDOR.overOne(c.number), value: record }],
+      [{ key: STORE_KEYS.cluster(cluster.number), version: cluster.version }],
+      [
+        { delete: STORE_KEYS.cluster(cluster.number) },
+        { put: STORE_KEYS.overOne(cluster.number), value: record },
+      ],
     );
   }
 
@@ -211,13 +218,13 @@
     chunks: readonly number[],
     versions: Map<number, number>,
   ): Promise<boolean> {
-    const per = Math.max(1, Math.min(this.limits.txnOps, 8));
-    for (let i = 0; i < chunks.length; i += per) {
-      const part = chunks.slice(i, i + per);
+    const batchSize = Math.max(1, Math.min(this.limits.txnOps, 8));
+    for (let i = 0; i < chunks.length; i += batchSize) {
+      const part = chunks.slice(i, i + batchSize);
       const revision = await this.write(
         term,
-        part.map((k) => ({ key: CONDOR.chunk(n, k), version: versions.get(k) ?? 0 })),
-        part.map((k) => ({ put: CONDOR.chunk(n, k), value: chunkOf(all, k) })),
+        part.map((k) => ({ key: STORE_KEYS.chunk(n, k), version: versions.get(k) ?? 0 })),
+        part.map((k) => ({ put: STORE_KEYS.chunk(n, k), value: chunkOf(all, k) })),
       );
       if (revision === null) return false;
       for (const k of part) versions.set(k, revision);
@@ -226,22 +233,25 @@
   }
 
   /** Takes away what a finished cluster needs no more, a few records at a time. */
-  async sweep(term: number, c: Loaded): Promise<void> {
-    const per = Math.max(1, this.limits.txnOps);
-    for (const under of [CONDOR.parts(c.record.submission), CONDOR.exceptions(c.number)]) {
-      const { entries } = await this.store.list(under);
-      for (let i = 0; i < entries.length; i += per)
+  async sweep(term: number, cluster: StoredCluster): Promise<void> {
+    const batchSize = Math.max(1, this.limits.txnOps);
+    for (const prefix of [
+      STORE_KEYS.parts(cluster.record.submission),
+      STORE_KEYS.exceptions(cluster.number),
+    ]) {
+      const { entries } = await this.store.list(prefix);
+      for (let i = 0; i < entries.length; i += batchSize)
         await this.write(
           term,
           [],
-          entries.slice(i, i + per).map((e) => ({ delete: e.key })),
+          entries.slice(i, i + batchSize).map((e) => ({ delete: e.key })),
         );
     }
   }
 
   private async write(term: number, when: Condition[], writes: Write[]): Promise<number | null> {
     const result = await this.store.compareAndSwap(
-      [{ key: CONDOR.expander, version: term }, ...when],
+      [{ key: STORE_KEYS.expander, version: term }, ...when],
       writes,
     );
     return result.ok ? result.revision : null;
@@ -250,9 +260,9 @@
 
 function chunkOf(all: ReadonlyMap<number, Exception>, chunk: number): object {
   const value: Record<string, Exception> = {};
-  for (let p = chunk * CHUNK; p < (chunk + 1) * CHUNK; p++) {
-    const x = all.get(p);
-    if (x) value[p] = x;
+  for (let p = chunk * PROCS_PER_CHUNK; p < (chunk + 1) * PROCS_PER_CHUNK; p++) {
+    const exception = all.get(p);
+    if (exception) value[p] = exception;
   }
   return value;
 }
--- a/src/condor/service.ts
+++ b/src/condor/service.ts
@@ -39,13 +39,15 @@
   constraint: v.nullish(v.string()),
   reason: v.optional(v.pipe(v.string(), v.maxLength(400)), 'as its owner asked'),
 });
-const PATH = new RegExp(`^${CONDOR_PATH}(?:\\/(\\d{1,9})(?:\\/(procs|hold|release|remove|analyze))?)?$`);
-const OP = 'condor';
+const CLUSTER_PATH = new RegExp(
+  `^${CONDOR_PATH}(?:\\/(\\d{1,9})(?:\\/(procs|hold|release|remove|analyze))?)?$`,
+);
+const PEER_OP = 'condor';
 const PEER_TIMEOUT_MS = 3500;
 const UPLOAD_TIMEOUT_MS = 3000;
-const UPLOAD_TRIES = 3;
-const PAGE = 500;
-const SIZES = [
+const UPLOAD_ATTEMPTS = 3;
+const PAGE_SIZE = 500;
+const SIZE_REQUIREMENTS = [
   'TARGET.TotalCpus >= RequestCpus',
   'TARGET.Memory >= RequestMemory',
   'TARGET.GPUs >= RequestGPUs',
@@ -55,7 +57,7 @@
 export class CondorService {
   private readonly records: ClusterRecords;
   private readonly expander: Expander;
-  private readonly procs: ProcOptions;
+  private readonly procOptions: ProcOptions;
 
   constructor(
     private readonly context: ControllerContext,
@@ -63,50 +65,57 @@
     private readonly options: CondorOptions,
   ) {
     this.records = new ClusterRecords(context.store, context.settings.stateLimits);
-    this.procs = {
+    this.procOptions = {
       teams: context.settings.teams.map((t) => t.name),
       team: options.team,
-      never: (spec) => this.never(spec),
+      neverRunsReason: (spec) => this.neverRunsReason(spec),
     };
     const log = context.log.child({ part: 'condor' });
-    this.expander = new Expander(context, node, this.records, this.procs, (spec) => this.upload(spec), log);
-    node.addExtension(OP, (args) => this.serve(String(args.what), args));
+    this.expander = new Expander(
+      context,
+      node,
+      this.records,
+      this.procOptions,
+      (spec) => this.upload(spec),
+      log,
+    );
+    node.addExtension(PEER_OP, (args) => this.serve(String(args.what), args));
   }
 
   start(): void {
     void this.expander.run();
   }
 
-  async handle(r: HttpRequest): Promise<HttpReply> {
+  async handle(request: HttpRequest): Promise<HttpReply> {
     try {
-      return await this.route(r);
+      return await this.route(request);
     } catch (error) {
       if (error instanceof SubmitError || error instanceof ClassAdError)
         return { status: 400, body: { error: error.message, line: error.line, column: error.column } };
-      if (error instanceof NoCluster) return { status: 404, body: { error: 'no such cluster' } };
+      if (error instanceof NoSuchClusterError) return { status: 404, body: { error: 'no such cluster' } };
       if (error instanceof UnavailableError || error instanceof StateStoreError)
         return later(503, 1, error.message);
       throw error;
     }
   }
 
-  private async route(r: HttpRequest): Promise<HttpReply> {
-    const m = PATH.exec(r.path);
-    if (!m) return { status: 404, body: { error: 'no such path' } };
-    const cluster = m[1] === undefined ? null : Number(m[1]);
-    const what = m[2] ?? 'show';
+  private async route(request: HttpRequest): Promise<HttpReply> {
+    const match = CLUSTER_PATH.exec(request.path);
+    if (!match) return { status: 404, body: { error: 'no such path' } };
+    const cluster = match[1] === undefined ? null : Number(match[1]);
+    const what = match[2] ?? 'show';
     if (cluster === null) {
-      if (r.method === 'POST') return this.submit(r);
-      return r.method === 'GET' ? this.list(r) : wrongMethod('GET, POST');
+      if (request.method === 'POST') return this.submit(request);
+      return request.method === 'GET' ? this.list(request) : wrongMethod('GET, POST');
     }
     if (what === 'procs' || what === 'show' || what === 'analyze') {
-      if (r.method !== 'GET') return wrongMethod('GET');
-      const from = Number(r.query.get('from') ?? 0);
+      if (request.method !== 'GET') return wrongMethod('GET');
+      const from = Number(request.query.get('from') ?? 0);
       if (!Number.isInteger(from) || from < 0) return bad('from: a process number was expected');
       return { status: 200, body: (await this.request(what, { cluster, from })) as object };
     }
-    if (r.method !== 'POST') return wrongMethod('POST');
-    const parsed = v.safeParse(actBody, parseBody(r.body) ?? {});
+    if (request.method !== 'POST') return wrongMethod('POST');
+    const parsed = v.safeParse(actBody, parseBody(request.body) ?? {});
     if (!parsed.success)
       return bad(`${v.getDotPath(parsed.issues[0]) ?? 'body'}: ${parsed.issues[0].message}`);
     const { procs, constraint, reason } = parsed.output;
@@ -116,26 +125,26 @@
   }
 
   /** Everything is checked first; then one durable record, and the answer. */
-  private async submit(r: HttpRequest): Promise<HttpReply> {
-    const parsed = v.safeParse(submitBody, parseBody(r.body));
+  private async submit(request: HttpRequest): Promise<HttpReply> {
+    const parsed = v.safeParse(submitBody, parseBody(request.body));
     if (!parsed.success)
       return bad(`${v.getDotPath(parsed.issues[0]) ?? 'body'}: ${parsed.issues[0].message}`);
     if (!this.node.allSupportMatching)
       throw new UnavailableError('not all controllers serve HTCondor submit files');
     const { submission, text, rows, user } = parsed.output;
-    const s = { text, rows, user, at: Math.floor(this.context.clock.wall() / 1000) };
-    const plan = new ClusterPlan(s, this.procs);
+    const contents = { text, rows, user, at: Math.floor(this.context.clock.wall() / 1000) };
+    const plan = new ClusterPlan(contents, this.procOptions);
     plan.check();
     const batch = plan.proc(0, 0).ad.get('JobBatchName');
     const name =
       batch?.node === 'literal' && typeof batch.value === 'string' ? batch.value.slice(0, 100) : null;
-    const cluster = await this.records.create(submission, s, plan.total, name);
+    const cluster = await this.records.create(submission, contents, plan.total, name);
     this.context.log.info({ cluster, procs: plan.total, user }, 'cluster accepted');
     return { status: 201, body: { cluster, procs: plan.total, warnings: plan.warnings } };
   }
 
-  private async list(r: HttpRequest): Promise<HttpReply> {
-    const over = r.query.get('over') === '1';
+  private async list(request: HttpRequest): Promise<HttpReply> {
+    const over = request.query.get('over') === '1';
     return { status: 200, body: (await this.request('list', { over })) as object };
   }
 
@@ -143,42 +152,52 @@
 
   private async request(what: string, args: Record<string, unknown>): Promise<unknown> {
     if (this.expander.active) return this.serve(what, args);
-    const e = this.node.membership.stateCache.entries.get(EXPANDER);
-    const holder = e && v.safeParse(v.object({ node: v.string() }), e.value);
+    const entry = this.node.membership.stateCache.entries.get(EXPANDER);
+    const holder = entry && v.safeParse(v.object({ node: v.string() }), entry.value);
     if (!holder?.success || holder.output.node === this.context.settings.node)
       throw new UnavailableError('nobody expands clusters at present');
     try {
-      return await this.node.requestNode(holder.output.node, OP, { what, ...args }, PEER_TIMEOUT_MS);
+      return await this.node.requestNode(holder.output.node, PEER_OP, { what, ...args }, PEER_TIMEOUT_MS);
     } catch (error) {
-      if (error instanceof PeerRejectedError && error.message === NO_CLUSTER) throw new NoCluster();
+      if (error instanceof PeerRejectedError && error.message === NO_SUCH_CLUSTER)
+        throw new NoSuchClusterError();
       throw new UnavailableError(error instanceof Error ? error.message : 'no answer');
     }
   }
 
-  private async serve(what: string, a: Record<string, unknown>): Promise<unknown> {
+  private async serve(what: string, args: Record<string, unknown>): Promise<unknown> {
     if (!this.expander.active) throw new UnavailableError('not the expander');
-    if (what === 'list') return this.summaries(a.over === true);
-    const c = await this.cluster(Number(a.cluster));
-    if (what === 'show') return this.summary(c);
-    if (what === 'analyze') return this.analyzeProc(c, Number(a.from));
-    if (what === 'procs') return this.page(c, Number(a.from));
-    return { changed: await this.act(c, a) };
+    if (what === 'list') return this.summaries(args.over === true);
+    const cluster = await this.findCluster(Number(args.cluster));
+    if (what === 'show') return this.summary(cluster);
+    if (what === 'analyze') return this.analyzeProc(cluster, Number(args.from));
+    if (what === 'procs') return this.page(cluster, Number(args.from));
+    return { changed: await this.applyAction(cluster, args) };
   }
 
-  private async cluster(n: number): Promise<Cluster> {
-    if (!this.expander.clusters.has(n)) await this.expander.look();
-    const c = this.expander.clusters.get(n);
-    if (!c) throw new NoCluster();
-    return c;
+  private async findCluster(n: number): Promise<Cluster> {
+    if (!this.expander.clusters.has(n)) await this.expander.discoverClusters();
+    const cluster = this.expander.clusters.get(n);
+    if (!cluster) throw new NoSuchClusterError();
+    return cluster;
   }
 
-  private summary(c: Cluster): ClusterView {
-    const { user, batch, at, total, state } = c.record;
-    return { cluster: c.number, user, batch, at, procs: total, jobs: c.cursor, state, ...c.counts };
+  private summary(cluster: Cluster): ClusterView {
+    const { user, batch, at, total, state } = cluster.record;
+    return {
+      cluster: cluster.number,
+      user,
+      batch,
+      at,
+      procs: total,
+      jobs: cluster.cursor,
+      state,
+      ...cluster.counts,
+    };
   }
 
   private async summaries(over: boolean): Promise<object> {
-    await this.expander.look();
+    await this.expander.discoverClusters();
     const clusters = [...this.expander.clusters.values()].map((c) => this.summary(c));
     if (over) {
       for (const { number, record } of await this.records.all(true)) {
@@ -199,52 +218,52 @@
     return { clusters };
   }
 
-  private page(c: Cluster, from: number): object {
+  private page(cluster: Cluster, from: number): object {
     const procs: ProcView[] = [];
     const offers = this.offers();
-    const to = Math.min(c.record.total, from + PAGE);
-    for (let n = from; n < to; n++) procs.push(this.view(c, n, offers));
-    return { procs, more: to < c.record.total };
+    const to = Math.min(cluster.record.total, from + PAGE_SIZE);
+    for (let n = from; n < to; n++) procs.push(this.view(cluster, n, offers));
+    return { procs, more: to < cluster.record.total };
   }
 
-  private view(c: Cluster, n: number, offers: readonly Offer[]): ProcView {
-    const { ad, spec } = c.proc(n);
-    const state = c.state(n);
-    const x = c.exceptions.get(n);
+  private view(cluster: Cluster, n: number, offers: readonly Offer[]): ProcView {
+    const { ad, spec } = cluster.proc(n);
+    const state = cluster.state(n);
+    const exception = cluster.exceptions.get(n);
     const cmd = ad.get('Cmd') ?? ad.get('ContainerImage') ?? ad.get('DockerImage');
     const prio = ad.get('JobPrio');
     return {
-      cluster: c.number,
+      cluster: cluster.number,
       proc: n,
-      user: c.record.user,
+      user: cluster.record.user,
       state,
-      job: jobId(c.number, n, x?.start ?? 0),
+      job: jobId(cluster.number, n, exception?.start ?? 0),
       cmd: cmd?.node === 'literal' && typeof cmd.value === 'string' ? cmd.value : '',
       priority: prio?.node === 'literal' && typeof prio.value === 'bigint' ? Number(prio.value) : 0,
       memoryMb: Math.round(spec.memoryGb * 1024),
-      at: c.record.at,
+      at: cluster.record.at,
       reason:
         state === 'held' || state === 'removed'
-          ? (x?.why ?? null)
+          ? (exception?.why ?? null)
           : state === 'idle'
-            ? this.analyzed(c, n, offers).reason
+            ? this.analysisOf(cluster, n, offers).reason
             : null,
     };
   }
 
-  private analyzed(c: Cluster, n: number, offers: readonly Offer[]): Analysis {
+  private analysisOf(c: Cluster, n: number, offers: readonly Offer[]): Analysis {
     const { ad } = c.proc(n);
-    return analyze(ad.get('Requirements')!, ad, offers, SIZES);
+    return analyze(ad.get('Requirements')!, ad, offers, SIZE_REQUIREMENTS);
   }
 
-  private analyzeProc(c: Cluster, n: number): AnalysisView {
-    if (n >= c.record.total) throw new NoCluster();
-    const { ad } = c.proc(n);
+  private analyzeProc(cluster: Cluster, n: number): AnalysisView {
+    if (n >= cluster.record.total) throw new NoSuchClusterError();
+    const { ad } = cluster.proc(n);
     return {
-      cluster: c.number,
+      cluster: cluster.number,
       proc: n,
-      state: c.state(n),
-      ...this.analyzed(c, n, this.offers()),
+      state: cluster.state(n),
+      ...this.analysisOf(cluster, n, this.offers()),
       ad: printAd(ad),
     };
   }
@@ -258,27 +277,28 @@
     }));
   }
 
-  private async act(c: Cluster, a: Record<string, unknown>): Promise<number> {
-    const act = a.act === 'hold' ? 'hold' : a.act === 'release' ? 'release' : 'remove';
-    const constraint: Expr | null = typeof a.constraint === 'string' ? parseExpr(a.constraint) : null;
-    if (act === 'remove' && a.procs === null && !constraint) return this.expander.removeAll(c);
-    const listed = Array.isArray(a.procs) ? new Set(a.procs.map(Number)) : null;
-    const matching = await this.expander.matching(c, constraint);
+  private async applyAction(cluster: Cluster, args: Record<string, unknown>): Promise<number> {
+    const action = args.act === 'hold' ? 'hold' : args.act === 'release' ? 'release' : 'remove';
+    const constraint: Expr | null = typeof args.constraint === 'string' ? parseExpr(args.constraint) : null;
+    if (action === 'remove' && args.procs === null && !constraint)
+      return this.expander.removeCluster(cluster);
+    const listed = Array.isArray(args.procs) ? new Set(args.procs.map(Number)) : null;
+    const matching = await this.expander.procsMatching(cluster, constraint);
     const procs = matching.filter((n) => !listed || listed.has(n));
-    return this.expander.act(c, act, procs, String(a.reason));
+    return this.expander.applyAction(cluster, action, procs, String(args.reason));
   }
 
   // --- processes as jobs
 
-  private never(spec: JobSpec): string | null {
+  private neverRunsReason(spec: JobSpec): string | null {
     const team = this.context.settings.teams.find((t) => t.name === spec.team);
     if (!team) return null;
-    const n = spec.kind === 'gang' ? spec.tasks : 1;
-    const over = (need: number, most: number) => most > 0 && n * need > most + 1e-6;
-    if (over(spec.cpus, team.cpusMax))
-      return `request_cpus: ${n * spec.cpus} is more than team ${team.name} may use, ${team.cpusMax}`;
-    if (over(spec.gpus, team.gpusMax))
-      return `request_gpus: ${n * spec.gpus} is more than team ${team.name} may use, ${team.gpusMax}`;
+    const tasks = spec.kind === 'gang' ? spec.tasks : 1;
+    const exceeds = (need: number, limit: number) => limit > 0 && tasks * need > limit + 1e-6;
+    if (exceeds(spec.cpus, team.cpusMax))
+      return `request_cpus: ${tasks * spec.cpus} is more than team ${team.name} may use, ${team.cpusMax}`;
+    if (exceeds(spec.gpus, team.gpusMax))
+      return `request_gpus: ${tasks * spec.gpus} is more than team ${team.name} may use, ${team.gpusMax}`;
     return null;
   }
 
@@ -286,16 +306,16 @@
   private async upload(spec: JobSpec): Promise<void> {
     const { depot } = this.options;
     if (depot === null) return;
-    for (let i = 0; i < UPLOAD_TRIES; i++) {
+    for (let i = 0; i < UPLOAD_ATTEMPTS; i++) {
       try {
-        const r = await this.context.http.request(
+        const response = await this.context.http.request(
           depot,
           'PUT',
           `/jobs/${spec.id}`,
           { job: writeJob(spec) },
           UPLOAD_TIMEOUT_MS,
         );
-        if (r.status === 200) return;
+        if (response.status === 200) return;
       } catch (error) {
         this.context.log.debug({ job: spec.id, err: error }, 'description not uploaded');
       }
@@ -305,9 +325,9 @@
   }
 }
 
-const NO_CLUSTER = 'no such cluster';
-class NoCluster extends InvalidInputError {
+const NO_SUCH_CLUSTER = 'no such cluster';
+class NoSuchClusterError extends InvalidInputError {
   constructor() {
-    super(NO_CLUSTER);
+    super(NO_SUCH_CLUSTER);
   }
 }
--- a/src/federation/lending.ts
+++ b/src/federation/lending.ts
@@ -52,128 +52,145 @@
   say: LendingMessage | null;
 }
 
-const nothing = { record: null, say: null } as const;
+const UNCHANGED = { record: null, say: null } as const;
 
 /**
  * Whether settings hold together: without a word from the partner its tasks end with the lease, and that has to be within
  * the bound of a cancellation; and of the lease enough has to be left to run in, so that a late renewal stops nothing.
  */
 export function leaseFits(limits: LendingLimits, cancelMs: number): boolean {
-  const runs = limits.leaseMs - limits.skewMs - limits.stopMs;
-  return limits.leaseMs + 2 * limits.skewMs <= cancelMs && runs >= limits.stopMs / 2;
+  const usableMs = limits.leaseMs - limits.skewMs - limits.stopMs;
+  return limits.leaseMs + 2 * limits.skewMs <= cancelMs && usableMs >= limits.stopMs / 2;
 }
 
 // --- home
 
 /** Whether tasks of the job may start at home. */
-export function mayRunHome(r: HomeRecord): boolean {
-  return r.lent === null && r.final === null;
+export function mayRunHome(record: HomeRecord): boolean {
+  return record.lent === null && record.final === null;
 }
 
 /** Lends a job none of whose tasks is, or may be, on a machine here. */
-export function lend(r: HomeRecord, partner: string, now: number, l: LendingLimits): Step<HomeRecord> {
-  if (!mayRunHome(r)) return nothing;
-  const until = now + l.leaseMs;
-  return { record: { ...r, lent: { partner, until } }, say: { kind: 'lend', epoch: r.epoch, until } };
+export function lend(
+  record: HomeRecord,
+  partner: string,
+  now: number,
+  limits: LendingLimits,
+): Step<HomeRecord> {
+  if (!mayRunHome(record)) return UNCHANGED;
+  const until = now + limits.leaseMs;
+  return {
+    record: { ...record, lent: { partner, until } },
+    say: { kind: 'lend', epoch: record.epoch, until },
+  };
 }
 
 /** The partner asks for more time. It is stored before it is granted: whoever takes over here must know of it. */
-export function renew(r: HomeRecord, epoch: number, now: number, l: LendingLimits): Step<HomeRecord> {
-  if (!r.lent || r.final !== null || r.epoch !== epoch) return { record: null, say: { kind: 'stop', epoch } };
+export function renew(
+  record: HomeRecord,
+  epoch: number,
+  now: number,
+  limits: LendingLimits,
+): Step<HomeRecord> {
+  if (!record.lent || record.final !== null || record.epoch !== epoch)
+    return { record: null, say: { kind: 'stop', epoch } };
   // A lease that may be over is not made longer: the partner has stopped, or is about to.
-  if (now >= r.lent.until) return nothing;
-  const until = Math.max(r.lent.until, now + l.leaseMs);
-  return { record: { ...r, lent: { ...r.lent, until } }, say: { kind: 'granted', epoch, until } };
+  if (now >= record.lent.until) return UNCHANGED;
+  const until = Math.max(record.lent.until, now + limits.leaseMs);
+  return { record: { ...record, lent: { ...record.lent, until } }, say: { kind: 'granted', epoch, until } };
 }
 
 /** Takes a job back whose lease is surely over, by whichever clock. */
-export function takeBack(r: HomeRecord, now: number, l: LendingLimits): Step<HomeRecord> {
-  if (!r.lent || r.final !== null || now <= r.lent.until + l.skewMs) return nothing;
-  return { record: { ...r, epoch: r.epoch + 1, lent: null }, say: null };
+export function takeBack(record: HomeRecord, now: number, limits: LendingLimits): Step<HomeRecord> {
+  if (!record.lent || record.final !== null || now <= record.lent.until + limits.skewMs) return UNCHANGED;
+  return { record: { ...record, epoch: record.epoch + 1, lent: null }, say: null };
 }
 
 /** The partner has given the job back unstarted, for good. */
-export function takeReturned(r: HomeRecord, epoch: number): Step<HomeRecord> {
-  if (!r.lent || r.final !== null || r.epoch !== epoch) return nothing;
-  return { record: { ...r, epoch: r.epoch + 1, lent: null }, say: null };
+export function takeReturned(record: HomeRecord, epoch: number): Step<HomeRecord> {
+  if (!record.lent || record.final !== null || record.epoch !== epoch) return UNCHANGED;
+  return { record: { ...record, epoch: record.epoch + 1, lent: null }, say: null };
 }
 
 /** The partner says that the job is done. Only what was done under this epoch counts. */
-export function takeDone(r: HomeRecord, epoch: number): Step<HomeRecord> {
+export function takeDone(record: HomeRecord, epoch: number): Step<HomeRecord> {
   const say = { kind: 'acknowledged', epoch } as const;
   // What comes again, or too late, is acknowledged as well: there is nothing to keep it for.
-  if (!r.lent || r.final !== null || r.epoch !== epoch) return { record: null, say };
-  return { record: { ...r, final: 'done' }, say };
+  if (!record.lent || record.final !== null || record.epoch !== epoch) return { record: null, say };
+  return { record: { ...record, final: 'done' }, say };
 }
 
 /** All tasks are done here. */
-export function doneHome(r: HomeRecord): Step<HomeRecord> {
-  return mayRunHome(r) ? { record: { ...r, final: 'done' }, say: null } : nothing;
+export function doneHome(record: HomeRecord): Step<HomeRecord> {
+  return mayRunHome(record) ? { record: { ...record, final: 'done' }, say: null } : UNCHANGED;
 }
 
 /** Its user cancels it, wherever it is. From then on no lease of it is renewed. */
-export function cancel(r: HomeRecord): Step<HomeRecord> {
-  if (r.final !== null) return nothing;
-  return { record: { ...r, final: 'cancelled' }, say: r.lent ? { kind: 'stop', epoch: r.epoch } : null };
+export function cancel(record: HomeRecord): Step<HomeRecord> {
+  if (record.final !== null) return UNCHANGED;
+  return {
+    record: { ...record, final: 'cancelled' },
+    say: record.lent ? { kind: 'stop', epoch: record.epoch } : null,
+  };
 }
 
 // --- partner
 
 /** Takes a job, unless its lease is nearly over or it was here under a later epoch. */
 export function borrow(
-  r: PartnerRecord | null,
+  record: PartnerRecord | null,
   epoch: number,
   until: number,
   now: number,
-  l: LendingLimits,
+  limits: LendingLimits,
 ): Step<PartnerRecord> {
-  if (r && r.epoch >= epoch) return nothing;
-  if (!timeToStart(until, now, l)) return nothing;
+  if (record && record.epoch >= epoch) return UNCHANGED;
+  if (!canStopBeforeExpiry(until, now, limits)) return UNCHANGED;
   return { record: { epoch, until, state: 'held' }, say: { kind: 'renew', epoch } };
 }
 
-function timeToStart(until: number, now: number, l: LendingLimits): boolean {
-  return now + l.skewMs + l.stopMs < until;
+function canStopBeforeExpiry(until: number, now: number, limits: LendingLimits): boolean {
+  return now + limits.skewMs + limits.stopMs < until;
 }
 
 /** Home has made the lease longer. */
-export function extend(r: PartnerRecord, epoch: number, until: number): Step<PartnerRecord> {
-  if (r.epoch !== epoch || until <= r.until || r.state === 'returned') return nothing;
-  return { record: { ...r, until }, say: null };
+export function extend(record: PartnerRecord, epoch: number, until: number): Step<PartnerRecord> {
+  if (record.epoch !== epoch || until <= record.until || record.state === 'returned') return UNCHANGED;
+  return { record: { ...record, until }, say: null };
 }
 
 /** Whether tasks may start here: they have to be stoppable before the lease is over by any clock. */
-export function mayRunBorrowed(r: PartnerRecord, now: number, l: LendingLimits): boolean {
-  return r.state === 'started' && timeToStart(r.until, now, l);
+export function mayRunBorrowed(record: PartnerRecord, now: number, limits: LendingLimits): boolean {
+  return record.state === 'started' && canStopBeforeExpiry(record.until, now, limits);
 }
 
 /** The first start is stored, so that a recall that comes with it is refused by whoever answers it. */
-export function start(r: PartnerRecord, now: number, l: LendingLimits): Step<PartnerRecord> {
-  if (r.state !== 'held' || !timeToStart(r.until, now, l)) return nothing;
-  return { record: { ...r, state: 'started' }, say: null };
+export function start(record: PartnerRecord, now: number, limits: LendingLimits): Step<PartnerRecord> {
+  if (record.state !== 'held' || !canStopBeforeExpiry(record.until, now, limits)) return UNCHANGED;
+  return { record: { ...record, state: 'started' }, say: null };
 }
 
 /** Whether all tasks have to be stopped now, whatever has been heard from home. */
-export function mustStop(r: PartnerRecord, now: number, l: LendingLimits): boolean {
-  return !mayRunBorrowed(r, now, l);
+export function mustStop(record: PartnerRecord, now: number, limits: LendingLimits): boolean {
+  return !mayRunBorrowed(record, now, limits);
 }
 
 /** All tasks are done here. */
-export function doneBorrowed(r: PartnerRecord): Step<PartnerRecord> {
-  if (r.state !== 'started') return nothing;
-  return { record: { ...r, state: 'done' }, say: { kind: 'done', epoch: r.epoch } };
+export function doneBorrowed(record: PartnerRecord): Step<PartnerRecord> {
+  if (record.state !== 'started') return UNCHANGED;
+  return { record: { ...record, state: 'done' }, say: { kind: 'done', epoch: record.epoch } };
 }
 
 /** Home would rather run it itself. */
-export function giveBack(r: PartnerRecord, epoch: number): Step<PartnerRecord> {
-  if (r.epoch !== epoch) return nothing;
-  if (r.state === 'returned') return { record: null, say: { kind: 'returned', epoch } };
-  if (r.state !== 'held') return nothing;
-  return { record: { ...r, state: 'returned' }, say: { kind: 'returned', epoch } };
+export function giveBack(record: PartnerRecord, epoch: number): Step<PartnerRecord> {
+  if (record.epoch !== epoch) return UNCHANGED;
+  if (record.state === 'returned') return { record: null, say: { kind: 'returned', epoch } };
+  if (record.state !== 'held') return UNCHANGED;
+  return { record: { ...record, state: 'returned' }, say: { kind: 'returned', epoch } };
 }
 
 /** Home wants nothing of it any more. What is done is kept until home has acknowledged it. */
-export function drop(r: PartnerRecord, epoch: number): Step<PartnerRecord> {
-  if (r.epoch !== epoch || r.state === 'done') return nothing;
-  return { record: { ...r, state: 'returned' }, say: null };
+export function drop(record: PartnerRecord, epoch: number): Step<PartnerRecord> {
+  if (record.epoch !== epoch || record.state === 'done') return UNCHANGED;
+  return { record: { ...record, state: 'returned' }, say: null };
 }
--- a/tests/classad/classad.test.ts
+++ b/tests/classad/classad.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 import { Ad, type BinaryOp, ErrorValue, type Expr, PRECEDENCE, UNDEFINED } from '../../src/classad/ast.js';
 import { evaluate } from '../../src/classad/evaluate.js';
-import { flatten, namesAsked } from '../../src/classad/flatten.js';
+import { flatten, targetAttributeNames } from '../../src/classad/flatten.js';
 import { ClassAdError, parseAd, parseExpr } from '../../src/classad/parser.js';
 import { printExpr, printValue } from '../../src/classad/print.js';
 
@@ -119,7 +119,7 @@
       {
         node: fc.constant('unary' as const),
         op: fc.constantFrom('-', '+', '!', '~'),
-        of: tie('expr'),
+        operand: tie('expr'),
       },
       { noNullPrototype: true },
     ),
@@ -135,8 +135,8 @@
     rec({
       node: fc.constant('if' as const),
       test: tie('expr'),
-      yes: fc.option(tie('expr'), { nil: null }),
-      no: tie('expr'),
+      consequent: fc.option(tie('expr'), { nil: null }),
+      alternate: tie('expr'),
     }),
     fc.record(
       { node: fc.constant('list' as const), items: fc.array(tie('expr'), { maxLength: 3 }) },
@@ -159,10 +159,10 @@
       args: fc.array(tie('expr'), { maxLength: 3 }),
     }),
     fc.record(
-      { node: fc.constant('index' as const), of: tie('expr'), at: tie('expr') },
+      { node: fc.constant('index' as const), operand: tie('expr'), at: tie('expr') },
       { noNullPrototype: true },
     ),
-    rec({ node: fc.constant('select' as const), of: tie('expr'), name }),
+    rec({ node: fc.constant('select' as const), operand: tie('expr'), name }),
     tie('ad'),
   ) as fc.Arbitrary<Expr>,
   ad: fc.dictionary(name, tie('expr') as fc.Arbitrary<Expr>, { maxKeys: 2 }).map((d) => {
@@ -241,5 +241,5 @@
 test('what is put in beforehand leaves only what is asked of the other side', () => {
   const e = parseExpr('(Memory >= RequestMemory) && (Owner == "ann") && (Arch == "X86_64" || Twice > 1e6)');
   assert.equal(printExpr(flatten(e, MY)), 'TARGET.Memory >= 2048 && TARGET.Arch == "X86_64"');
-  assert.deepEqual([...namesAsked(flatten(e, MY), MY)].sort(), ['arch', 'memory']);
+  assert.deepEqual([...targetAttributeNames(flatten(e, MY), MY)].sort(), ['arch', 'memory']);
 });
--- a/tests/condor/beside.ts
+++ b/tests/condor/beside.ts
@@ -20,9 +20,9 @@
 const runs = Number(process.argv[2] ?? 3);
 const procs = Number(process.argv[3] ?? 3000);
 const SPEED = 8;
-type Way = 'alone' | 'expanding' | 'beside' | 'native';
-const WAYS: Way[] = ['alone', 'expanding', 'beside', 'native'];
-const file = (requirements: string) =>
+type Variant = 'alone' | 'expanding' | 'beside' | 'native';
+const VARIANTS: Variant[] = ['alone', 'expanding', 'beside', 'native'];
+const submitFile = (requirements: string) =>
   `executable = backfill\naccounting_group = guests\nnice_user = true\nrequest_cpus = 1\nrequest_memory = 512\nrequirements = ${requirements}\n+ExpectedRunSeconds = 20\nqueue ${procs}\n`;
 const ARRAY = JSON.stringify({
   id: 'wk-beside',
@@ -35,9 +35,9 @@
   expectedS: 20,
 });
 
-async function play(
+async function runVariant(
   seed: number,
-  way: Way,
+  variant: Variant,
 ): Promise<{ p50: number; p90: number; mean: number; submit: number }> {
   const platform = loadPlatform('builtin');
   platform.spot.per_hour = 0;
@@ -62,9 +62,10 @@
   await cluster.start();
   const http = new HttpClient(cluster.clock, { maxSockets: 8, bodyBytes: 1e6 });
   const client = new SpartrayClient(cluster.clock, http, { servers: [cluster.users], depot: cluster.depot });
-  if (way === 'expanding') await new CondorClient(client).submit(file('Memory > 1000000000'), {}, 'beside');
-  if (way === 'beside') await new CondorClient(client).submit(file('true'), {}, 'beside');
-  if (way === 'native') for (const o of readJobFile(ARRAY, 'json')) await client.submit(o.spec, o.upload);
+  if (variant === 'expanding')
+    await new CondorClient(client).submit(submitFile('Memory > 1000000000'), {}, 'beside');
+  if (variant === 'beside') await new CondorClient(client).submit(submitFile('true'), {}, 'beside');
+  if (variant === 'native') for (const o of readJobFile(ARRAY, 'json')) await client.submit(o.spec, o.upload);
   const scenario = {
     ...loadScenario('examples/morning.toml'),
     seed,
@@ -73,32 +74,37 @@
     drain_s: 200,
   };
   scenario.classes = scenario.classes.filter((c) => c.name === 'cutoff').map((c) => ({ ...c, a_minute: 12 }));
-  const r = await new LoadRun(cluster, platform, scenario).run('beside', SPEED, () => undefined);
+  const result = await new LoadRun(cluster, platform, scenario).run('beside', SPEED, () => undefined);
   http.close();
   await cluster.stop();
   rmSync(data, { recursive: true, force: true });
   // The processes are none of the load's jobs.
-  const broken = r.violations.filter((x) => !/^wk-(condor-|beside)/.test(x.what));
-  if (broken.length > 0) throw new Error(JSON.stringify(broken[0]));
-  const made =
+  const violations = result.violations.filter((x) => !/^wk-(condor-|beside)/.test(x.what));
+  if (violations.length > 0) throw new Error(JSON.stringify(violations[0]));
+  const accepted =
     cluster.state.value('condor/next') === undefined
       ? 0
       : [...cluster.state.items.keys()].filter((k) => /^(act|job)\/wk-condor-/.test(k)).length;
-  const c = r.classes[0]!;
+  const cutoff = result.classes[0]!;
   console.log(
-    `seed ${seed} ${way} (${made} processes became jobs): ${c.done} gangs; started s mean ${c.startS.mean.toFixed(2)} p50 ${c.startS.p50.toFixed(2)} p90 ${c.startS.p90.toFixed(2)}, submitted ms p50 ${c.submitMs.p50}`,
+    `seed ${seed} ${variant} (${accepted} processes became jobs): ${cutoff.done} gangs; started s mean ${cutoff.startS.mean.toFixed(2)} p50 ${cutoff.startS.p50.toFixed(2)} p90 ${cutoff.startS.p90.toFixed(2)}, submitted ms p50 ${cutoff.submitMs.p50}`,
   );
-  return { p50: c.startS.p50, p90: c.startS.p90, mean: c.startS.mean, submit: c.submitMs.p50 };
+  return {
+    p50: cutoff.startS.p50,
+    p90: cutoff.startS.p90,
+    mean: cutoff.startS.mean,
+    submit: cutoff.submitMs.p50,
+  };
 }
 
-const sums = new Map(WAYS.map((w) => [w, { mean: 0, p90: 0 }]));
+const sums = new Map(VARIANTS.map((w) => [w, { mean: 0, p90: 0 }]));
 for (let seed = 1; seed <= runs; seed++)
-  for (const way of seed % 2 ? WAYS : [...WAYS].reverse()) {
-    const r = await play(seed, way);
-    sums.get(way)!.mean += r.mean / runs;
-    sums.get(way)!.p90 += r.p90 / runs;
+  for (const variant of seed % 2 ? VARIANTS : [...VARIANTS].reverse()) {
+    const r = await runVariant(seed, variant);
+    sums.get(variant)!.mean += r.mean / runs;
+    sums.get(variant)!.p90 += r.p90 / runs;
   }
-const ratio = (a: Way, b: Way) =>
+const ratio = (a: Variant, b: Variant) =>
   `${a} against ${b}: mean ${(sums.get(a)!.mean / sums.get(b)!.mean).toFixed(2)}, p90 ${(sums.get(a)!.p90 / sums.get(b)!.p90).toFixed(2)} times`;
 console.log(`${ratio('expanding', 'alone')}; ${ratio('beside', 'native')} (simulated machines)`);
 process.exit(0);
--- a/tests/condor/check.ts
+++ b/tests/condor/check.ts
@@ -24,12 +24,12 @@
 
 const SPEED = 20;
 const DIR = 'examples/condor';
-const WITHIN_S = 400;
+const JOB_TIMEOUT_S = 400;
 /** Starts closer than this count as at the same time: orders go with answers to reports, which come every 3 s. */
-const TOGETHER_MS = 4000;
-const AT_ONCE = 3;
+const SIMULTANEOUS_MS = 4000;
+const MAX_CONCURRENT_CHECKS = 3;
 
-interface Placed {
+interface Placement {
   kind: string;
   at: number;
 }
@@ -44,10 +44,10 @@
   return p;
 }
 
-async function onCluster(
+async function runOnCluster(
   port: number,
   work: (cluster: LocalCluster, client: SpartrayClient) => Promise<string[]>,
-): Promise<Map<string, Placed[]>> {
+): Promise<Map<string, Placement[]>> {
   const data = mkdtempSync(join(tmpdir(), 'spartray-check-'));
   const cluster = new LocalCluster({
     platform: platform(),
@@ -71,18 +71,18 @@
     while ([...cluster.machines.values()].some((m) => m.worker.token === 0) && cluster.clock.now() < until)
       await pause(cluster.clock, 500);
     const ids = await work(cluster, client);
-    const views = await Promise.all(ids.map((id) => client.wait(id, WITHIN_S)));
+    const views = await Promise.all(ids.map((id) => client.wait(id, JOB_TIMEOUT_S)));
     ids.forEach((id, i) => {
       if (views[i]?.status !== 'done') throw new Error(`${id} is ${views[i]?.status ?? 'unknown'}`);
     });
-    const placed = new Map<string, Placed[]>();
+    const placements = new Map<string, Placement[]>();
     for (const e of cluster.tasks.history) {
       if (e.kind !== 'on') continue;
-      const list = placed.get(e.job) ?? [];
+      const list = placements.get(e.job) ?? [];
       list.push({ kind: `${e.type} ${e.zone} ${e.spot ? 'spot' : 'ordinary'}`, at: e.at });
-      placed.set(e.job, list);
+      placements.set(e.job, list);
     }
-    return placed;
+    return placements;
   } finally {
     http.close();
     await cluster.stop();
@@ -91,35 +91,35 @@
 }
 
 /** The same job in the words of a submission; null when types and a zone do not say what it asks. */
-function natively(spec: JobSpec): JobSpec | null {
+function toNativeSpec(spec: JobSpec): JobSpec | null {
   const { match, ...job } = spec;
   if (!match) return job;
-  const e = parseExpr(match.requirements);
+  const requirements = parseExpr(match.requirements);
   const kinds = typesOf(platform()).flatMap((t) =>
     t.zones.flatMap((zone) =>
       [false, true].map((spot) => ({ type: t.name, zone, spot, ad: kindAd(t, zone, spot) })),
     ),
   );
   if (/Machine\b(?!Type)|LoadAvg|Name|Cached/.test(match.requirements) || match.rank !== null) return null;
-  const fits = kinds.filter((k) => evaluate(e, { my: new Ad(), target: k.ad }) === true);
+  const fits = kinds.filter((k) => evaluate(requirements, { my: new Ad(), target: k.ad }) === true);
   const types = [...new Set(fits.map((k) => k.type))];
   const zones = [...new Set(fits.map((k) => k.zone))];
   const spot = fits.some((k) => k.spot);
-  const all = kinds.filter((k) => types.includes(k.type) && zones.includes(k.zone) && (spot || !k.spot));
+  const covered = kinds.filter((k) => types.includes(k.type) && zones.includes(k.zone) && (spot || !k.spot));
   const zone = zones.length === 1 ? zones[0]! : null;
-  const free = new Set(kinds.filter((k) => types.includes(k.type)).map((k) => k.zone)).size;
-  if (all.length !== fits.length || (zone === null && zones.length !== free)) return null;
+  const offeredZones = new Set(kinds.filter((k) => types.includes(k.type)).map((k) => k.zone)).size;
+  if (covered.length !== fits.length || (zone === null && zones.length !== offeredZones)) return null;
   return { ...job, types, zone, spot: job.spot && spot };
 }
 
 /** Order of starts, those at the same time in order of their numbers. */
-function order(ids: string[], placed: Map<string, Placed[]>): number[][] {
-  const at = ids.map((id, i) => ({ i, at: placed.get(id)?.[0]?.at ?? Number.POSITIVE_INFINITY }));
+function order(ids: string[], placements: Map<string, Placement[]>): number[][] {
+  const at = ids.map((id, i) => ({ i, at: placements.get(id)?.[0]?.at ?? Number.POSITIVE_INFINITY }));
   at.sort((a, b) => a.at - b.at);
   const groups: number[][] = [];
   let first = Number.NEGATIVE_INFINITY;
   for (const x of at) {
-    if (x.at - first > TOGETHER_MS) {
+    if (x.at - first > SIMULTANEOUS_MS) {
       groups.push([]);
       first = x.at;
     }
@@ -142,11 +142,11 @@
   const rows = readRows(parseSubmit(text), DIR);
   const plan = new ClusterPlan(
     { text, rows, user: 'check', at: 0 },
-    { teams: ['red', 'blue', 'guests'], team: null, never: () => null },
+    { teams: ['red', 'blue', 'guests'], team: null, neverRunsReason: () => null },
   );
   const procs = Array.from({ length: plan.total }, (_, n) => plan.proc(1, n).spec);
   const ids = procs.map((_, n) => `wk-condor-1-${n}`);
-  const condor = await onCluster(port, async (_, client) => {
+  const condor = await runOnCluster(port, async (_, client) => {
     const made = await new CondorClient(client).submit(text, rows, 'check');
     if (made.procs !== plan.total || made.cluster !== 1)
       throw new Error(`cluster ${made.cluster} of ${made.procs}`);
@@ -155,32 +155,36 @@
       await pause(systemClock, 50);
     return ids;
   });
-  const native = procs.map(natively);
+  const native = procs.map(toNativeSpec);
   if (native.includes(null)) {
-    const asked = plan.proc(1, 0).spec.match!;
-    const e = parseExpr(asked.requirements);
+    const match = plan.proc(1, 0).spec.match!;
+    const requirements = parseExpr(match.requirements);
     for (const p of [...condor.values()].flat()) {
       const [type, zone, spot] = p.kind.split(' ');
       const ad = kindAd(typesOf(platform()).find((t) => t.name === type)!, zone!, spot === 'spot');
-      if (evaluate(e, { my: new Ad(), target: ad }) === false) return [`DIFFERENT: ${p.kind} does not match`];
+      if (evaluate(requirements, { my: new Ad(), target: ad }) === false)
+        return [`DIFFERENT: ${p.kind} does not match`];
     }
     const kinds = [...new Set([...condor.values()].flat().map((p) => p.kind))].sort().join(', ');
     return [
-      `not sayable natively: ${asked.requirements}${asked.rank === null ? '' : ` rank ${asked.rank}`}; started on ${kinds}`,
+      `not sayable natively: ${match.requirements}${match.rank === null ? '' : ` rank ${match.rank}`}; started on ${kinds}`,
     ];
   }
-  const plain = await onCluster(port, async (_, client) => {
+  const nativePlacements = await runOnCluster(port, async (_, client) => {
     for (const [n, spec] of native.entries()) await client.submit({ ...spec!, id: ids[n]! });
     return ids;
   });
   const differences: string[] = [];
-  const kinds = (placed: Map<string, Placed[]>) =>
-    ids.flatMap((id) => placed.get(id)?.map((p) => p.kind) ?? []).sort();
-  const [a, b] = [kinds(condor), kinds(plain)];
-  if (a.join() !== b.join()) differences.push(`DIFFERENT places: ${a.join(', ')} against ${b.join(', ')}`);
-  const [x, y] = [order(ids, condor), order(ids, plain)];
-  if (!sameOrder(x, y))
-    differences.push(`DIFFERENT order: ${JSON.stringify(x)} against ${JSON.stringify(y)}`);
+  const kinds = (placements: Map<string, Placement[]>) =>
+    ids.flatMap((id) => placements.get(id)?.map((p) => p.kind) ?? []).sort();
+  const [condorKinds, nativeKinds] = [kinds(condor), kinds(nativePlacements)];
+  if (condorKinds.join() !== nativeKinds.join())
+    differences.push(`DIFFERENT places: ${condorKinds.join(', ')} against ${nativeKinds.join(', ')}`);
+  const [condorOrder, nativeOrder] = [order(ids, condor), order(ids, nativePlacements)];
+  if (!sameOrder(condorOrder, nativeOrder))
+    differences.push(
+      `DIFFERENT order: ${JSON.stringify(condorOrder)} against ${JSON.stringify(nativeOrder)}`,
+    );
   return differences;
 }
 
@@ -190,18 +194,18 @@
     : readdirSync(DIR)
         .filter((f) => f.endsWith('.sub'))
         .sort();
-let wrong = 0;
+let failedFiles = 0;
 const queue = [...files];
 await Promise.all(
-  Array.from({ length: AT_ONCE }, async (_, lane) => {
+  Array.from({ length: MAX_CONCURRENT_CHECKS }, async (_, lane) => {
     for (let file = queue.shift(); file; file = queue.shift()) {
-      const said = await check(file, 20_000 + lane * 3000).catch((error) => [
+      const findings = await check(file, 20_000 + lane * 3000).catch((error) => [
         `DIFFERENT: ${error instanceof Error ? error.message : error}`,
       ]);
-      if (said.some((s) => s.startsWith('DIFFERENT'))) wrong++;
-      console.log(`${file}: ${said.length === 0 ? 'equal' : said.join('; ')}`);
+      if (findings.some((s) => s.startsWith('DIFFERENT'))) failedFiles++;
+      console.log(`${file}: ${findings.length === 0 ? 'equal' : findings.join('; ')}`);
     }
   }),
 );
-console.log(`${files.length} files, ${wrong} with differences`);
-process.exit(wrong === 0 ? 0 : 1);
+console.log(`${files.length} files, ${failedFiles} with differences`);
+process.exit(failedFiles === 0 ? 0 : 1);
--- a/tests/condor/condor.test.ts
+++ b/tests/condor/condor.test.ts
@@ -15,7 +15,7 @@
 import { ask, condorCluster, expandThroughCrashes, finisher, HEAD, submission } from '../support/condor.js';
 import { planJob, machine as planMachine, size } from '../support/plan.js';
 
-const OPTIONS = { teams: ['red', 'blue'], team: null, never: () => null };
+const OPTIONS = { teams: ['red', 'blue'], team: null, neverRunsReason: () => null };
 const plan = (text: string, rows: Record<string, string[]> = {}) =>
   new ClusterPlan({ text, rows, user: 'ann', at: 0 }, OPTIONS);
 const specs = (text: string, rows?: Record<string, string[]>) => {
@@ -67,7 +67,7 @@
 });
 
 test('what is wrong in a submit file is said by line and column, and nothing of it is made', () => {
-  const wrong: [string, number, number, RegExp][] = [
+  const invalidFiles: [string, number, number, RegExp][] = [
     ['executable = a\nqueue 2 x', 2, 1, /"in", "from" or "matching"/],
     ['executable = a', 1, 1, /"queue" was expected/],
     [`${HEAD}requirements = Memory >\nqueue`, 3, 24, /value/],
@@ -90,7 +90,7 @@
     [`${HEAD}x = ${'y'.repeat(66_000)}\nqueue`, 1, 1, /64 KiB/],
     [`${HEAD}requirements = ${'('.repeat(3000)}\nqueue`, 3, 116, /nested/],
   ];
-  for (const [text, line, column, message] of wrong) {
+  for (const [text, line, column, message] of invalidFiles) {
     assert.throws(
       () => plan(text).check(),
       (error) => {
@@ -164,7 +164,7 @@
   assert.ok(refused > 100);
 });
 
-function market() {
+function machineMarket() {
   const names = new NameTables();
   const catalog = new MachineTypeCatalog(names);
   const type = (name: string, cpus: number, memoryGb: number, zones: string[]) => ({
@@ -185,19 +185,19 @@
 }
 
 test('a requirement is asked once of each kind and of each machine as it stands, and holds for types that come later', () => {
-  const { matcher, catalog, type } = market();
-  const m = matcher.compile({ requirements: 'Memory > 100000 && !Spot', rank: null });
-  assert.equal(m.machine, null);
+  const { matcher, catalog, type } = machineMarket();
+  const match = matcher.compile({ requirements: 'Memory > 100000 && !Spot', rank: null });
+  assert.equal(match.machine, null);
   for (let i = 0; i < 5; i++) {
-    assert.equal(m.kind(0, 0, false), false);
-    assert.equal(m.kind(1, 0, false), true);
-    assert.equal(m.kind(1, 0, true), false);
-    assert.equal(m.kind(2, 0, false), false, 'not known yet');
+    assert.equal(match.kind(0, 0, false), false);
+    assert.equal(match.kind(1, 0, false), true);
+    assert.equal(match.kind(1, 0, true), false);
+    assert.equal(match.kind(2, 0, false), false, 'not known yet');
   }
-  assert.equal(matcher.asked, 3);
+  assert.equal(matcher.evaluationCount, 3);
   catalog.set([type('huge', 64, 512, ['b'])]);
-  assert.equal(m.kind(2, 1, false), true);
-  const single = matcher.compile({
+  assert.equal(match.kind(2, 1, false), true);
+  const perMachine = matcher.compile({
     requirements: 'LoadAvg < 2 && Machine != "m-1" && Memory > 1',
     rank: 'member("img", CachedImages) * 5',
   });
@@ -207,19 +207,19 @@
       images: new Set(),
       running: cpus > 0 ? [{ team: 0, end: 1, need: { cpus, gpus: 0, memoryGb: 1 } }] : [],
     });
-  assert.equal(single.kind(0, 0, false), true, 'only its machines can tell');
-  const before = matcher.asked;
+  assert.equal(perMachine.kind(0, 0, false), true, 'only its machines can tell');
+  const before = matcher.evaluationCount;
   for (let i = 0; i < 4; i++) {
-    assert.equal(single.machine!(machine('m-1', 0)), false);
-    assert.equal(single.machine!(machine('m-2', 0)), true);
+    assert.equal(perMachine.machine!(machine('m-1', 0)), false);
+    assert.equal(perMachine.machine!(machine('m-2', 0)), true);
   }
-  assert.equal(matcher.asked, before + 2);
-  assert.equal(single.machine!(machine('m-2', 4)), false, 'it is asked again when its load has changed');
-  assert.equal(single.rank!(machine('m-2', 0)), 0);
+  assert.equal(matcher.evaluationCount, before + 2);
+  assert.equal(perMachine.machine!(machine('m-2', 4)), false, 'it is asked again when its load has changed');
+  assert.equal(perMachine.rank!(machine('m-2', 0)), 0);
 });
 
 test('rank decides between machines that are equally loaded, and only there', () => {
-  const { matcher } = market();
+  const { matcher } = machineMarket();
   const match = matcher.compile({ requirements: 'true', rank: 'Machine == "m-1"' });
   const asked = planJob({ need: { cpus: 2, gpus: 0, memoryGb: 1 }, match, imageGb: 1 });
   const place = (held: { team: number; end: number; need: typeof size }[]) => {
@@ -240,16 +240,16 @@
 });
 
 test('what no kind matches is said clause by clause', () => {
-  const { catalog } = market();
+  const { catalog } = machineMarket();
   const offers = catalog
     .all()
     .flatMap(([, t]) =>
       t.zones.map((zone) => ({ type: t.name, zone, spot: false, ad: kindAd(t, zone, false) })),
     );
   const my = plan(`${HEAD}queue`).proc(1, 0).ad;
-  const a = analyze(parseExpr('Memory > 512000 && Zone == "a"'), my, offers);
-  assert.deepEqual([a.kinds, a.matches], [3, 0]);
-  assert.equal(a.reason, 'Memory > 512000: largest is 262144 on 1 type; the other clauses match 2');
+  const analysis = analyze(parseExpr('Memory > 512000 && Zone == "a"'), my, offers);
+  assert.deepEqual([analysis.kinds, analysis.matches], [3, 0]);
+  assert.equal(analysis.reason, 'Memory > 512000: largest is 262144 on 1 type; the other clauses match 2');
   assert.equal(analyze(parseExpr('Zone == "c"'), my, offers).reason, 'Zone == "c": there are "a", "b"');
   assert.match(
     analyze(parseExpr('Zone == "b" && Cpus > 8'), my, offers).reason!,
@@ -267,24 +267,27 @@
 }
 
 test('a submission that is repeated gets the same cluster, and numbers are not used again after all restarted', async () => {
-  const c = condorCluster(['n0', 'n1']);
+  const cluster = condorCluster(['n0', 'n1']);
   const numbers = [];
   for (const n of [1, 1, 2])
     numbers.push(
-      (await ask(c, `n${n % 2}`, 'POST', '/condor/clusters', submission('queue', n))).body.cluster,
+      (await ask(cluster, `n${n % 2}`, 'POST', '/condor/clusters', submission('queue', n))).body.cluster,
     );
   assert.deepEqual(numbers, [1, 1, 2]);
-  const f = finisher(c);
-  assert.ok(await c.clock.until(() => f.done.size === 2, 60_000));
-  for (const n of ['n0', 'n1']) c.killNode(n);
-  for (const n of ['n0', 'n1']) c.startNode(n);
-  assert.equal((await ask(c, 'n0', 'POST', '/condor/clusters', submission('queue', 3))).body.cluster, 3);
+  const finished = finisher(cluster);
+  assert.ok(await cluster.clock.until(() => finished.done.size === 2, 60_000));
+  for (const n of ['n0', 'n1']) cluster.killNode(n);
+  for (const n of ['n0', 'n1']) cluster.startNode(n);
+  assert.equal(
+    (await ask(cluster, 'n0', 'POST', '/condor/clusters', submission('queue', 3))).body.cluster,
+    3,
+  );
 });
 
 test('bad files are refused whole, with where it is wrong', async () => {
-  const c = condorCluster(['n0']);
+  const cluster = condorCluster(['n0']);
   const send = async (body: object) =>
-    (await ask(c, 'n0', 'POST', '/condor/clusters', body)) as {
+    (await ask(cluster, 'n0', 'POST', '/condor/clusters', body)) as {
       status: number;
       body: { error: string; line?: number };
     };
@@ -295,124 +298,143 @@
   // The last process of many is wrong as well as the first.
   assert.equal((await send(submission('request_cpus = 5 - ProcId\nqueue 10'))).status, 400);
   assert.equal((await send({ ...submission('queue x from list'), rows: {} })).status, 400);
-  assert.equal([...c.state.items.keys()].filter((k) => k.startsWith('condor/')).length, 0);
+  assert.equal([...cluster.state.items.keys()].filter((k) => k.startsWith('condor/')).length, 0);
 });
 
 test('what matches nothing waits with its reason, starts when a type comes that does, and natives beside it run', async () => {
-  const c = condorCluster(['n0']);
+  const cluster = condorCluster(['n0']);
   // More of them than a shard tells the leader of, and than its team is guaranteed: neither stands in a native job's way.
   await ask(
-    c,
+    cluster,
     'n0',
     'POST',
     '/condor/clusters',
     submission('requirements = Memory > 60000\nrequest_cpus = 8\nqueue 40'),
   );
-  await c.clock.advance(10_000);
-  assert.ok(await c.submit('n0', job('wk-native')));
-  assert.ok(await c.clock.until(() => c.workers.some((w) => w.on('wk-native/0')), 20_000));
-  await c.clock.advance(20_000);
-  const page = await ask(c, 'n0', 'GET', '/condor/clusters/1/procs?from=0');
+  await cluster.clock.advance(10_000);
+  assert.ok(await cluster.submit('n0', job('wk-native')));
+  assert.ok(await cluster.clock.until(() => cluster.workers.some((w) => w.on('wk-native/0')), 20_000));
+  await cluster.clock.advance(20_000);
+  const page = await ask(cluster, 'n0', 'GET', '/condor/clusters/1/procs?from=0');
   assert.deepEqual(
     page.body.procs.slice(0, 2).map((p: { state: string; reason: string }) => [p.state, p.reason]),
     [0, 1].map(() => ['idle', 'Memory > 60000: largest is 32768 on 2 types; the other clauses match 8']),
   );
   assert.equal(
-    c.workers.some((w) => w.started.some((t) => t.startsWith('wk-condor'))),
+    cluster.workers.some((w) => w.started.some((t) => t.startsWith('wk-condor'))),
     false,
   );
-  c.moreTypes.push(['c64', 64, 0]);
-  c.addWorker('c64', 'a');
-  assert.ok(await c.clock.until(() => c.workers.at(-1)!.on('wk-condor-1-1/0'), 60_000));
+  cluster.moreTypes.push(['c64', 64, 0]);
+  cluster.addWorker('c64', 'a');
+  assert.ok(await cluster.clock.until(() => cluster.workers.at(-1)!.on('wk-condor-1-1/0'), 60_000));
 });
 
 test('hold stops what runs and release starts it anew; a cluster removed while it is expanded leaves nothing', async () => {
-  const c = condorCluster(['n0', 'n1']);
+  const cluster = condorCluster(['n0', 'n1']);
   await ask(
-    c,
+    cluster,
     'n0',
     'POST',
     '/condor/clusters',
     submission('request_cpus = 1\n+Small = ProcId < 1\nqueue 3'),
   );
-  assert.ok(await c.clock.until(() => c.workers.some((w) => w.on('wk-condor-1-0/0')), 30_000));
-  const held = await ask(c, 'n1', 'POST', '/condor/clusters/1/hold', {
+  assert.ok(await cluster.clock.until(() => cluster.workers.some((w) => w.on('wk-condor-1-0/0')), 30_000));
+  const held = await ask(cluster, 'n1', 'POST', '/condor/clusters/1/hold', {
     constraint: 'Small',
     reason: 'look first',
   });
   assert.deepEqual(held, { status: 200, body: { changed: 1 } });
-  assert.ok(await c.clock.until(() => !c.workers.some((w) => w.on('wk-condor-1-0/0')), 15_000));
+  assert.ok(await cluster.clock.until(() => !cluster.workers.some((w) => w.on('wk-condor-1-0/0')), 15_000));
   const states = async () =>
-    (await ask(c, 'n0', 'GET', '/condor/clusters/1/procs?from=0')).body.procs.map(
+    (await ask(cluster, 'n0', 'GET', '/condor/clusters/1/procs?from=0')).body.procs.map(
       (p: { state: string }) => p.state,
     );
   assert.equal((await states())[0], 'held');
   // Whoever expands next knows of it.
-  c.killNode('n0');
-  c.startNode('n0');
-  await c.clock.advance(20_000);
+  cluster.killNode('n0');
+  cluster.startNode('n0');
+  await cluster.clock.advance(20_000);
   assert.equal(
-    c.workers.some((w) => w.on('wk-condor-1-0/0')),
+    cluster.workers.some((w) => w.on('wk-condor-1-0/0')),
     false,
   );
   assert.equal((await states())[0], 'held');
-  assert.equal((await ask(c, 'n0', 'POST', '/condor/clusters/1/release', { procs: [0] })).body.changed, 1);
-  assert.ok(await c.clock.until(() => c.workers.some((w) => w.on('wk-condor-1-0-r1/0')), 30_000));
+  assert.equal(
+    (await ask(cluster, 'n0', 'POST', '/condor/clusters/1/release', { procs: [0] })).body.changed,
+    1,
+  );
+  assert.ok(await cluster.clock.until(() => cluster.workers.some((w) => w.on('wk-condor-1-0-r1/0')), 30_000));
 
-  await ask(c, 'n0', 'POST', '/condor/clusters', submission('request_cpus = 1\nqueue 3000', 1));
-  const accepted = () => [...c.state.items.keys()].filter((k) => k.startsWith('act/wk-condor-2-')).length;
-  assert.ok(await c.clock.until(() => accepted() > 70, 60_000));
-  assert.equal((await ask(c, 'n1', 'POST', '/condor/clusters/2/remove', {})).status, 200);
-  c.killNode('n0');
-  c.startNode('n0');
-  const over = () => c.state.value('condor/over/00000002') !== undefined;
-  assert.ok(await c.clock.until(over, 300_000));
+  await ask(cluster, 'n0', 'POST', '/condor/clusters', submission('request_cpus = 1\nqueue 3000', 1));
+  const accepted = () =>
+    [...cluster.state.items.keys()].filter((k) => k.startsWith('act/wk-condor-2-')).length;
+  assert.ok(await cluster.clock.until(() => accepted() > 70, 60_000));
+  assert.equal((await ask(cluster, 'n1', 'POST', '/condor/clusters/2/remove', {})).status, 200);
+  cluster.killNode('n0');
+  cluster.startNode('n0');
+  const over = () => cluster.state.value('condor/over/00000002') !== undefined;
+  assert.ok(await cluster.clock.until(over, 300_000));
   assert.equal(accepted(), 0);
   assert.equal(
-    c.workers.some((w) => w.attempts.some((a) => a.job.startsWith('wk-condor-2-') && a.state !== 'exited')),
+    cluster.workers.some((w) =>
+      w.attempts.some((a) => a.job.startsWith('wk-condor-2-') && a.state !== 'exited'),
+    ),
     false,
   );
   assert.deepEqual(
-    [...c.state.items.keys()].filter((k) => k.startsWith('condor/p/submission-1')),
+    [...cluster.state.items.keys()].filter((k) => k.startsWith('condor/p/submission-1')),
     [],
   );
 });
 
 test('no submit file is taken while one controller does not serve them', async () => {
-  const c = new FakeCluster(['n0', 'n1']);
-  c.condor = true;
-  c.startNode('n0');
-  c.condor = false;
-  c.startNode('n1');
-  await c.clock.advance(5000);
-  const request = c.request('POST', '/condor/clusters', submission('queue'));
-  const reply = await c.answered(c.nodes.get('n0')!.api.handle(request));
+  const cluster = new FakeCluster(['n0', 'n1']);
+  cluster.condor = true;
+  cluster.startNode('n0');
+  cluster.condor = false;
+  cluster.startNode('n1');
+  await cluster.clock.advance(5000);
+  const request = cluster.request('POST', '/condor/clusters', submission('queue'));
+  const reply = await cluster.answered(cluster.nodes.get('n0')!.api.handle(request));
   assert.deepEqual([reply.status, reply.headers?.['Retry-After']], [503, '1']);
 });
 
 test('periodic expressions hold, release and remove, and no more processes become jobs than their owner asks for', async () => {
-  const c = condorCluster(['n0'], 1);
+  const cluster = condorCluster(['n0'], 1);
   // A machine with nothing on it would be given back.
-  assert.ok(await c.submit('n0', job('wk-keeps', { shape: 'standing', cpus: 1 })));
+  assert.ok(await cluster.submit('n0', job('wk-keeps', { shape: 'standing', cpus: 1 })));
   const idle = '(JobStatus == 1) && (CurrentTime - QDate > 30)';
   const never = 'requirements = Memory > 60000\n';
-  await ask(c, 'n0', 'POST', '/condor/clusters', submission(`${never}periodic_remove = ${idle}\nqueue 3`));
+  await ask(
+    cluster,
+    'n0',
+    'POST',
+    '/condor/clusters',
+    submission(`${never}periodic_remove = ${idle}\nqueue 3`),
+  );
   const text = `request_cpus = 1\nperiodic_hold = NumJobStarts == 0 && ${idle.replace('1', '2')}\nperiodic_hold_reason = "looked at"\nperiodic_release = CurrentTime - EnteredCurrentStatus > 50\nqueue`;
-  await ask(c, 'n0', 'POST', '/condor/clusters', submission(text, 1));
-  await ask(c, 'n0', 'POST', '/condor/clusters', submission(`${never}max_materialize = 4\nqueue 50`, 2));
-  await ask(c, 'n0', 'POST', '/condor/clusters', submission(`${never}max_idle = 2\nqueue 50`, 3));
-  const first = async () => (await ask(c, 'n0', 'GET', '/condor/clusters/2/procs?from=0')).body.procs[0];
+  await ask(cluster, 'n0', 'POST', '/condor/clusters', submission(text, 1));
+  await ask(
+    cluster,
+    'n0',
+    'POST',
+    '/condor/clusters',
+    submission(`${never}max_materialize = 4\nqueue 50`, 2),
+  );
+  await ask(cluster, 'n0', 'POST', '/condor/clusters', submission(`${never}max_idle = 2\nqueue 50`, 3));
+  const first = async () =>
+    (await ask(cluster, 'n0', 'GET', '/condor/clusters/2/procs?from=0')).body.procs[0];
   let held = false;
   for (let i = 0; i < 60 && !held; i++) {
-    await c.clock.advance(2000);
+    await cluster.clock.advance(2000);
     held = (await first()).state === 'held';
   }
   assert.ok(held);
   assert.equal((await first()).reason, 'looked at');
-  assert.ok(await c.clock.until(() => !c.workers[0]!.on('wk-condor-2-0/0'), 10_000));
-  assert.ok(await c.clock.until(() => c.workers[0]!.on('wk-condor-2-0-r1/0'), 120_000));
-  assert.equal((c.state.value('condor/over/00000001') as { removed: number }).removed, 3);
+  assert.ok(await cluster.clock.until(() => !cluster.workers[0]!.on('wk-condor-2-0/0'), 10_000));
+  assert.ok(await cluster.clock.until(() => cluster.workers[0]!.on('wk-condor-2-0-r1/0'), 120_000));
+  assert.equal((cluster.state.value('condor/over/00000001') as { removed: number }).removed, 3);
   const jobs = (n: number) =>
-    [...c.state.items.keys()].filter((k) => k.startsWith(`act/wk-condor-${n}-`)).length;
+    [...cluster.state.items.keys()].filter((k) => k.startsWith(`act/wk-condor-${n}-`)).length;
   assert.deepEqual([jobs(3), jobs(4)], [4, 2]);
 });
--- a/tests/condor/crashes.ts
+++ b/tests/condor/crashes.ts
@@ -11,10 +11,10 @@
   [211, 1],
   [211, 100],
 ] as const) {
-  const begun = performance.now();
+  const startedAt = performance.now();
   const kills = await expandThroughCrashes(procs, every, first, 60);
   console.log(
-    `${procs} processes, ${kills} kills: each a job once, each done once; ${Math.round((performance.now() - begun) / 1000)} s`,
+    `${procs} processes, ${kills} kills: each a job once, each done once; ${Math.round((performance.now() - startedAt) / 1000)} s`,
   );
 }
 process.exit(0);
--- a/tests/condor/matching.ts
+++ b/tests/condor/matching.ts
@@ -55,20 +55,20 @@
   const compiled = Array.from({ length: requirements }, (_, i) =>
     matcher.compile({ requirements: text(i), rank: null }),
   );
-  const ask = () => {
-    const begun = performance.now();
+  const measurePass = () => {
+    const startedAt = performance.now();
     let yes = 0;
     for (const m of compiled)
       for (const x of registry) if (m.kind(x.type, x.zone, x.spot) && (!m.machine || m.machine(x))) yes++;
-    return { rate: (n * requirements) / ((performance.now() - begun) / 1000), yes };
+    return { rate: (n * requirements) / ((performance.now() - startedAt) / 1000), yes };
   };
-  const first = ask();
-  const again = ask();
+  const first = measurePass();
+  const again = measurePass();
   if (first.yes !== again.yes || first.yes === 0) throw new Error('the same question, another answer');
   return { first: first.rate, again: again.rate };
 }
 
-const k = (n: number) => `${Math.round(n / 1000)}k`;
+const inThousands = (n: number) => `${Math.round(n / 1000)}k`;
 for (const [what, text] of [
   ['by kind', kindText],
   ['by machine', machineText],
@@ -81,7 +81,7 @@
   ] as const) {
     const { first, again } = perSecond(n, r, text);
     console.log(
-      `${what}: ${n} machines, ${r} requirements: ${k(first)} questions a second at first, ${k(again)} again`,
+      `${what}: ${n} machines, ${r} requirements: ${inThousands(first)} questions a second at first, ${inThousands(again)} again`,
     );
   }
 
@@ -89,7 +89,7 @@
 function planMs(match: (i: number) => Match | null): number {
   const registry = machines(1000);
   const times = Array.from({ length: 15 }, () => {
-    const begun = performance.now();
+    const startedAt = performance.now();
     const plan = new Plan(0, registry, [{ cpus: 0, gpus: 0 }]);
     for (let i = 0; i < 400; i++) {
       const job: PlanJob = {
@@ -113,7 +113,7 @@
       };
       plan.reserve(job);
     }
-    return performance.now() - begun;
+    return performance.now() - startedAt;
   });
   return times.sort((a, b) => a - b)[7]!;
 }
