--- a/src/classad/ast.ts
+++ b/src/classad/ast.ts
@@ -1,59 +1,59 @@
-// This package: ClassAd expressions: reading, printing, evaluating. Pure, and bounded whatever is read.
+// ClassAd expressions: parsing, printing and evaluation. Pure functions whose cost is bounded for any input.
 
-/** What an expression may cost: a hostile one ends in an error, never in a stall. */
+/** Resource limits of expressions: a hostile expression ends in an error and never blocks the process. */
 export const LIMITS = {
-  /** Characters of one expression, and of one string that it makes. */
+  /** Maximum length, in characters, of an expression and of a string that it produces. */
   text: 64 * 1024,
-  /** Brackets, operators and calls within each other. */
+  /** Maximum nesting depth of brackets, operators and calls. */
   depth: 100,
-  /** Nodes and list items looked at in one evaluation. */
+  /** Maximum number of nodes and list items visited in one evaluation. */
   steps: 100_000,
   list: 10_000,
 } as const;
 
-/** No value: an attribute that is not there. */
+/** Type of the undefined value: the value of a missing attribute. */
 export class Undefined {
   readonly kind = 'undefined';
 }
-/** The one value of what is undefined. */
+/** The only instance of the undefined value. */
 export const UNDEFINED = new Undefined();
 
-/** What has no meaning; `why` is for people and takes no part in comparisons. */
+/** Error value: the result of a meaningless operation. `why` is for people and is ignored in comparisons. */
 export class ErrorValue {
   readonly kind = 'error';
   constructor(readonly why: string) {}
 }
 
-/** Integers are 64 bits wide (`bigint`), reals are numbers. */
+/** A ClassAd value. Integers are 64 bits wide (`bigint`), reals are numbers. */
 export type Value = Undefined | ErrorValue | boolean | bigint | number | string | Value[] | Ad;
 
-/** A value that can be written as it is. */
+/** A value that has a literal form: any value but lists and ads. */
 export type Literal = Undefined | ErrorValue | boolean | bigint | number | string;
 
-/** Whose attribute a name means: this ad's, the other ad's, or whichever has it. */
+/** Scope of an attribute reference: this ad, the target ad, or (null) the first of them that has the attribute. */
 export type Scope = 'my' | 'target' | null;
 
-/** Operators with one operand. */
+/** Unary operators. */
 export type UnaryOp = '-' | '+' | '!' | '~';
-/** Operators with two operands. */
+/** Binary operators. */
 export type BinaryOp = keyof typeof PRECEDENCE;
 
-/** A parsed expression. */
+/** Node of the syntax tree of an expression. */
 export type Expr =
   | { node: 'literal'; value: Literal }
-  /** An attribute by its name, as it was written. */
+  /** An attribute reference; the name keeps the case in which it was written. */
   | { node: 'name'; scope: Scope; name: string }
   | { node: 'select'; operand: Expr; name: string }
   | { node: 'index'; operand: Expr; at: Expr }
   | { node: 'unary'; op: UnaryOp; operand: Expr }
   | { node: 'binary'; op: BinaryOp; left: Expr; right: Expr }
-  /** `yes` is null in `a ?: b`, which is `a` unless that is undefined. */
+  /** `consequent` is null in `a ?: b`, which evaluates to `a` unless that is undefined. */
   | { node: 'if'; test: Expr; consequent: Expr | null; alternate: Expr }
   | { node: 'list'; items: Expr[] }
   | { node: 'ad'; ad: Ad }
   | { node: 'call'; name: string; args: Expr[] };
 
-/** How tightly operators bind; all of them to the left. */
+/** Operator precedence; a higher number binds tighter. Binary operators are left-associative. */
 export const PRECEDENCE = {
   '||': 1,
   '&&': 2,
@@ -78,10 +78,10 @@
   '%': 10,
 } as const;
 
-/** Attributes by name, whatever the case; names keep the case in which they were first written. */
+/** Attributes by case-insensitive name; a name keeps the case in which it was first written. */
 export class Ad {
   private readonly attributes = new Map<string, { name: string; expr: Expr }>();
-  /** The ad that this one is written in. */
+  /** The enclosing ad, if this one is nested. */
   parent: Ad | null = null;
 
   get size(): number {
@@ -128,7 +128,7 @@
   return childrenOf(expr).flatMap(nestedAds);
 }
 
-/** The expressions that one is made of, nested ads apart. */
+/** Returns the direct subexpressions of an expression; the attributes of nested ads are not included. */
 export function childrenOf(expr: Expr): Expr[] {
   switch (expr.node) {
     case 'literal':
@@ -151,7 +151,7 @@
   }
 }
 
-/** Whether a value is neither a list nor an ad. */
+/** Returns whether a value is neither a list nor an ad. */
 export function isLiteral(value: Value): value is Literal {
   return !Array.isArray(value) && !(value instanceof Ad);
 }
--- a/src/classad/evaluate.ts
+++ b/src/classad/evaluate.ts
@@ -12,7 +12,7 @@
 } from './ast.js';
 import { FUNCTIONS } from './functions.js';
 
-/** What an evaluation looks at beside the expression. */
+/** Inputs of an evaluation besides the expression. */
 export interface EvaluationContext {
   my: Ad;
   target?: Ad | null;
@@ -20,10 +20,13 @@
   now?: number;
 }
 
-/** Ends an evaluation that costs too much. */
+/** Aborts an evaluation that exceeds a resource limit. */
 class EvaluationLimitError extends SpartrayError {}
 
-/** Evaluates an expression; never throws: what has no meaning or costs too much is an error value. */
+/**
+ * Evaluates an expression. Never throws: a meaningless operation, or an evaluation that exceeds a resource
+ * limit, yields an error value.
+ */
 export function evaluate(expr: Expr, context: EvaluationContext): Value {
   try {
     return new Evaluation(context).value(expr, context.my);
@@ -34,27 +37,27 @@
   }
 }
 
-/** What a function is given. */
+/** A call as the implementation of a function sees it: unevaluated arguments and a way to evaluate them. */
 export interface FunctionCall {
   args: Expr[];
   value(expr: Expr): Value;
   now: number;
-  /** Counts work in proportion to what is looked at. */
+  /** Charges steps in proportion to the data visited; exceeding the limit aborts the evaluation. */
   chargeSteps(steps: number): void;
 }
 
-/** An error value; `why` is for people. */
+/** Creates an error value; `reason` is for people. */
 export function errorValue(reason: string): ErrorValue {
   return new ErrorValue(reason);
 }
 
-/** Numbers, and booleans as 0 and 1. */
+/** Converts a value to a number: booleans become 0 and 1; null for all other types. */
 export function asNumber(v: Value): bigint | number | null {
   if (typeof v === 'boolean') return v ? 1n : 0n;
   return typeof v === 'bigint' || typeof v === 'number' ? v : null;
 }
 
-/** Booleans, and numbers as whether they are not 0. */
+/** Converts a value to a boolean: numbers become whether they differ from 0; null for all other types. */
 export function asBoolean(v: Value): boolean | null {
   if (typeof v === 'boolean') return v;
   if (typeof v === 'bigint') return v !== 0n;
@@ -66,7 +69,7 @@
 class Evaluation {
   private steps = 0;
   private depth = 0;
-  /** Attributes being looked up, which must not need themselves. */
+  /** Attributes that are being evaluated, to detect an attribute that depends on itself. */
   private readonly resolving = new Set<Expr>();
 
   constructor(private readonly context: EvaluationContext) {}
@@ -127,7 +130,10 @@
     }
   }
 
-  /** A name means the ad it is written in, those around that, and then the other side. */
+  /**
+   * Resolves an attribute reference. A name without scope is looked up in the ad that contains it, then in the
+   * enclosing ads, then in MY and last in TARGET.
+   */
   private resolveName(scope: Scope, name: string, ad: Ad): Value {
     const { my, target } = this.context;
     if (scope === 'target') return target ? this.attributeValue(target, name) : UNDEFINED;
@@ -144,7 +150,7 @@
     if (this.resolving.has(expr)) return errorValue(`${name} needs itself`);
     this.resolving.add(expr);
     try {
-      // Seen from the other side, the two change places.
+      // An attribute of the target ad is evaluated with MY and TARGET swapped.
       if (ad === this.context.target) return this.evaluateAsTarget(expr, ad);
       return this.value(expr, ad);
     } finally {
@@ -192,7 +198,11 @@
       : arithmetic(op, leftValue, rightValue);
   }
 
-  /** What decides alone decides, on whichever side it stands; then an error goes before what is undefined. */
+  /**
+   * Evaluates `&&` or `||` in three-valued logic. An operand that decides the result alone (false for `&&`,
+   * true for `||`) decides it on either side, except after an error on the left; otherwise an error takes
+   * precedence over undefined.
+   */
   private evaluateLogical(op: '&&' | '||', leftValue: Value, evaluateRight: () => Value): Value {
     const decidingValue = op === '||';
     const left = toLogical(leftValue);
@@ -202,7 +212,7 @@
     return left instanceof Undefined ? left : right;
   }
 
-  /** The very same value: never undefined, no conversions, and the case of text counts. */
+  /** Evaluates `=?=`: never undefined, without type conversion, and case-sensitive for strings. */
   private isIdentical(left: Value, right: Value): boolean {
     this.chargeSteps(1);
     if (left instanceof Undefined || right instanceof Undefined)
@@ -244,7 +254,10 @@
   '!=': (s) => s !== 0,
 };
 
-/** -1, 0 or 1, NaN when nothing holds; null when the two cannot be compared. Text is compared whatever its case. */
+/**
+ * Compares two values: -1, 0 or 1; NaN when an operand is NaN, so that no comparison holds; null when the
+ * values are not comparable. Strings are compared case-insensitively.
+ */
 export function compareValues(left: Value, right: Value): number | null {
   if (typeof left === 'string' && typeof right === 'string') {
     const [x, y] = [left.toLowerCase(), right.toLowerCase()];
@@ -262,7 +275,7 @@
   return Number.isNaN(sign) ? op === '!=' : COMPARISONS[op]!(sign);
 }
 
-/** An arithmetic operator on two values; an error value where one is no number. */
+/** Applies an arithmetic operator to two values; an error value when one of them is not a number. */
 export function arithmetic(op: BinaryOp, left: Value, right: Value): Value {
   const x = asNumber(left);
   const y = asNumber(right);
--- a/src/classad/flatten.ts
+++ b/src/classad/flatten.ts
@@ -3,7 +3,10 @@
 
 const IMPURE = new Set(['time', 'formattime', 'random']);
 
-/** Names of attributes that an expression asks of the other side, in lower case; its own ad has `my`. */
+/**
+ * Returns the lower-case names of the attributes that an expression reads from the target ad; `my` is its own
+ * ad.
+ */
 export function targetAttributeNames(expr: Expr, my: Ad): Set<string> {
   const names = new Set<string>();
   const visit = (x: Expr): void => {
@@ -17,8 +20,9 @@
 }
 
 /**
- * The expression with all that its own side says put in, and worked out as far as that goes: what is left asks the other
- * side alone. It has the same value beside every other side, as long as time plays no part.
+ * Partially evaluates an expression: the attributes of its own ad are substituted and constant parts are
+ * evaluated, so that the result reads only the target ad. For every target it has the same value as the
+ * original expression, unless that depends on the time.
  */
 export function flatten(expr: Expr, my: Ad, depth = 0): Expr {
   const flattenChild = (x: Expr) => flatten(x, my, depth + 1);
@@ -64,7 +68,7 @@
     : substituted;
 }
 
-/** Nothing of the other side, and nothing that changes, is left in it. */
+/** Returns whether an expression contains no attribute reference, no nested ad and no call whose result varies. */
 function isConstant(expr: Expr): boolean {
   if (expr.node === 'name' || expr.node === 'ad') return false;
   if (expr.node === 'call' && IMPURE.has(expr.name.toLowerCase())) return false;
@@ -75,7 +79,11 @@
   return expr.node === 'name' || childrenOf(expr).some(readsAttribute);
 }
 
-/** `true && x` asks no more than `x` where x is asked for a truth, as operands of && and || are. */
+/**
+ * Simplifies `&&` and `||` with a boolean literal as one operand. `true && x` becomes `x` only if `x` is a
+ * logical operation or a comparison, because `&&` and `||` convert their operands to booleans and `x` alone
+ * would not be converted.
+ */
 function simplifyLogical(expr: Expr & { node: 'binary' }): Expr {
   const isBooleanLiteral = (x: Expr, value: boolean) => x.node === 'literal' && x.value === value;
   const yieldsLogicalValue = (x: Expr) =>
--- a/src/classad/functions.ts
+++ b/src/classad/functions.ts
@@ -5,10 +5,10 @@
 import { printValue } from './print.js';
 import { formatTime, splitTime } from './times.js';
 
-/** A function of the language: its call to its value. */
+/** Implementation of a ClassAd function: maps a call to its value. */
 export type ClassAdFunction = (call: FunctionCall) => Value;
 
-/** Evaluates all arguments; what is undefined or an error is the answer at once. */
+/** Evaluates all arguments first; if one of them is an error, or else undefined, that is the result of the call. */
 function strict(
   minArgs: number,
   maxArgs: number,
@@ -26,7 +26,7 @@
   };
 }
 
-/** Of one value of whatever kind, also undefined and errors. */
+/** Creates a predicate on one value of any type, including undefined and error. */
 function typeTest(predicate: (v: Value) => boolean): ClassAdFunction {
   return (call) =>
     call.args.length === 1 ? predicate(call.value(call.args[0]!)) : errorValue('a wrong number of arguments');
@@ -77,7 +77,7 @@
     return typeof n === 'bigint' ? n : toInteger(f(n));
   });
 
-// --- lists and lists in strings
+// --- lists and string lists
 
 function reduceList(combine: (a: Value, b: Value) => Value, emptyResult: Value): ClassAdFunction {
   return strict(1, 1, ([list], call) => {
@@ -101,7 +101,7 @@
   return sum instanceof ErrorValue ? sum : arithmetic('/', Number(asNumber(sum)), BigInt(list.length));
 }
 
-/** The items of a list written in one string. */
+/** Splits a string list into its items. */
 function splitStringList(text: string, delimiters: string | undefined, call: FunctionCall): string[] {
   const delimiterSet = new Set(delimiters ?? ', ');
   const list: string[] = [];
@@ -156,7 +156,7 @@
     return f(call, item!, list);
   });
 
-/** Compares the members of a list with a value, by an operator in a string. */
+/** Compares the members of a list with a value; the operator is given as a string. */
 const listComparison = (all: boolean): ClassAdFunction =>
   strict(3, 3, ([op, list, value], call) => {
     if (typeof op !== 'string' || !Array.isArray(list)) return errorValue('anyCompare("<", list, value)');
@@ -174,12 +174,15 @@
     return all ? list.every(holds) : list.some(holds);
   });
 
-// --- patterns
+// --- regular expressions
 
 const compiledPatterns = new Map<string, RE2JS | null>();
 const MAX_CACHED_PATTERNS = 500;
 
-/** A pattern that takes time in proportion to the text, whatever it says; null when it is none. */
+/**
+ * Compiles a regular expression that matches in time linear in the text, whatever the pattern; null when the
+ * pattern is invalid or longer than 1,024 characters.
+ */
 function compilePattern(text: string, options: string): RE2JS | null {
   const key = `${options}/${text}`;
   let compiled = compiledPatterns.get(key);
@@ -450,5 +453,5 @@
 IMPLEMENTATIONS.strlen = IMPLEMENTATIONS.size!;
 IMPLEMENTATIONS.stringlist_regexpmember = IMPLEMENTATIONS.stringlistregexpmember!;
 
-/** The standard functions by their names in lower case. */
+/** The standard functions by lower-case name. */
 export const FUNCTIONS: ReadonlyMap<string, ClassAdFunction> = new Map(Object.entries(IMPLEMENTATIONS));
--- a/src/classad/parser.ts
+++ b/src/classad/parser.ts
@@ -12,7 +12,7 @@
   type UnaryOp,
 } from './ast.js';
 
-/** Text that is no expression; where is counted from 1, in the text that was read. */
+/** A syntax error; line and column count from 1 in the parsed text. */
 export class ClassAdError extends InvalidInputError {
   constructor(
     message: string,
@@ -84,12 +84,12 @@
 
 class Grammar extends EmbeddedActionsParser {
   constructor() {
-    // The grammar's own mistakes are for its tests to find; looking for them takes most of the time of a start.
+    // Validating the grammar takes most of the start-up time; mistakes in it are found by its tests instead.
     super(TOKENS, { maxLookahead: 2, skipValidations: true });
     this.performSelfAnalysis();
   }
 
-  /** Operands and operators one after the other, put together by how tightly they bind. */
+  /** Parses a sequence of operands and operators, which is then combined by operator precedence. */
   readonly expression = this.RULE('expression', (): Expr => {
     const operands = [this.SUBRULE(this.unary)];
     const operators: BinaryOp[] = [];
@@ -214,7 +214,7 @@
     return ad;
   });
 
-  /** A name, a constant that looks like one, or a call. */
+  /** Parses an attribute name, a constant such as `true`, or a function call. */
   private readonly named = this.RULE('named', (): Expr => {
     const quoted = this.LA(1).tokenType === QuotedName;
     const name = this.SUBRULE(this.name);
@@ -342,7 +342,7 @@
   for (const current of lexed.tokens) {
     if (OPENING.has(current.tokenType)) depth++;
     if (CLOSING.has(current.tokenType)) depth--;
-    // Signs and conditions nest without brackets.
+    // Unary signs and conditional operators nest without brackets.
     unbracketedNesting = [Sign, Not, Question, Colon].includes(current.tokenType)
       ? unbracketedNesting + 1
       : [Comma, Semicolon].includes(current.tokenType)
@@ -380,12 +380,15 @@
   EarlyExitException: 'a value',
 };
 
-/** Reads one expression. Fails with `ClassAdError`. */
+/** Parses one expression. Throws `ClassAdError`. */
 export function parseExpr(text: string): Expr {
   return parseWith(text, () => grammar.expression());
 }
 
-/** Reads an ad in the new syntax, `[ a = 1; b = 2 ]`, or in the old one, a line an attribute. Fails with `ClassAdError`. */
+/**
+ * Parses an ad in the new syntax, `[ a = 1; b = 2 ]`, or in the old one, with one attribute per line. Throws
+ * `ClassAdError`.
+ */
 export function parseAd(text: string): Ad {
   if (/^\s*\[/.test(text)) return parseWith(text, () => grammar.ad());
   const ad = new Ad();
--- a/src/classad/print.ts
+++ b/src/classad/print.ts
@@ -6,18 +6,18 @@
 const UNARY = 11;
 const POSTFIX = 12;
 
-/** An expression as text that reads back as the same. */
+/** Prints an expression as text that parses to the same expression. */
 export function printExpr(e: Expr): string {
   return printWithin(e, CONDITIONAL);
 }
 
-/** An ad as text that can be parsed again. */
+/** Prints an ad as text that can be parsed again. */
 export function printAd(ad: Ad): string {
   const parts = [...ad].map(([name, e]) => `${printName(name)} = ${printExpr(e)}`);
   return parts.length === 0 ? '[ ]' : `[ ${parts.join('; ')} ]`;
 }
 
-/** A value as text that can be parsed again. */
+/** Prints a value as text that can be parsed again. */
 export function printValue(value: Value): string {
   if (Array.isArray(value)) return `{ ${value.map(printValue).join(', ')} }`;
   if (typeof value === 'object' && 'get' in value) return printAd(value);
@@ -65,7 +65,7 @@
   return precedence < minPrecedence ? `(${text})` : text;
 }
 
-/** Its text, and how tightly that binds. */
+/** Returns the text of an expression and the precedence of its outermost operator. */
 function format(expr: Expr): [string, number] {
   switch (expr.node) {
     case 'literal': {
@@ -78,7 +78,7 @@
         POSTFIX,
       ];
     case 'select': {
-      // `(my).x` is not `MY.x`, and `1.x` is no selection.
+      // `(my).x` differs from `MY.x`, and `1.x` is not a selection.
       const of =
         expr.operand.node === 'literal'
           ? `(${printWithin(expr.operand, CONDITIONAL)})`
--- a/src/classad/times.ts
+++ b/src/classad/times.ts
@@ -27,7 +27,7 @@
   return Math.floor((date.getTime() - Date.UTC(date.getUTCFullYear(), 0, 1)) / 86_400_000);
 }
 
-/** A moment in its parts, in UTC. */
+/** Splits a time, in UTC, into its components. */
 export function splitTime(seconds: bigint): Ad {
   const date = dateOf(seconds);
   return new Ad()
@@ -41,7 +41,7 @@
     .setValue('Offset', 0n);
 }
 
-/** A moment in UTC as `strftime` writes it; what it does not know stays as it is. */
+/** Formats a time in UTC like `strftime`; unknown conversion specifiers are left unchanged. */
 export function formatTime(seconds: bigint, format: string): string {
   const date = dateOf(seconds);
   const twoDigits = (n: number) => String(n).padStart(2, '0');
--- a/src/condor/analyze.ts
+++ b/src/condor/analyze.ts
@@ -2,7 +2,7 @@
 import { evaluate } from '../classad/evaluate.js';
 import { printExpr, printValue } from '../classad/print.js';
 
-/** A kind of machine that is offered. */
+/** A kind of machine on offer. */
 export interface Offer {
   type: string;
   zone: string;
@@ -10,27 +10,30 @@
   ad: Ad;
 }
 
-/** One clause of a process's requirements. */
+/** A clause of the requirements of a process. */
 export interface Clause {
   text: string;
-  /** How many kinds it alone holds for. */
+  /** Number of kinds that satisfy this clause on its own. */
   matches: number;
-  /** Where it is a comparison with an attribute that no kind satisfies: the nearest that there is, and of how many. */
+  /**
+   * If no kind satisfies a comparison with an attribute: the nearest value on offer, and the number of types
+   * with it.
+   */
   nearest?: string;
 }
 
-/** What the requirements of a process match. */
+/** Result of matching the requirements of a process against all kinds of machines. */
 export interface Analysis {
   /** Number of kinds of machines. */
   kinds: number;
-  /** Number of those that match all clauses. */
+  /** Number of kinds that match every clause. */
   matches: number;
   clauses: Clause[];
-  /** What keeps the process from starting, in one sentence; null when some kind matches. */
+  /** Why the process cannot start, in one sentence; null when some kind matches. */
   reason: string | null;
 }
 
-/** The parts of a requirement that must all hold. */
+/** Splits a requirement into the operands of its top-level `&&` operators. */
 function conjunctsOf(expr: Expr): Expr[] {
   return expr.node === 'binary' && expr.op === '&&'
     ? [...conjunctsOf(expr.left), ...conjunctsOf(expr.right)]
@@ -39,7 +42,10 @@
 
 const isSatisfied = (expr: Expr, my: Ad, offer: Offer) => evaluate(expr, { my, target: offer.ad }) === true;
 
-/** Which clauses of a requirement fail on which kinds. Requests that no kind is large enough for count as clauses. */
+/**
+ * Returns how many kinds match each clause of a requirement and all of them. The size requirements count as
+ * clauses too, so that a request that no kind is large enough for is reported.
+ */
 export function analyze(
   requirements: Expr,
   my: Ad,
@@ -81,7 +87,7 @@
     : `${explanations.join('; ')}; the other clauses match ${matchingOthers}`;
 }
 
-/** Of `Memory > 512000`: the largest memory that there is. */
+/** Returns the value on offer that comes nearest to a comparison: for `Memory > 512000`, the largest memory. */
 function nearestValue(clause: Expr, my: Ad, offers: readonly Offer[]): string | null {
   if (clause.node !== 'binary' || !/^(<|<=|>|>=|==)$/.test(clause.op)) return null;
   const isTargetAttribute = (x: Expr) => x.node === 'name' && (x.scope === 'target' || !my.has(x.name));
--- a/src/condor/cluster.ts
+++ b/src/condor/cluster.ts
@@ -6,7 +6,7 @@
 import type { ClusterPlan, Proc } from './procs.js';
 import { type ClusterRecord, type Exception, PROCS_PER_CHUNK } from './records.js';
 
-/** The numbers that the language has for states. */
+/** HTCondor's codes (`JobStatus`) for the states of a process. */
 const JOB_STATUS: Record<ProcState, bigint> = {
   idle: 1n,
   running: 2n,
@@ -17,31 +17,31 @@
 
 const MAX_CACHED_PROCS = 2000;
 
-/** The id of the job that one start of a process is; nobody else makes ids like it. */
+/** Returns the job id of one start of a process; no other code creates ids of this form. */
 export function jobId(cluster: number, proc: number, start: number): string {
   return `wk-condor-${cluster}-${proc}${start === 0 ? '' : `-r${start}`}`;
 }
 
-/** What the ids of all jobs of a cluster begin with. */
+/** Returns the common prefix of the ids of all jobs of a cluster. */
 export const jobIdPrefix = (cluster: number) => `wk-condor-${cluster}-`;
 
-/** One cluster as the expander has it: which of its processes are jobs, and which were held, released or removed. */
+/** The expander's state of one cluster: which processes are jobs, and which were held, released or removed. */
 export class Cluster {
   /** The next process to become a job. */
   cursor: number;
-  /** Unfinished jobs, as last listed, by id; and whether all that became jobs before were in that list. */
+  /** Unfinished jobs by id, as of the listing at `listedAt`, which covers the processes below `listedCursor`. */
   jobs = new Map<string, ListedJob>();
   listedAt = Number.NEGATIVE_INFINITY;
   listedCursor = 0;
-  /** Jobs that have to be cancelled yet. */
+  /** Ids of jobs that still have to be cancelled. */
   readonly pendingCancellations = new Set<string>();
   readonly stateSince = new Map<number, { state: ProcState; at: number }>();
   checkedAt = 0;
-  /** Released processes whose new start is not a job yet. */
+  /** Released processes whose new start has not become a job yet. */
   readonly pendingRestarts = new Set<number>();
-  /** It is being removed, and its jobs have not been looked at under this term. */
+  /** Whether the cluster is being removed and its jobs have not been listed under this term yet. */
   cancellationSweepDue = false;
-  /** What changes its records goes one after the other. */
+  /** Serializes changes to the records of the cluster. */
   readonly mutex = new Mutex();
   private readonly procCache = new Map<number, Proc>();
 
@@ -54,7 +54,7 @@
     readonly chunkVersions: Map<number, number>,
   ) {
     this.cursor = record.from;
-    // Whoever expanded it before may have been cut off between storing an exception and cancelling what it is about.
+    // The previous expander may have stopped after it stored an exception and before it cancelled the affected jobs.
     for (const [proc, exception] of exceptions) {
       this.cancelSupersededStarts(proc, exception);
       if (exception.state === 'idle' && proc < this.cursor) this.pendingRestarts.add(proc);
@@ -62,7 +62,7 @@
     this.cancellationSweepDue = record.state === 'removing';
   }
 
-  /** Orders the cancelling of all starts of a process that do not count any more. */
+  /** Queues the cancellation of all starts of a process that no longer count. */
   cancelSupersededStarts(proc: number, exception: Exception): void {
     if (proc >= this.record.upTo) return;
     const starts = exception.state === 'removed' ? exception.start + 1 : exception.start;
@@ -79,7 +79,7 @@
     return proc;
   }
 
-  /** The job that a process is now. */
+  /** Returns the current job of a process. */
   spec(n: number): JobSpec {
     return { ...this.proc(n).spec, id: jobId(this.number, n, this.exceptions.get(n)?.start ?? 0) };
   }
@@ -89,12 +89,15 @@
     return expr?.node === 'literal' && typeof expr.value === 'bigint' ? expr.value : 0n;
   }
 
-  /** Most clusters say nothing of it, and then no process has to be made to know. */
+  /**
+   * Returns whether a process is submitted on hold. Most clusters never set this; their processes need no
+   * expansion here.
+   */
   private heldFromStart(n: number): boolean {
     return this.plan.mayHold(n) && this.proc(n).held;
   }
 
-  /** Whether a process is to become a job, as far as its owner has said. */
+  /** Returns whether a process is to become a job, that is, its owner has neither held nor removed it. */
   shouldBecomeJob(n: number): boolean {
     const exception = this.exceptions.get(n);
     if (exception) return exception.state === 'idle';
@@ -108,13 +111,14 @@
     if (this.record.state === 'removing') return 'removed';
     const job = this.jobs.get(jobId(this.number, n, exception?.start ?? 0));
     if (job) return job.running > 0 ? 'running' : 'idle';
-    // What was listed as unfinished and is no longer has ended; what became a job since has not been listed yet.
+    // A job that was listed before and is no longer listed has ended; one that was submitted since is not
+    // listed yet.
     return n < Math.min(this.listedCursor, this.cursor) && !this.pendingRestarts.has(n)
       ? 'completed'
       : 'idle';
   }
 
-  /** A process's ad as it stands, for constraints and periodic expressions. */
+  /** Returns the ad of a process in its current state, for constraints and periodic expressions. */
   adOf(n: number, now: number): Ad {
     const state = this.state(n);
     const lastState = this.stateSince.get(n);
--- a/src/condor/commands.ts
+++ b/src/condor/commands.ts
@@ -1,10 +1,13 @@
-/** What becomes of a command of a submit file. */
+/** Treatment of a submit command. */
 export interface Command {
-  /** `used`: it has the effect that it says. `kept`: an attribute of the process that nothing acts on. */
+  /**
+   * `used`: has its usual effect. `kept`: stored as an attribute of the process, without effect. `refused`: an
+   * error.
+   */
   use: 'used' | 'kept' | 'refused';
-  /** The attribute of the process's ad that it sets. */
+  /** Attribute of the process's ad that the command sets. */
   attribute: string;
-  /** Of those kept or refused: why, for people. */
+  /** Why the command is kept or refused, in words for users. */
   why?: string;
 }
 
@@ -15,7 +18,7 @@
 const FETCHED_BY_WORKERS = 'workers fetch what they run themselves';
 const ALWAYS_RETRIED = 'a task that fails is started again until it is done or removed';
 
-/** Every command that is known, by its name in lower case; docs/condor.md has the same table. */
+/** Known commands by lower-case name; docs/condor.md has the same table. */
 export const COMMANDS: Readonly<Record<string, Command>> = {
   executable: used('Cmd'),
   arguments: used('Args'),
@@ -76,7 +79,7 @@
   deferral_time: refused('processes by calendar are not served'),
 };
 
-/** Universes that run here: what a process is started as. */
+/** Supported universes, each with the number of the universe that its processes run in. */
 export const UNIVERSES: Readonly<Record<string, number>> = {
   vanilla: 5,
   docker: 5,
--- a/src/condor/expander.ts
+++ b/src/condor/expander.ts
@@ -16,21 +16,27 @@
 const LIST_INTERVAL_MS = 2000;
 const DISCOVERY_INTERVAL_MS = 1500;
 const PERIODIC_INTERVAL_MS = 20_000;
-/** Processes that may have become jobs before that is stored: what a new expander goes through again. */
+/** Number of processes that may become jobs before the progress is stored; a new expander submits these again. */
 const EXPANSION_WINDOW = 64;
-/** Of the key-value store's rate of changes, what becoming a job may take beside all else. */
+/** Share of the key-value store's write rate that turning processes into jobs may use, besides all other writes. */
 const WRITE_RATE_SHARE = 0.3;
-/** While a change would wait longer than this, others need the key-value store more. */
+/**
+ * Expansion pauses while a write to the key-value store would wait longer than this: other work needs the store
+ * more.
+ */
 const BUSY_WRITE_DELAY_MS = 150;
-/** Unfinished jobs of one cluster at once, unless its owner asks for fewer: the rest waits as a line in its record. */
+/**
+ * Maximum number of unfinished jobs of one cluster at a time, unless its owner sets a lower limit. The
+ * remaining processes wait as a range of process numbers in the record of the cluster.
+ */
 const MAX_UNFINISHED_JOBS = 500;
 const MAX_CONCURRENT_REQUESTS = 4;
 const PROCS_PER_SLICE = 500;
 
-/** What a user may do to processes. */
+/** Actions of users on processes. */
 export type ProcAction = 'hold' | 'release' | 'remove';
 
-/** Turns processes into jobs, one node for all clusters; and keeps what was held, released and removed. */
+/** Turns processes into jobs, on one node for all clusters, and stores which were held, released or removed. */
 export class Expander {
   readonly clusters = new Map<number, Cluster>();
   private term: number | null = null;
@@ -58,13 +64,16 @@
         await this.tick();
       } catch (error) {
         if (!(error instanceof StateStoreError || error instanceof UnavailableError))
-          this.log.error({ err: error }, 'expanding failed');
+          this.log.error({ err: error }, 'expanding clusters failed; retrying in 1 s');
         this.backoffUntil = this.clock.now() + 1000;
       }
     }
   }
 
-  /** Whether this node expands now. */
+  /**
+   * Whether this node is the expander now: it holds its lease, and the expander's key is still its own under
+   * `term`.
+   */
   get active(): boolean {
     if (this.term === null) return false;
     const entry = this.node.membership.stateCache.entries.get(EXPANDER);
@@ -93,7 +102,7 @@
       if (!stateCache.isLoaded || stateCache.entries.has(EXPANDER) || !this.node.allSupportMatching) return;
       this.term = await this.node.membership.claim(EXPANDER);
       if (this.term === null) return;
-      this.log.info({ term: this.term }, 'expands clusters');
+      this.log.info({ term: this.term }, 'this node now expands clusters');
     }
     if (this.clock.now() < this.backoffUntil) return;
     if (this.clock.now() - this.lastDiscoveryAt > DISCOVERY_INTERVAL_MS) await this.discoverClusters();
@@ -106,7 +115,7 @@
     await this.expand(byPriority);
   }
 
-  /** Takes in clusters that are new. */
+  /** Loads clusters that are not in memory yet. */
   async discoverClusters(): Promise<void> {
     const term = this.term;
     const all = await this.records.all();
@@ -117,7 +126,7 @@
       this.clusters.set(stored.number, cluster);
       this.log.info(
         { cluster: stored.number, procs: stored.record.total, from: cluster.cursor },
-        'cluster taken up',
+        'cluster loaded for expansion',
       );
     }
     this.lastDiscoveryAt = this.clock.now();
@@ -129,7 +138,7 @@
     return new Cluster(stored.number, stored.record, stored.version, plan, exceptions, versions);
   }
 
-  // --- becoming jobs
+  // --- submitting processes as jobs
 
   private async expand(byPriority: Cluster[]): Promise<void> {
     if (this.context.store.writeDelayMs > BUSY_WRITE_DELAY_MS) return;
@@ -138,7 +147,7 @@
     );
     const candidates = expandable.filter((cluster) => cluster.priority === expandable[0]!.priority);
     while (this.writeBudget >= 1 && candidates.length > 0 && this.active) {
-      // Clusters of one priority take turns, so that a large one keeps no small one waiting.
+      // Clusters of the same priority take turns, so that a large cluster does not delay a small one.
       const cluster = candidates[this.roundRobinCounter++ % candidates.length]!;
       const steps = await this.submitNext(
         cluster,
@@ -150,7 +159,7 @@
     }
   }
 
-  /** How many more processes may become jobs now. */
+  /** Returns how many more processes of a cluster may become jobs now. */
   private allowance(cluster: Cluster): number {
     if (cluster.cursor >= cluster.record.total && cluster.pendingRestarts.size === 0) return 0;
     const unlisted = Math.max(0, cluster.cursor - cluster.listedCursor);
@@ -169,20 +178,23 @@
     );
   }
 
-  /** A limit that the cluster's owner asks for; null for none. */
+  /** Returns a limit that the owner of the cluster has set; null for none. */
   private ownerLimit(cluster: Cluster, name: string): number | null {
     const limit = evaluate({ node: 'name', scope: 'my', name }, { my: cluster.proc(0).ad });
     return typeof limit === 'bigint' && limit > 0n ? Number(limit) : null;
   }
 
-  /** It is not being removed, and what is known of it here is what counts. */
+  /**
+   * Returns whether a cluster is active, so not being removed, and this copy of its state is still the current
+   * one.
+   */
   private isExpandable(cluster: Cluster): boolean {
     return cluster.record.state === 'active' && this.clusters.get(cluster.number) === cluster;
   }
 
-  /** Makes jobs of the next processes; returns how many steps that took. */
+  /** Submits the next processes, restarts first; returns the number of processes handled, at most `maxSteps`. */
   private async submitNext(cluster: Cluster, maxSteps: number): Promise<number> {
-    // Its owner may have removed it while others had their turn.
+    // The owner may have removed the cluster while other clusters had their turn.
     if (!this.isExpandable(cluster)) return 0;
     if (cluster.pendingRestarts.size > 0) {
       const restarts = [...cluster.pendingRestarts].slice(0, maxSteps);
@@ -194,13 +206,14 @@
     if (cluster.cursor >= cluster.record.upTo && !(await this.extendWindow(cluster))) return 0;
     const procs = [];
     for (let n = cluster.cursor; n < cluster.record.upTo && procs.length < maxSteps; n++) procs.push(n);
-    // All of a step or none of it: the cursor passes only what is surely a job.
+    // The cursor advances only when the whole step has succeeded, so that it never passes a process not known
+    // to be a job.
     await Promise.all(procs.filter((n) => cluster.shouldBecomeJob(n)).map((n) => this.submit(cluster, n)));
     cluster.cursor += procs.length;
     return procs.length;
   }
 
-  /** Stores which processes may become jobs next, before any of them does. */
+  /** Stores which processes may become jobs next, before any of them becomes one. */
   private async extendWindow(cluster: Cluster): Promise<boolean> {
     const upTo = Math.min(cluster.record.total, cluster.cursor + EXPANSION_WINDOW);
     return this.storeRecord(cluster, { from: cluster.cursor, upTo }, true);
@@ -234,7 +247,10 @@
     });
   }
 
-  /** Another term has begun, or a write may have been applied without an answer: what is stored is read anew. */
+  /**
+   * Discards the state of a cluster in memory, so that the stored records are read again: another term has
+   * begun, or a write without an answer may have been applied.
+   */
   private invalidate(cluster: Cluster): void {
     if (this.clusters.get(cluster.number) === cluster) this.clusters.delete(cluster.number);
     this.lastDiscoveryAt = Number.NEGATIVE_INFINITY;
@@ -243,10 +259,12 @@
   private async submit(cluster: Cluster, n: number): Promise<void> {
     const spec = cluster.spec(n);
     await this.upload(spec);
-    // From here on until the answer another node may have taken over: it submits the same id, which is accepted once.
+    // Until the answer arrives, another node may take over as expander. It submits the same id, which is
+    // accepted only once.
     if (!this.active || !this.isExpandable(cluster)) throw new UnavailableError('no longer expanded here');
     let answer = await this.node.submit(spec);
-    // The cluster was accepted as a whole: a deadline that cannot be met any more is kept as well as can be.
+    // The cluster was accepted as a whole, so a job whose deadline can no longer be met is submitted without a
+    // deadline.
     if (answer.kind === 'refused') answer = await this.node.submit({ ...spec, deadlineS: null });
     if (answer.kind === 'refused' || answer.kind === 'busy') {
       this.backoffUntil = Math.max(this.backoffUntil, this.clock.now() + answer.retryS * 1000);
@@ -255,7 +273,7 @@
     if (answer.kind === 'never') throw new UnavailableError(`${answer.needs} was never accepted`);
   }
 
-  // --- what has become of them
+  // --- tracking, cancelling and changing processes
 
   private async maintain(cluster: Cluster): Promise<void> {
     await this.cancelPending(cluster);
@@ -300,8 +318,9 @@
   }
 
   /**
-   * Cancels a job for good. One that is not known may yet be submitted by whoever expanded before, late: it is submitted
-   * here first, so that its end is stored and whatever comes late finds it over.
+   * Cancels a job permanently. A job that is not known may still be submitted late by the previous expander.
+   * The job is therefore submitted here first, so that its end is stored and a late submission finds that the
+   * job has ended.
    */
   private async cancel(cluster: Cluster, id: string): Promise<void> {
     if ((await this.node.cancel(id)) === null) {
@@ -312,7 +331,10 @@
     cluster.pendingCancellations.delete(id);
   }
 
-  /** A cluster all of whose processes have ended is over; one that is being removed, when all its jobs are cancelled. */
+  /**
+   * Ends a cluster once all its processes have ended or, if it is being removed, once all its jobs are
+   * cancelled.
+   */
   private async endIfFinished(cluster: Cluster): Promise<void> {
     if (cluster.jobs.size > 0) return;
     if (cluster.record.state !== 'removing') {
@@ -323,7 +345,7 @@
     const { removed } = cluster.counts;
     if (!(await this.storeRecord(cluster, { state: 'over', removed }))) return;
     this.clusters.delete(cluster.number);
-    this.log.info({ cluster: cluster.number, procs: cluster.record.total, removed }, 'cluster over');
+    this.log.info({ cluster: cluster.number, procs: cluster.record.total, removed }, 'cluster ended');
     if (this.term !== null)
       await this.records.sweep(this.term, {
         number: cluster.number,
@@ -351,7 +373,7 @@
     }
   }
 
-  /** Processes for which something holds, looked at a part at a time so that other work comes in between. */
+  /** Returns the processes that satisfy a predicate; checks them in slices so that other work can run in between. */
   async filterProcs(cluster: Cluster, predicate: (n: number) => boolean): Promise<number[]> {
     const procs: number[] = [];
     for (let n = 0; n < cluster.record.total; n++) {
@@ -361,7 +383,7 @@
     return procs;
   }
 
-  /** Processes that a constraint picks; all of them when there is none. */
+  /** Returns the processes that satisfy a constraint, or every process if there is no constraint. */
   procsMatching(cluster: Cluster, constraint: Expr | null): Promise<number[]> {
     return this.filterProcs(cluster, (n) => {
       if (constraint === null) return true;
@@ -370,8 +392,9 @@
   }
 
   /**
-   * Holds, releases or removes processes. Resolves with how many, once that is durable: from then on no task of one that
-   * is held or removed starts anew, and what runs is stopped as fast as a cancelled job is.
+   * Holds, releases or removes processes. Resolves with the number of changed processes once the change is
+   * durable. From then on no task of a held or removed process starts again, and running tasks are stopped as
+   * fast as those of a cancelled job.
    */
   applyAction(cluster: Cluster, action: ProcAction, procs: readonly number[], why: string): Promise<number> {
     return cluster.mutex.runExclusive(() => this.storeAction(cluster, action, procs, why));
@@ -424,7 +447,7 @@
     return changed.length;
   }
 
-  /** Removes a whole cluster: one change, whatever its size; its jobs are cancelled from then on. */
+  /** Removes a whole cluster with one write, whatever its size; its jobs are cancelled from then on. */
   async removeCluster(cluster: Cluster): Promise<number> {
     const { idle, running, held } = cluster.counts;
     if (!(await this.storeRecord(cluster, { state: 'removing' }))) throw new UnavailableError('not stored');
@@ -434,7 +457,8 @@
 
   private cancelAll(cluster: Cluster): void {
     cluster.pendingRestarts.clear();
-    // What was listed as ended needs nothing; the last window may have become jobs unseen.
+    // Jobs that the listing showed to have ended need no cancelling; those of the last window may not have been
+    // listed.
     for (const id of cluster.jobs.keys()) cluster.pendingCancellations.add(id);
     for (
       let n = Math.max(0, Math.min(cluster.listedCursor, cluster.record.from));
--- a/src/condor/language.ts
+++ b/src/condor/language.ts
@@ -3,7 +3,7 @@
 import { ClassAdError, parseExpr } from '../classad/parser.js';
 import { MacroExpander, type Setting, type Settings, SubmitError } from './macros.js';
 
-/** Where the items of a queue statement come from. `rows` is null until whoever has the files has filled it in. */
+/** Source of the items of a queue statement. `rows` is null until the program that has the files fills it in. */
 export type Items =
   | { kind: 'none' }
   | { kind: 'in'; rows: string[] }
@@ -14,23 +14,23 @@
 export interface Queue {
   line: number;
   column: number;
-  /** The statement as written. */
+  /** Source text of the statement. */
   text: string;
-  /** How many processes for each item. */
+  /** Expression for the number of processes per item. */
   count: string;
   variables: string[];
   items: Items;
   slice: { from: number | null; to: number | null; step: number } | null;
-  /** What was set before it. */
+  /** Settings that precede the statement. */
   settings: Settings;
 }
 
 const LIMITS = { text: 64 * 1024, lines: 20_000, items: 100_000, ifs: 32 };
-/** The version that `if version` compares with. */
+/** HTCondor version that `if version` compares with. */
 const HTCONDOR_VERSION = [10, 0, 0];
 const NO_PROCESS_MACROS: ReadonlyMap<string, string> = new Map();
 
-/** Reads a submit file up to its last queue statement. Fails with `SubmitError`. */
+/** Parses a submit file and returns its queue statements. Throws `SubmitError`. */
 export function parseSubmit(text: string): Queue[] {
   if (Buffer.byteLength(text) > LIMITS.text)
     throw new SubmitError(
@@ -41,7 +41,7 @@
   return new SubmitFileParser(text).read();
 }
 
-/** How many items a queue statement has, once its files have been read. */
+/** Returns the selected items of a queue statement, one a row; its files must have been read. */
 export function rowsOf(queue: Queue): string[] {
   const { items } = queue;
   if (items.kind === 'none') return [''];
@@ -56,7 +56,7 @@
   return out;
 }
 
-/** The variables of a queue statement for one row: the last one takes all that is left. */
+/** Splits one row into the variables of its queue statement; the last variable takes the rest of the row. */
 export function splitRow(row: string, variables: readonly string[]): Map<string, string> {
   const values = new Map<string, string>();
   let rest = row.trim();
@@ -74,7 +74,7 @@
   private lineIndex = 0;
   private readonly settings = new Map<string, Setting>();
   private readonly queues: Queue[] = [];
-  /** Of each `if` that is open: whether its lines count now, whether a branch was taken, and whether it is in `else`. */
+  /** The open `if` statements: whether the current branch is active, a branch was taken, and `else` was reached. */
   private readonly openConditionals: { active: boolean; taken: boolean; inElse: boolean; line: number }[] =
     [];
 
@@ -193,7 +193,7 @@
     if (match[5] === '@=') value = this.readBlock(value.trim(), line, column);
     const key = name.toLowerCase();
     const previous = this.settings.get(key)?.value ?? '';
-    // A setting may add to what it was.
+    // A setting may refer to its own previous value.
     const selfReference = new RegExp(`\\$\\(\\s*${key.replace(/[+.]/g, '\\$&')}\\s*\\)`, 'gi');
     value = value.replace(selfReference, () => previous);
     if (value.length > LIMITS.text) throw new SubmitError('a value that is too long', line, column);
@@ -208,7 +208,7 @@
     this.settings.set(key, { name, value, line, column: start });
   }
 
-  /** Lines up to `@tag`. */
+  /** Reads the lines up to `@tag`. */
   private readBlock(tag: string, line: number, column: number): string {
     const lines: string[] = [];
     while (this.lineIndex < this.lines.length) {
@@ -267,7 +267,7 @@
 
   private parseItems(keyword: string, rest: string, fail: (message: string) => never): Items {
     let text = rest;
-    // A list in brackets may go over several lines.
+    // A list in parentheses may span several lines.
     const lines: string[] = [];
     if (text.startsWith('(')) {
       text = text.slice(1);
--- a/src/condor/macros.ts
+++ b/src/condor/macros.ts
@@ -1,7 +1,7 @@
-// This package: HTCondor's submit files: their language, what a process asks for, and clusters of them as jobs.
+// HTCondor submit files: their language, the requests of their processes, and the expansion of clusters into jobs.
 import { InvalidInputError } from '../errors/errors.js';
 
-/** Something wrong in a submit file; lines and columns count from 1. */
+/** An error in a submit file; line and column count from 1. */
 export class SubmitError extends InvalidInputError {
   constructor(
     message: string,
@@ -12,7 +12,7 @@
   }
 }
 
-/** A setting as it was written, and where its value begins. */
+/** A setting as written, with the position at which its value begins. */
 export interface Setting {
   name: string;
   value: string;
@@ -20,25 +20,28 @@
   column: number;
 }
 
-/** Settings by their names in lower case. */
+/** Settings by lower-case name. */
 export type Settings = ReadonlyMap<string, Setting>;
 
 const MAX_EXPANSION_DEPTH = 32;
 const MAX_EXPANDED_LENGTH = 64 * 1024;
-/** What a file name is asked for: path, name, extension, directory, quoted. */
+/** Name of a file name function, `$Fpnx(..)`; its letters select path, name, extension, directory and quotes. */
 const FILE_NAME_FUNCTION = /^F([pdnxbqaf]*)$/;
 
-/** Puts macros in: `$(name)`, `$(name:default)`, `$INT(..)`, `$REAL(..)`, `$CHOICE(..)`, `$SUBSTR(..)` and `$Fx(..)`. */
+/**
+ * Expands macros: `$(name)`, `$(name:default)`, `$INT(..)`, `$REAL(..)`, `$CHOICE(..)`, `$SUBSTR(..)` and
+ * `$Fx(..)`.
+ */
 export class MacroExpander {
   private expandedLength = 0;
 
   constructor(
     private readonly settings: Settings,
-    /** Of the process: Cluster, Process, Item and the variables of its queue statement, by names in lower case. */
+    /** Macros of the process by lower-case name: Cluster, Process, Item and the variables of its queue statement. */
     private readonly processMacros: ReadonlyMap<string, string>,
   ) {}
 
-  /** The value of a name, with all macros put in; undefined when nothing sets it. */
+  /** Returns the value of a name with all macros expanded; undefined when the name is not set. */
   get(name: string): string | undefined {
     const processValue = this.processMacros.get(name.toLowerCase());
     if (processValue !== undefined) return processValue;
--- a/src/condor/matcher.ts
+++ b/src/condor/matcher.ts
@@ -9,9 +9,9 @@
 import type { MachineType } from '../wire/cloud.js';
 import type { MatchSpec } from '../wire/users.js';
 
-/** Attributes that change with what a machine holds. */
+/** Attributes that depend on the tasks that run on a machine. */
 const LOAD_ATTRIBUTES = ['loadavg', 'totalloadavg', 'freecpus', 'freememory', 'freegpus'];
-/** Attributes of a single machine; all others are those of its kind. */
+/** Attributes of a single machine; the other attributes belong to its kind. */
 const MACHINE_ATTRIBUTES = new Set(['name', 'machine', 'cachedimages', ...LOAD_ATTRIBUTES]);
 const VARYING_KIND_ATTRIBUTES = new Set(['price']);
 const EMPTY_AD = new Ad();
@@ -23,7 +23,7 @@
   return (type * MAX_ZONES + zone) * 2 + (spot ? 1 : 0);
 }
 
-/** What a kind of machine is to match expressions. Amounts are in their language's units: MiB of memory, KiB of disk. */
+/** Returns the ad of a kind of machine. Amounts are in the units of HTCondor: MiB of memory, KiB of disk. */
 export function kindAd(type: MachineType, zone: string, spot: boolean): Ad {
   return new Ad()
     .setValue('MyType', 'Machine')
@@ -44,12 +44,12 @@
     .setValue('BootSeconds', type.bootS);
 }
 
-/** Compiles match expressions; the same text is compiled once, and asked once of each kind of machine. */
+/** Compiles match expressions; the same text is compiled once, and evaluated once for each kind of machine. */
 export class ClassAdMatcher implements MatchCompiler {
   private readonly compiled = new Map<string, Match>();
   private readonly kinds = new Map<number, Ad>();
   private version = -1;
-  /** Expressions evaluated so far. */
+  /** Number of evaluations so far. */
   evaluationCount = 0;
 
   constructor(
@@ -75,7 +75,6 @@
     const answers = new Map<number, boolean>();
     let answersVersion = -1;
     const kind = (type: number, zone: number, spot: boolean): boolean => {
-      // A kind may yet take the job when only its machines can tell.
       if (dependsOnVarying && answersVersion !== this.catalog.version) answers.clear();
       answersVersion = this.catalog.version;
       const key = kindKey(type, zone, spot);
@@ -84,6 +83,8 @@
         const ad = this.kindAdOf(type, zone, spot);
         if (!ad) return false;
         const value = this.evaluateAgainst(requirements, ad);
+        // If the result depends on single machines, a kind is excluded only when the expression is false for
+        // the kind alone.
         answer = dependsOnMachine ? value !== false : value === true;
         answers.set(key, answer);
       }
@@ -102,7 +103,10 @@
     };
   }
 
-  /** Asked once of each machine as it stands, as far as the expression looks at it. */
+  /**
+   * Evaluates an expression once for each machine, and again when the state that the expression reads has
+   * changed.
+   */
   private cachedPerMachine<T>(
     expr: Expr,
     names: Set<string>,
@@ -161,7 +165,7 @@
   }
 }
 
-/** What an expression with these names can see change of a machine. */
+/** Returns a key for the variable state of a machine that an expression with these attribute names reads. */
 function visibleState(machine: PlanMachine, names: ReadonlySet<string>, version: number): string {
   let state = names.has('price') ? String(version) : '';
   if (names.has('cachedimages')) state += ` i${[...machine.images].join(',')}`;
--- a/src/condor/procs.ts
+++ b/src/condor/procs.ts
@@ -8,29 +8,29 @@
 import { parseSubmit, type Queue, rowsOf, splitRow } from './language.js';
 import { MacroExpander, type Setting, SubmitError } from './macros.js';
 
-/** What a cluster is made of, whoever reads it again. */
+/** The stored source of a cluster, from which any node can expand it again. */
 export interface Submission {
   text: string;
-  /** Rows of queue statements whose items are in files, by the number of the statement. */
+  /** Rows of the queue statements whose items are in files, by index of the statement. */
   rows: Record<string, string[]>;
   user: string;
-  /** Seconds since the epoch. */
+  /** Time of submission, in seconds since the epoch. */
   at: number;
 }
 
-/** What processes are checked against. */
+/** Options that processes are checked against. */
 export interface ProcOptions {
   teams: readonly string[];
-  /** The team of processes whose accounting group names none; null refuses them. */
+  /** Team of processes whose accounting group names no team; null rejects such processes. */
   team: string | null;
-  /** Why a job can never run, whatever machines there are; null when it can. */
+  /** Returns why a job can never run, whatever machines are available; null when it can. */
   neverRunsReason: (spec: JobSpec) => string | null;
 }
 
-/** One process of a cluster, expanded. */
+/** An expanded process of a cluster. */
 export interface Proc {
   ad: Ad;
-  /** Without its id, which says which start of the process it is. */
+  /** The job without its id, which depends on which start of the process it is. */
   spec: JobSpec;
   held: boolean;
 }
@@ -39,14 +39,14 @@
 const MAX_IMAGE_LENGTH = 200;
 const BUILT_IN_MACROS = ['clusterid', 'cluster', 'procid', 'process', 'step', 'row', 'itemindex'];
 
-/** The processes of a cluster, made one at a time from what was submitted. */
+/** The processes of a cluster, expanded one at a time from the submission. */
 export class ClusterPlan {
   readonly total: number;
   readonly warnings: string[];
   private readonly queues: { queue: Queue; count: number; rows: string[]; firstProc: number }[] = [];
   private readonly expressions = new Map<string, Expr>();
 
-  /** Fails with `SubmitError` when any line cannot be read; processes may yet fail one by one (`check`). */
+  /** Throws `SubmitError` when a line cannot be parsed; single processes may still fail later (see `check`). */
   constructor(
     readonly submission: Submission,
     private readonly options: ProcOptions,
@@ -69,7 +69,10 @@
     this.warnings = warningsOf(queues);
   }
 
-  /** Makes the first and the last process of every queue statement, so that what is wrong with all is said at once. */
+  /**
+   * Expands the first and last process of every queue statement, so that errors common to all are reported at
+   * once.
+   */
   check(): void {
     for (const range of this.queues) {
       const n = range.count * range.rows.length;
@@ -85,13 +88,13 @@
     return this.queues[i]!;
   }
 
-  /** Whether anything is set that could hold a process from its submission on. */
+  /** Returns whether a setting could put a process on hold from its submission on. */
   mayHold(n: number): boolean {
     const { settings } = this.rangeOf(n).queue;
     return settings.has('hold') || settings.has('+submitonhold');
   }
 
-  /** One process. Fails with `SubmitError`. */
+  /** Expands one process. Throws `SubmitError`. */
   proc(cluster: number, n: number): Proc {
     const range = this.rangeOf(n);
     const step = (n - range.firstProc) % range.count;
@@ -167,7 +170,7 @@
   return [...warnings.values()];
 }
 
-/** Names that other values use as macros, which are no commands. */
+/** Returns the names that other values use as macros; such a setting is a macro and not an unknown command. */
 function referencedMacros(queue: Queue): Set<string> {
   const names = new Set<string>();
   const collect = (text: string) => {
@@ -178,7 +181,7 @@
   return names;
 }
 
-/** Makes the ad and the job of one process. */
+/** Builds the ad and the job of one process. */
 class ProcBuilder {
   constructor(
     private readonly queue: Queue,
@@ -229,7 +232,7 @@
     return parseCached(text, line, column, this.expressions);
   }
 
-  /** `2GB`, `512 M`, `1.5T` or an expression; in units of 1,024 to the `unit`th bytes times 1,024. */
+  /** Parses `2GB`, `512 M`, `1.5T` or an expression; the result is in KiB if `unit` is 0 and in MiB if it is 1. */
   private quantity(text: string, line: number, column: number, unit: number): Expr {
     const match = /^(\d+(?:\.\d*)?|\.\d+)\s*([KMGT])(?:i?B)?$/i.exec(text.trim());
     if (!match) return this.parseAttribute(text, line, column);
@@ -345,7 +348,10 @@
     return this.booleanAttribute(ad, 'NiceUser') ? PRIORITY.low : PRIORITY.normal;
   }
 
-  /** The team that an accounting group names: itself, or the longest part before a dot that is one. */
+  /**
+   * Returns the team that an accounting group names: the group itself or its longest prefix before a dot that
+   * is a team.
+   */
   private team(ad: Ad, { teams, team }: ProcOptions): string {
     const group = this.stringAttribute(ad, 'AcctGroup');
     for (let name = group ?? ''; name !== ''; name = name.slice(0, Math.max(0, name.lastIndexOf('.'))))
@@ -357,7 +363,7 @@
     throw new SubmitError(`${problem}; the teams are ${teams.join(', ')}`, line, column);
   }
 
-  /** Workers tell only of processes that are done, so these are decided beforehand, as for exit code 0. */
+  /** Workers report only processes that are done, so exit policies are evaluated at submission, for exit code 0. */
   private checkExitPolicies(ad: Ad): void {
     const exited = ad
       .copy()
--- a/src/condor/records.ts
+++ b/src/condor/records.ts
@@ -1,4 +1,4 @@
-/** The records of clusters of submit files in the key-value store. */
+/** Records of HTCondor clusters in the key-value store. */
 
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import * as v from 'valibot';
@@ -7,24 +7,24 @@
 import type { Condition, Write } from '../wire/state.js';
 import type { Submission } from './procs.js';
 
-/** Where clusters are in the key-value store. */
+/** Keys of cluster records in the key-value store. */
 const STORE_KEYS = {
-  /** The number of the next cluster; only ever grows. */
+  /** Number of the next cluster; never decreases. */
   next: 'condor/next',
-  /** Who expands clusters; under the prefix that every node watches. */
+  /** Node that expands clusters; under the prefix that every node watches. */
   expander: `${KEYS.cluster}condor`,
   clusters: 'condor/c/',
   cluster: (n: number) => `condor/c/${zeroPadded(n)}`,
-  /** Those that are over, apart from the others, which are read again and again. */
-  over: 'condor/over/',
-  overOne: (n: number) => `condor/over/${zeroPadded(n)}`,
+  /** Ended clusters, stored apart from the others because those are read again and again. */
+  endedClusters: 'condor/over/',
+  endedCluster: (n: number) => `condor/over/${zeroPadded(n)}`,
   submission: (id: string) => `condor/s/${id}`,
   parts: (id: string) => `condor/p/${id}/`,
   part: (id: string, i: number) => `condor/p/${id}/${zeroPadded(i)}`,
   exceptions: (n: number) => `condor/x/${zeroPadded(n)}/`,
   chunk: (n: number, i: number) => `condor/x/${zeroPadded(n)}/${zeroPadded(i)}`,
 } as const;
-/** The key that names the node that expands clusters. */
+/** Key that names the node that expands clusters. */
 export const EXPANDER = STORE_KEYS.expander;
 
 function zeroPadded(n: number): string {
@@ -38,18 +38,18 @@
   batch: v.nullable(v.string()),
   at: v.number(),
   total: v.number(),
-  /** All processes below `from` are jobs; those from there up to `upTo` may be. */
+  /** Processes below `from` have become jobs; the processes from `from` up to `upTo` may have. */
   from: v.number(),
   upTo: v.number(),
   state: v.picklist(['active', 'removing', 'over']),
-  /** Of one that is over: how its processes ended. */
+  /** For an ended cluster: number of its processes that were removed; the others completed. */
   removed: v.optional(v.number(), 0),
 });
 /** The record of one cluster. */
 export type ClusterRecord = v.InferOutput<typeof clusterValue>;
 
 const exceptionValue = v.object({
-  /** Which start of the process counts; all before it are cancelled. */
+  /** Start of the process that counts; earlier starts are cancelled. */
   start: v.number(),
   state: v.picklist(['idle', 'held', 'removed']),
   why: v.string(),
@@ -58,20 +58,20 @@
 export type Exception = v.InferOutput<typeof exceptionValue>;
 const chunkValue = v.record(v.string(), exceptionValue);
 
-/** So many processes are in one record of exceptions. */
+/** Number of processes in one record of exceptions. */
 export const PROCS_PER_CHUNK = 32;
 const MAX_CREATE_ATTEMPTS = 8;
 const MAX_TXN_BYTES = 40 * 1024;
 const MAX_INFLATED_BYTES = 4 * 1024 * 1024;
 
-/** A cluster's record as it was read. */
+/** Record of a cluster as read, with its version. */
 export interface StoredCluster {
   number: number;
   record: ClusterRecord;
   version: number;
 }
 
-/** Clusters in the key-value store. What the expander writes holds only under its own term. */
+/** Stores clusters in the key-value store. Writes of the expander are conditional on its own term. */
 export class ClusterRecords {
   constructor(
     private readonly store: StateStore,
@@ -79,8 +79,9 @@
   ) {}
 
   /**
-   * Makes a cluster durable; the same submission always gets the same number, whoever repeats it and whenever. Its text
-   * goes first, in parts that fit the key-value store's limits; nothing reads them before the record is there.
+   * Makes a cluster durable. The same submission always gets the same number, whichever node it is repeated at
+   * and whenever. The text is stored first, in parts that fit the limits of the key-value store; nothing reads
+   * the parts before the record exists.
    */
   async create(id: string, submission: Submission, total: number, batch: string | null): Promise<number> {
     const existing = await this.numberOf(id);
@@ -105,7 +106,7 @@
     throw new StateStoreError('too many clusters at once', false);
   }
 
-  /** Stores the text of a submission in parts; returns how many. */
+  /** Stores the text of a submission in parts; returns the number of parts. */
   private async writeParts(id: string, submission: Submission): Promise<number> {
     const bytes = deflateRawSync(JSON.stringify(submission));
     const partBytes = Math.floor((this.limits.valueKb * 1000 * 3) / 4) - 16;
@@ -124,7 +125,7 @@
     return writes.length;
   }
 
-  /** Stores a record under the next free number. Null when another cluster got that number first. */
+  /** Stores a record under the next free number. Returns null when another cluster got that number first. */
   private async tryCreate(id: string, record: ClusterRecord): Promise<number | null> {
     const next = await this.store.get(STORE_KEYS.next);
     const number = next ? Number(next.value) : 1;
@@ -152,9 +153,9 @@
     return e ? Number(e.value) : null;
   }
 
-  /** All clusters that are not over, or all that are. */
+  /** Returns all clusters that have not ended, or all that have. */
   async all(ended = false): Promise<StoredCluster[]> {
-    const prefix = ended ? STORE_KEYS.over : STORE_KEYS.clusters;
+    const prefix = ended ? STORE_KEYS.endedClusters : STORE_KEYS.clusters;
     const { entries } = await this.store.list(prefix);
     const out: StoredCluster[] = [];
     for (const e of entries) {
@@ -189,7 +190,7 @@
     return { exceptions, versions };
   }
 
-  /** Writes a cluster's record under a term; null when the term is over or another write came before. */
+  /** Writes a cluster's record under a term; null when the term has ended or another write came first. */
   async put(term: number, cluster: StoredCluster, record: ClusterRecord): Promise<number | null> {
     return this.write(
       term,
@@ -198,19 +199,22 @@
     );
   }
 
-  /** Puts a cluster among those that are over; null as for `put`. */
+  /** Moves a cluster's record to the ended clusters; null as for `put`. */
   async end(term: number, cluster: StoredCluster, record: ClusterRecord): Promise<number | null> {
     return this.write(
       term,
       [{ key: STORE_KEYS.cluster(cluster.number), version: cluster.version }],
       [
         { delete: STORE_KEYS.cluster(cluster.number) },
-        { put: STORE_KEYS.overOne(cluster.number), value: record },
+        { put: STORE_KEYS.endedCluster(cluster.number), value: record },
       ],
     );
   }
 
-  /** Writes chunks of exceptions under a term; each as large as the limits allow. False when the term is over. */
+  /**
+   * Writes chunks of exceptions under a term, as many in one write as the limits allow. Returns false when the
+   * term has ended or a chunk was changed by another write.
+   */
   async putExceptions(
     term: number,
     n: number,
@@ -232,7 +236,7 @@
     return true;
   }
 
-  /** Takes away what a finished cluster needs no more, a few records at a time. */
+  /** Deletes the records that an ended cluster no longer needs, a few at a time. */
   async sweep(term: number, cluster: StoredCluster): Promise<void> {
     const batchSize = Math.max(1, this.limits.txnOps);
     for (const prefix of [
--- a/src/condor/service.ts
+++ b/src/condor/service.ts
@@ -20,11 +20,11 @@
 import { ClusterPlan, type ProcOptions } from './procs.js';
 import { ClusterRecords, EXPANDER } from './records.js';
 
-/** The options of a controller that concern HTCondor. */
+/** HTCondor options of a controller. */
 export interface CondorOptions {
-  /** The team of processes whose accounting group names none. */
+  /** Team of processes whose accounting group names no team. */
   team: string | null;
-  /** Where descriptions are uploaded for the workers; null where nothing is. */
+  /** Address to which job descriptions are uploaded for the workers; null if they are not uploaded. */
   depot: string | null;
 }
 
@@ -53,7 +53,7 @@
   'TARGET.GPUs >= RequestGPUs',
 ].map(parseExpr);
 
-/** HTCondor's submit files over HTTP, and the part of a node that turns them into jobs. */
+/** Serves HTCondor submit files over HTTP, and runs the expander that turns them into jobs. */
 export class CondorService {
   private readonly records: ClusterRecords;
   private readonly expander: Expander;
@@ -124,7 +124,7 @@
     return { status: 200, body: (await this.request('act', args)) as object };
   }
 
-  /** Everything is checked first; then one durable record, and the answer. */
+  /** Checks the whole submission first, then stores the cluster durably, and answers after that. */
   private async submit(request: HttpRequest): Promise<HttpReply> {
     const parsed = v.safeParse(submitBody, parseBody(request.body));
     if (!parsed.success)
@@ -148,7 +148,7 @@
     return { status: 200, body: (await this.request('list', { over })) as object };
   }
 
-  // --- what the expander answers
+  // --- requests that the expander answers
 
   private async request(what: string, args: Record<string, unknown>): Promise<unknown> {
     if (this.expander.active) return this.serve(what, args);
@@ -288,7 +288,7 @@
     return this.expander.applyAction(cluster, action, procs, String(args.reason));
   }
 
-  // --- processes as jobs
+  // --- checks and uploads of jobs
 
   private neverRunsReason(spec: JobSpec): string | null {
     const team = this.context.settings.teams.find((t) => t.name === spec.team);
@@ -302,7 +302,10 @@
     return null;
   }
 
-  /** Workers fetch the description of what they run, and whoever makes a job uploads it first. */
+  /**
+   * Uploads a job's description before the job is submitted, because workers fetch the description of what they
+   * run.
+   */
   private async upload(spec: JobSpec): Promise<void> {
     const { depot } = this.options;
     if (depot === null) return;
@@ -317,7 +320,7 @@
         );
         if (response.status === 200) return;
       } catch (error) {
-        this.context.log.debug({ job: spec.id, err: error }, 'description not uploaded');
+        this.context.log.debug({ job: spec.id, err: error }, 'job description could not be uploaded');
       }
       await pause(this.context.clock, 300);
     }
--- a/src/federation/lending.ts
+++ b/src/federation/lending.ts
@@ -1,41 +1,52 @@
-/** Jobs lent to partner clusters: who may run one, and whose answer counts. Pure functions; no I/O yet. */
+/**
+ * Lending of jobs to partner clusters: which cluster may run a job, and whose result counts. Pure functions; no
+ * I/O yet.
+ */
 
 /**
- * One job that may run at home or at a partner. Both clusters keep a durable record of it; every function here takes a
- * record as it is stored and says what is to be stored in its place, under the condition that it has not changed since,
- * before anything is sent, told or started. Times are of day, in milliseconds; each cluster's own is within `skewMs` of
- * the true one. docs/overflow.md has the argument why no task runs in two clusters and no answer changes.
+ * Time limits of lending. A job may run at its home cluster or at a partner, and both keep a durable record of
+ * it. Every function here takes a record as it is stored and returns the record that replaces it. The caller
+ * stores the new record on the condition that the old one has not changed since, and does so before it sends a
+ * message, reports a result or starts a task. Times are wall-clock milliseconds; the wall clock of each cluster
+ * is within `skewMs` of the true time. docs/overflow.md has the argument why no task runs in two clusters and
+ * no answer changes.
  */
 export interface LendingLimits {
-  /** How long a lease lasts from its grant or renewal. */
+  /** Duration of a lease from its grant or renewal. */
   leaseMs: number;
-  /** How far any cluster's time of day may be from the true one. */
+  /** Maximum deviation of any cluster's wall clock from the true time. */
   skewMs: number;
-  /** Within which a cluster surely stops a task: its machine is reached, or its lease there is over. */
+  /**
+   * Time within which a cluster is certain to stop a task: its machine is reached, or the task's lease there
+   * expires.
+   */
   stopMs: number;
 }
 
-/** How a job ended. */
+/** Outcome of a job. */
 export type Final = 'done' | 'cancelled';
 
-/** The record of the cluster that accepted the job. */
+/** Record kept by the home cluster, which accepted the job. */
 export interface HomeRecord {
-  /** Grows with each time that the job comes back: what is done under an earlier one counts no more. */
+  /** Incremented each time the job comes back; work done under an earlier epoch no longer counts. */
   epoch: number;
   lent: { partner: string; until: number } | null;
   final: Final | null;
 }
 
-/** The record of the cluster that it is lent to. */
+/** Record kept by the partner cluster, to which the job is lent. */
 export interface PartnerRecord {
   epoch: number;
-  /** The lease, in the home cluster's time of day. */
+  /** Expiry of the lease, by the wall clock of the home cluster. */
   until: number;
-  /** `returned`: never started, and never to be. `done`: all tasks are, and home is told until it acknowledges. */
+  /**
+   * `returned`: given back unstarted, or stopped by home; no task starts any more. `done`: all tasks are done,
+   * and home is notified until it acknowledges that.
+   */
   state: 'held' | 'started' | 'returned' | 'done';
 }
 
-/** What one side tells the other. */
+/** Messages between the two clusters. */
 export type LendingMessage =
   | { kind: 'lend'; epoch: number; until: number }
   | { kind: 'renew'; epoch: number }
@@ -46,7 +57,7 @@
   | { kind: 'done'; epoch: number }
   | { kind: 'acknowledged'; epoch: number };
 
-/** What to store, if anything changes, and what to say after that. */
+/** Result of a transition: the record to store, if it changes, and the message to send after that. */
 export interface Step<R> {
   record: R | null;
   say: LendingMessage | null;
@@ -55,22 +66,23 @@
 const UNCHANGED = { record: null, say: null } as const;
 
 /**
- * Whether settings hold together: without a word from the partner its tasks end with the lease, and that has to be within
- * the bound of a cancellation; and of the lease enough has to be left to run in, so that a late renewal stops nothing.
+ * Returns whether the settings are consistent. If the partner cannot be reached, its tasks end when the lease
+ * expires, which must be within the time bound of a cancellation. The usable part of the lease must also be
+ * long enough that a late renewal stops no task.
  */
 export function leaseFits(limits: LendingLimits, cancelMs: number): boolean {
   const usableMs = limits.leaseMs - limits.skewMs - limits.stopMs;
   return limits.leaseMs + 2 * limits.skewMs <= cancelMs && usableMs >= limits.stopMs / 2;
 }
 
-// --- home
+// --- home cluster
 
-/** Whether tasks of the job may start at home. */
+/** Returns whether tasks of the job may start in the home cluster. */
 export function mayRunHome(record: HomeRecord): boolean {
   return record.lent === null && record.final === null;
 }
 
-/** Lends a job none of whose tasks is, or may be, on a machine here. */
+/** Lends a job. The caller ensures that none of its tasks is, or may be, on a machine of this cluster. */
 export function lend(
   record: HomeRecord,
   partner: string,
@@ -85,7 +97,10 @@
   };
 }
 
-/** The partner asks for more time. It is stored before it is granted: whoever takes over here must know of it. */
+/**
+ * Handles the partner's request for a longer lease. The extension is stored before it is granted, because a
+ * node that takes over here must know of it.
+ */
 export function renew(
   record: HomeRecord,
   epoch: number,
@@ -94,38 +109,38 @@
 ): Step<HomeRecord> {
   if (!record.lent || record.final !== null || record.epoch !== epoch)
     return { record: null, say: { kind: 'stop', epoch } };
-  // A lease that may be over is not made longer: the partner has stopped, or is about to.
+  // A lease that may have expired is not extended: the partner has stopped the job, or is about to.
   if (now >= record.lent.until) return UNCHANGED;
   const until = Math.max(record.lent.until, now + limits.leaseMs);
   return { record: { ...record, lent: { ...record.lent, until } }, say: { kind: 'granted', epoch, until } };
 }
 
-/** Takes a job back whose lease is surely over, by whichever clock. */
+/** Takes a job back once its lease has expired by every clock within the allowed skew. */
 export function takeBack(record: HomeRecord, now: number, limits: LendingLimits): Step<HomeRecord> {
   if (!record.lent || record.final !== null || now <= record.lent.until + limits.skewMs) return UNCHANGED;
   return { record: { ...record, epoch: record.epoch + 1, lent: null }, say: null };
 }
 
-/** The partner has given the job back unstarted, for good. */
+/** Handles the partner's message that it has given the job back unstarted and will never start it. */
 export function takeReturned(record: HomeRecord, epoch: number): Step<HomeRecord> {
   if (!record.lent || record.final !== null || record.epoch !== epoch) return UNCHANGED;
   return { record: { ...record, epoch: record.epoch + 1, lent: null }, say: null };
 }
 
-/** The partner says that the job is done. Only what was done under this epoch counts. */
+/** Handles the partner's message that the job is done. Only work done under the current epoch counts. */
 export function takeDone(record: HomeRecord, epoch: number): Step<HomeRecord> {
   const say = { kind: 'acknowledged', epoch } as const;
-  // What comes again, or too late, is acknowledged as well: there is nothing to keep it for.
+  // A duplicate or late message is acknowledged as well: the partner has no reason to keep its record.
   if (!record.lent || record.final !== null || record.epoch !== epoch) return { record: null, say };
   return { record: { ...record, final: 'done' }, say };
 }
 
-/** All tasks are done here. */
+/** Records that all tasks are done in the home cluster. */
 export function doneHome(record: HomeRecord): Step<HomeRecord> {
   return mayRunHome(record) ? { record: { ...record, final: 'done' }, say: null } : UNCHANGED;
 }
 
-/** Its user cancels it, wherever it is. From then on no lease of it is renewed. */
+/** Cancels the job for its user, wherever it runs. Its leases are no longer renewed after that. */
 export function cancel(record: HomeRecord): Step<HomeRecord> {
   if (record.final !== null) return UNCHANGED;
   return {
@@ -134,9 +149,9 @@
   };
 }
 
-// --- partner
+// --- partner cluster
 
-/** Takes a job, unless its lease is nearly over or it was here under a later epoch. */
+/** Accepts a lent job, unless its lease is about to expire or the job was here under the same or a later epoch. */
 export function borrow(
   record: PartnerRecord | null,
   epoch: number,
@@ -153,35 +168,35 @@
   return now + limits.skewMs + limits.stopMs < until;
 }
 
-/** Home has made the lease longer. */
+/** Handles an extension of the lease by home. */
 export function extend(record: PartnerRecord, epoch: number, until: number): Step<PartnerRecord> {
   if (record.epoch !== epoch || until <= record.until || record.state === 'returned') return UNCHANGED;
   return { record: { ...record, until }, say: null };
 }
 
-/** Whether tasks may start here: they have to be stoppable before the lease is over by any clock. */
+/** Returns whether tasks may start here: it must be possible to stop them before the lease expires by any clock. */
 export function mayRunBorrowed(record: PartnerRecord, now: number, limits: LendingLimits): boolean {
   return record.state === 'started' && canStopBeforeExpiry(record.until, now, limits);
 }
 
-/** The first start is stored, so that a recall that comes with it is refused by whoever answers it. */
+/** Stores the first start, so that a concurrent recall is refused by any node that answers it. */
 export function start(record: PartnerRecord, now: number, limits: LendingLimits): Step<PartnerRecord> {
   if (record.state !== 'held' || !canStopBeforeExpiry(record.until, now, limits)) return UNCHANGED;
   return { record: { ...record, state: 'started' }, say: null };
 }
 
-/** Whether all tasks have to be stopped now, whatever has been heard from home. */
+/** Returns whether all tasks must be stopped now, regardless of messages from home. */
 export function mustStop(record: PartnerRecord, now: number, limits: LendingLimits): boolean {
   return !mayRunBorrowed(record, now, limits);
 }
 
-/** All tasks are done here. */
+/** Records that all tasks are done at the partner. */
 export function doneBorrowed(record: PartnerRecord): Step<PartnerRecord> {
   if (record.state !== 'started') return UNCHANGED;
   return { record: { ...record, state: 'done' }, say: { kind: 'done', epoch: record.epoch } };
 }
 
-/** Home would rather run it itself. */
+/** Handles a recall by home, which prefers to run the job itself; refused once the job has started here. */
 export function giveBack(record: PartnerRecord, epoch: number): Step<PartnerRecord> {
   if (record.epoch !== epoch) return UNCHANGED;
   if (record.state === 'returned') return { record: null, say: { kind: 'returned', epoch } };
@@ -189,7 +204,7 @@
   return { record: { ...record, state: 'returned' }, say: { kind: 'returned', epoch } };
 }
 
-/** Home wants nothing of it any more. What is done is kept until home has acknowledged it. */
+/** Handles a stop by home, which no longer wants the job. A completed job is kept until home has acknowledged it. */
 export function drop(record: PartnerRecord, epoch: number): Step<PartnerRecord> {
   if (record.epoch !== epoch || record.state === 'done') return UNCHANGED;
   return { record: { ...record, state: 'returned' }, say: null };
--- a/tests/classad/classad.test.ts
+++ b/tests/classad/classad.test.ts
@@ -14,9 +14,10 @@
   'Memory = 4096\nArch = "X86_64"\nImages = {"a", "B"}\nWants = TARGET.Owner == "ANN"\nBox = [ x = 1; y = x + 1 ]',
 );
 const NOW = 1_700_000_000;
-const says = (text: string) => printValue(evaluate(parseExpr(text), { my: MY, target: TARGET, now: NOW }));
+const printedValue = (text: string) =>
+  printValue(evaluate(parseExpr(text), { my: MY, target: TARGET, now: NOW }));
 
-test('expressions have the values that the language gives them', () => {
+test('evaluates expressions to the values that the ClassAd language defines', () => {
   const cases: Record<string, string> = {
     '1 + 2 * 3 - 4 / 3': '6',
     '7 / 2.0': '3.5',
@@ -72,12 +73,14 @@
     '!3 || -2': 'true',
     '1 < 2 ? "y" : "n"': '"y"',
   };
-  for (const [text, value] of Object.entries(cases)) assert.equal(says(text), value, text);
+  for (const [text, value] of Object.entries(cases)) assert.equal(printedValue(text), value, text);
 });
 
-test('the tables of three-valued logic hold', () => {
+test('follows the truth tables of three-valued logic', () => {
   const values = ['false', 'undefined', 'error', 'true'];
-  // By rows and columns in that order. What decides alone decides; an error goes before what is undefined.
+  // Rows (left operand) and columns (right operand) are in the order of `values`. An operand that decides the
+  // result alone does so on either side, except after an error on the left; an error takes precedence over
+  // undefined.
   const and = { false: 'FFFF', undefined: 'FUEU', error: 'EEEE', true: 'FUET' };
   const or = { false: 'FUET', undefined: 'UUET', error: 'EEEE', true: 'TTTT' };
   for (const [op, tables] of [
@@ -87,16 +90,18 @@
     for (const a of values)
       values.forEach((b, i) => {
         const want = tables[a as keyof typeof and][i];
-        assert.equal(says(`${a} ${op} ${b}`)[0]!.toUpperCase(), want, `${a} ${op} ${b}`);
+        assert.equal(printedValue(`${a} ${op} ${b}`)[0]!.toUpperCase(), want, `${a} ${op} ${b}`);
       });
   }
   for (const op of ['=?=', '=!='])
     for (const a of values)
-      for (const b of values) assert.equal(says(`${a} ${op} ${b}`), String((a === b) === (op === '=?=')));
+      for (const b of values)
+        assert.equal(printedValue(`${a} ${op} ${b}`), String((a === b) === (op === '=?=')));
 });
 
-/** Plain objects, as the parser makes them. */
-const rec = <T>(of: { [K in keyof T]: fc.Arbitrary<T[K]> }) => fc.record<T>(of, { noNullPrototype: true });
+/** Generates plain objects, like those that the parser creates. */
+const plainObject = <T>(of: { [K in keyof T]: fc.Arbitrary<T[K]> }) =>
+  fc.record<T>(of, { noNullPrototype: true });
 const name = fc.constantFrom('a', 'Memory', 'x9', 'Owner');
 const literal: fc.Arbitrary<Expr> = fc
   .oneof(
@@ -132,7 +137,7 @@
       },
       { noNullPrototype: true },
     ),
-    rec({
+    plainObject({
       node: fc.constant('if' as const),
       test: tie('expr'),
       consequent: fc.option(tie('expr'), { nil: null }),
@@ -142,7 +147,7 @@
       { node: fc.constant('list' as const), items: fc.array(tie('expr'), { maxLength: 3 }) },
       { noNullPrototype: true },
     ),
-    rec({
+    plainObject({
       node: fc.constant('call' as const),
       name: fc.constantFrom(
         'size',
@@ -162,7 +167,7 @@
       { node: fc.constant('index' as const), operand: tie('expr'), at: tie('expr') },
       { noNullPrototype: true },
     ),
-    rec({ node: fc.constant('select' as const), operand: tie('expr'), name }),
+    plainObject({ node: fc.constant('select' as const), operand: tie('expr'), name }),
     tie('ad'),
   ) as fc.Arbitrary<Expr>,
   ad: fc.dictionary(name, tie('expr') as fc.Arbitrary<Expr>, { maxKeys: 2 }).map((d) => {
@@ -173,7 +178,7 @@
 }));
 const RUNS = { seed: 17, numRuns: 600 };
 
-test('what is printed reads back as the same', () => {
+test('parses a printed expression to the same expression', () => {
   fc.assert(
     fc.property(expr, (e) => {
       const text = printExpr(e);
@@ -184,43 +189,46 @@
   );
 });
 
-test('evaluating never throws, and what one side says can be put in beforehand', () => {
+test('never throws during evaluation, and flattening with one ad preserves the value', () => {
   fc.assert(
     fc.property(expr, (e) => {
-      const around = { my: MY, target: TARGET, now: NOW };
-      const value = evaluate(e, around);
-      const early = evaluate(flatten(e, MY), around);
-      if (!(value instanceof ErrorValue || early instanceof ErrorValue) && !printExpr(e).includes('['))
-        assert.equal(printValue(early), printValue(value), printExpr(e));
+      const context = { my: MY, target: TARGET, now: NOW };
+      const value = evaluate(e, context);
+      const flattenedValue = evaluate(flatten(e, MY), context);
+      if (
+        !(value instanceof ErrorValue || flattenedValue instanceof ErrorValue) &&
+        !printExpr(e).includes('[')
+      )
+        assert.equal(printValue(flattenedValue), printValue(value), printExpr(e));
     }),
     RUNS,
   );
 });
 
-// Guards against a submission that holds a controller: each of these took seconds or all memory when nothing bounds it.
-test('hostile expressions end in an error, and soon', () => {
+// Guards against a submission that blocks a controller: without limits each of these took seconds or all memory.
+test('rejects hostile expressions quickly with an error', () => {
   const nested = (n: number) => `${'('.repeat(n)}1${')'.repeat(n)}`;
   assert.throws(() => parseExpr(nested(5000)), ClassAdError);
   assert.throws(() => parseExpr('-'.repeat(50_000)), ClassAdError);
   assert.throws(() => parseExpr('1?'.repeat(20_000)), ClassAdError);
   assert.throws(() => parseExpr(`"${'x'.repeat(70_000)}"`), ClassAdError);
-  assert.equal(says(nested(90)), '1');
+  assert.equal(printedValue(nested(90)), '1');
   const doubling = parseAd(
     `[ a0 = "xxxxxxxxxx"; ${Array.from({ length: 40 }, (_, i) => `a${i + 1} = strcat(a${i}, a${i})`).join('; ')} ]`,
   );
-  const around = { my: doubling };
-  assert.ok(evaluate(parseExpr('size(a40)'), around) instanceof ErrorValue);
+  const context = { my: doubling };
+  assert.ok(evaluate(parseExpr('size(a40)'), context) instanceof ErrorValue);
   assert.ok(
-    evaluate(parseExpr('regexp("(a+)+$", "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaab")'), around) === false,
+    evaluate(parseExpr('regexp("(a+)+$", "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaab")'), context) === false,
   );
   const wide = `{ ${Array.from({ length: 20_000 }, () => '1').join(', ')} }`;
-  assert.equal(says(`size(${wide})`), '20000');
+  assert.equal(printedValue(`size(${wide})`), '20000');
   const heavy = parseAd(`[ l = ${wide}; t = ${Array.from({ length: 30 }, () => 'sum(l)').join(' + ')} ]`);
   assert.ok(evaluate(parseExpr('t'), { my: heavy }) instanceof ErrorValue);
 });
 
-test('errors of reading say where and what was expected', () => {
-  const where = (text: string, read: (t: string) => unknown = parseExpr) => {
+test('reports line and column of syntax errors', () => {
+  const errorPosition = (text: string, read: (t: string) => unknown = parseExpr) => {
     try {
       read(text);
     } catch (error) {
@@ -229,16 +237,16 @@
     }
     return null;
   };
-  assert.deepEqual(where('1 + '), [1, 4]);
-  assert.deepEqual(where('(Memory > 3'), [1, 12]);
-  assert.deepEqual(where('a @ b'), [1, 3]);
-  assert.deepEqual(where('1 2'), [1, 3]);
-  assert.deepEqual(where('x = 1\ny = (2', parseAd), [2, 7]);
-  assert.deepEqual(where('x = 1\nwhat is this', parseAd), [2, 1]);
-  assert.equal(where('x = 1 // so\n# and so\n\ny = "\\"quoted\\""', parseAd), null);
+  assert.deepEqual(errorPosition('1 + '), [1, 4]);
+  assert.deepEqual(errorPosition('(Memory > 3'), [1, 12]);
+  assert.deepEqual(errorPosition('a @ b'), [1, 3]);
+  assert.deepEqual(errorPosition('1 2'), [1, 3]);
+  assert.deepEqual(errorPosition('x = 1\ny = (2', parseAd), [2, 7]);
+  assert.deepEqual(errorPosition('x = 1\nwhat is this', parseAd), [2, 1]);
+  assert.equal(errorPosition('x = 1 // so\n# and so\n\ny = "\\"quoted\\""', parseAd), null);
 });
 
-test('what is put in beforehand leaves only what is asked of the other side', () => {
+test('flattening leaves only the attributes of the target ad', () => {
   const e = parseExpr('(Memory >= RequestMemory) && (Owner == "ann") && (Arch == "X86_64" || Twice > 1e6)');
   assert.equal(printExpr(flatten(e, MY)), 'TARGET.Memory >= 2048 && TARGET.Arch == "X86_64"');
   assert.deepEqual([...targetAttributeNames(flatten(e, MY), MY)].sort(), ['arch', 'memory']);
--- a/tests/condor/beside.ts
+++ b/tests/condor/beside.ts
@@ -1,7 +1,7 @@
 /**
- * How long morning gangs wait to start on a cluster on this machine: alone; beside the expansion of a large cluster that
- * nothing matches, which is all that expansion itself costs; beside one of low priority that runs; and beside the same work
- * as one native array. In turns with the same seeds.
+ * Benchmark: start delay of morning gangs on a local cluster in four variants: alone; during the expansion of a
+ * large cluster that matches no machine, which shows the cost of expansion itself; next to a running cluster of
+ * low priority; and next to the same work as one native array. The variants take turns with the same seeds.
  *
  *     node target/check/tests/condor/beside.js [RUNS] [PROCESSES]
  */
@@ -42,7 +42,8 @@
   const platform = loadPlatform('builtin');
   platform.spot.per_hour = 0;
   platform.boot_fail = 0;
-  // Boots would hide all else: the processes keep machines up that stand idle and go when there are only gangs.
+  // Long boot times would hide all other effects: the processes keep machines up that, with gangs alone, are
+  // idle and returned.
   for (const t of platform.machine_types) t.boot_s = 2;
   for (const c of platform.capacity) Object.assign(c, { up: Math.min(c.count, 4) });
   const data = mkdtempSync(join(tmpdir(), 'spartray-beside-'));
@@ -78,7 +79,7 @@
   http.close();
   await cluster.stop();
   rmSync(data, { recursive: true, force: true });
-  // The processes are none of the load's jobs.
+  // Jobs of the submitted cluster are not part of the load's own jobs.
   const violations = result.violations.filter((x) => !/^wk-(condor-|beside)/.test(x.what));
   if (violations.length > 0) throw new Error(JSON.stringify(violations[0]));
   const accepted =
--- a/tests/condor/check.ts
+++ b/tests/condor/check.ts
@@ -1,6 +1,7 @@
 /**
- * Replays the submit files of examples/condor on a cluster on this machine, and the same jobs submitted natively on
- * another like it, and compares where and in which order they start. Not part of the tests: it takes real time.
+ * Replays the submit files of examples/condor on a local cluster and the same jobs, submitted natively, on a
+ * second one, and compares where and in which order they start. Not part of the tests, because it runs in real
+ * time.
  *
  *     npm run check:condor [-- FILE...]
  */
@@ -25,7 +26,10 @@
 const SPEED = 20;
 const DIR = 'examples/condor';
 const JOB_TIMEOUT_S = 400;
-/** Starts closer than this count as at the same time: orders go with answers to reports, which come every 3 s. */
+/**
+ * Starts closer than this count as simultaneous: start orders travel in answers to reports, which come every 3
+ * s.
+ */
 const SIMULTANEOUS_MS = 4000;
 const MAX_CONCURRENT_CHECKS = 3;
 
@@ -34,7 +38,10 @@
   at: number;
 }
 
-/** All machines are up from the start and nothing is drawn that would tell two runs apart. */
+/**
+ * Returns a platform whose machines are all up from the start, without random events that would make runs
+ * differ.
+ */
 function platform() {
   const p = loadPlatform('builtin');
   for (const c of p.capacity)
@@ -90,7 +97,10 @@
   }
 }
 
-/** The same job in the words of a submission; null when types and a zone do not say what it asks. */
+/**
+ * Expresses the job without match expressions; null when machine types and a zone cannot express its
+ * requirements.
+ */
 function toNativeSpec(spec: JobSpec): JobSpec | null {
   const { match, ...job } = spec;
   if (!match) return job;
@@ -112,7 +122,7 @@
   return { ...job, types, zone, spot: job.spot && spot };
 }
 
-/** Order of starts, those at the same time in order of their numbers. */
+/** Returns the processes grouped by start time, in order; simultaneous starts are one group. */
 function order(ids: string[], placements: Map<string, Placement[]>): number[][] {
   const at = ids.map((id, i) => ({ i, at: placements.get(id)?.[0]?.at ?? Number.POSITIVE_INFINITY }));
   at.sort((a, b) => a.at - b.at);
@@ -128,7 +138,10 @@
   return groups;
 }
 
-/** Whether no process starts in one run clearly before another that it starts clearly after in the other run. */
+/**
+ * Returns whether no two processes start clearly in one order in one run and clearly in the opposite order in
+ * the other.
+ */
 function sameOrder(a: number[][], b: number[][]): boolean {
   const rank = new Map(b.flatMap((g, r) => g.map((i) => [i, r] as const)));
   for (const [r, group] of a.entries())
@@ -150,7 +163,7 @@
     const made = await new CondorClient(client).submit(text, rows, 'check');
     if (made.procs !== plan.total || made.cluster !== 1)
       throw new Error(`cluster ${made.cluster} of ${made.procs}`);
-    // They become jobs one after the other.
+    // The processes become jobs one after the other.
     while ((await Promise.all(ids.map((id) => client.status(id)))).includes(null))
       await pause(systemClock, 50);
     return ids;
@@ -167,7 +180,7 @@
     }
     const kinds = [...new Set([...condor.values()].flat().map((p) => p.kind))].sort().join(', ');
     return [
-      `not sayable natively: ${match.requirements}${match.rank === null ? '' : ` rank ${match.rank}`}; started on ${kinds}`,
+      `cannot be expressed natively: ${match.requirements}${match.rank === null ? '' : ` rank ${match.rank}`}; started on ${kinds}`,
     ];
   }
   const nativePlacements = await runOnCluster(port, async (_, client) => {
--- a/tests/condor/condor.test.ts
+++ b/tests/condor/condor.test.ts
@@ -30,7 +30,7 @@
   });
 };
 
-test('a submit file makes the processes that it says', () => {
+test('expands a submit file into the processes that it describes', () => {
   assert.deepEqual(args(`${HEAD}arguments = $(Cluster).$(Process) $(x:none)\nqueue 2\nx = 5\nqueue`), [
     '7.0 none',
     '7.1 none',
@@ -66,7 +66,7 @@
   assert.deepEqual(asks!.match, { requirements: 'TARGET.Memory >= 2048', rank: 'TARGET.Cpus * 2' });
 });
 
-test('what is wrong in a submit file is said by line and column, and nothing of it is made', () => {
+test('reports errors in a submit file by line and column, and creates no process of it', () => {
   const invalidFiles: [string, number, number, RegExp][] = [
     ['executable = a\nqueue 2 x', 2, 1, /"in", "from" or "matching"/],
     ['executable = a', 1, 1, /"queue" was expected/],
@@ -101,18 +101,19 @@
       },
     );
   }
-  const grown = `${HEAD}a0 = xxxxxxxxxx\n${Array.from({ length: 30 }, (_, i) => `a${i + 1} = $(a${i})$(a${i})`).join('\n')}\narguments = $(a30)\nqueue`;
-  assert.throws(() => plan(grown).check(), /too much text/);
-  const kept = plan(`${HEAD}log = x\noutput = y\nfroboz = 1\ncount = 2\nqueue $(count)`);
+  const doubling = `${HEAD}a0 = xxxxxxxxxx\n${Array.from({ length: 30 }, (_, i) => `a${i + 1} = $(a${i})$(a${i})`).join('\n')}\narguments = $(a30)\nqueue`;
+  assert.throws(() => plan(doubling).check(), /too much text/);
+  const planWithWarnings = plan(`${HEAD}log = x\noutput = y\nfroboz = 1\ncount = 2\nqueue $(count)`);
   assert.deepEqual(
-    kept.warnings.map((w) => w.split(' ').slice(0, 3).join(' ')),
+    planWithWarnings.warnings.map((w) => w.split(' ').slice(0, 3).join(' ')),
     ['line 3: log', 'line 4: output', 'line 5: froboz'],
   );
   assert.equal(rowsOf(parseSubmit(`${HEAD}queue Item in (a,b , c)`)[0]!).length, 3);
 });
 
-// Guards against a reader that fails in a way of its own, which would be answered 503 and tried again for ever.
-test('whatever is cut off or changed in a submit file, it is read or refused with where', () => {
+// Guards against a parser that throws another error than SubmitError: it would be answered with 503 and retried
+// forever.
+test('accepts a truncated or altered submit file or rejects it with a position', () => {
   const files = readdirSync('examples/condor').filter((f) => f.endsWith('.sub'));
   assert.ok(files.length >= 20);
   let refused = 0;
@@ -130,7 +131,7 @@
     for (let cut = 0; cut < text.length; cut += 13) read(text.slice(0, cut));
   }
   const texts = files.map((f) => readFileSync(`examples/condor/${f}`, 'utf8'));
-  const pieces = [
+  const fragments = [
     '(',
     ')',
     '$(',
@@ -153,10 +154,10 @@
       fc.constantFrom(...texts),
       fc.nat(),
       fc.nat(40),
-      fc.constantFrom(...pieces),
-      (text, at, gone, put) => {
+      fc.constantFrom(...fragments),
+      (text, at, removedLength, inserted) => {
         const from = at % text.length;
-        read(text.slice(0, from) + put + text.slice(from + gone));
+        read(text.slice(0, from) + inserted + text.slice(from + removedLength));
       },
     ),
     { seed: 23, numRuns: 800 },
@@ -164,7 +165,7 @@
   assert.ok(refused > 100);
 });
 
-function machineMarket() {
+function catalogWithMatcher() {
   const names = new NameTables();
   const catalog = new MachineTypeCatalog(names);
   const type = (name: string, cpus: number, memoryGb: number, zones: string[]) => ({
@@ -184,8 +185,8 @@
   return { names, catalog, type, matcher: new ClassAdMatcher(names, catalog) };
 }
 
-test('a requirement is asked once of each kind and of each machine as it stands, and holds for types that come later', () => {
-  const { matcher, catalog, type } = machineMarket();
+test('evaluates a requirement once per kind and per state of a machine, and for types that are added later', () => {
+  const { matcher, catalog, type } = catalogWithMatcher();
   const match = matcher.compile({ requirements: 'Memory > 100000 && !Spot', rank: null });
   assert.equal(match.machine, null);
   for (let i = 0; i < 5; i++) {
@@ -207,19 +208,19 @@
       images: new Set(),
       running: cpus > 0 ? [{ team: 0, end: 1, need: { cpus, gpus: 0, memoryGb: 1 } }] : [],
     });
-  assert.equal(perMachine.kind(0, 0, false), true, 'only its machines can tell');
+  assert.equal(perMachine.kind(0, 0, false), true, 'the result depends on the single machine');
   const before = matcher.evaluationCount;
   for (let i = 0; i < 4; i++) {
     assert.equal(perMachine.machine!(machine('m-1', 0)), false);
     assert.equal(perMachine.machine!(machine('m-2', 0)), true);
   }
   assert.equal(matcher.evaluationCount, before + 2);
-  assert.equal(perMachine.machine!(machine('m-2', 4)), false, 'it is asked again when its load has changed');
+  assert.equal(perMachine.machine!(machine('m-2', 4)), false, 'evaluated again after its load has changed');
   assert.equal(perMachine.rank!(machine('m-2', 0)), 0);
 });
 
-test('rank decides between machines that are equally loaded, and only there', () => {
-  const { matcher } = machineMarket();
+test('uses rank to choose between equally loaded machines only', () => {
+  const { matcher } = catalogWithMatcher();
   const match = matcher.compile({ requirements: 'true', rank: 'Machine == "m-1"' });
   const asked = planJob({ need: { cpus: 2, gpus: 0, memoryGb: 1 }, match, imageGb: 1 });
   const place = (held: { team: number; end: number; need: typeof size }[]) => {
@@ -231,16 +232,16 @@
     p.reserve(asked);
     return p.reservations[0]!.machine;
   };
-  assert.equal(place([]), 1, 'both are empty: the preferred one');
+  assert.equal(place([]), 1, 'both are empty: the machine with the higher rank');
   assert.equal(
     place([{ team: 0, end: 100, need: { ...size, cpus: 4 } }]),
     0,
-    'the more loaded one, preferred or not',
+    'the more loaded machine, whatever its rank',
   );
 });
 
-test('what no kind matches is said clause by clause', () => {
-  const { catalog } = machineMarket();
+test('explains clause by clause why no kind matches', () => {
+  const { catalog } = catalogWithMatcher();
   const offers = catalog
     .all()
     .flatMap(([, t]) =>
@@ -258,15 +259,15 @@
   assert.equal(analyze(parseExpr('Cpus > 8'), my, offers).reason, null);
 });
 
-// --- clusters on scripted peers
+// --- clusters of submit files on simulated controllers and workers
 
 for (const first of [0, 1, 2]) {
-  test(`an expander killed at durable steps (${first} of 3 in turn) neither loses nor doubles a process`, async () => {
+  test(`neither loses nor duplicates a process when the expander is killed at durable steps (${first} of 3 in turn)`, async () => {
     assert.ok((await expandThroughCrashes(150, 3 * 5 + 1, first * 5 + 1, 12)) > 2);
   });
 }
 
-test('a submission that is repeated gets the same cluster, and numbers are not used again after all restarted', async () => {
+test('gives a repeated submission the same cluster, and reuses no number after all controllers restart', async () => {
   const cluster = condorCluster(['n0', 'n1']);
   const numbers = [];
   for (const n of [1, 1, 2])
@@ -284,7 +285,7 @@
   );
 });
 
-test('bad files are refused whole, with where it is wrong', async () => {
+test('rejects an invalid submit file as a whole, with the position of the error', async () => {
   const cluster = condorCluster(['n0']);
   const send = async (body: object) =>
     (await ask(cluster, 'n0', 'POST', '/condor/clusters', body)) as {
@@ -295,15 +296,16 @@
   const nested = await send(submission(`requirements = ${'{'.repeat(500)}\nqueue`));
   assert.deepEqual([nested.status, nested.body.line], [400, 3]);
   assert.equal((await send(submission('requirements = "open\nqueue'))).body.line, 3);
-  // The last process of many is wrong as well as the first.
+  // The last process of a queue statement is checked as well as the first.
   assert.equal((await send(submission('request_cpus = 5 - ProcId\nqueue 10'))).status, 400);
   assert.equal((await send({ ...submission('queue x from list'), rows: {} })).status, 400);
   assert.equal([...cluster.state.items.keys()].filter((k) => k.startsWith('condor/')).length, 0);
 });
 
-test('what matches nothing waits with its reason, starts when a type comes that does, and natives beside it run', async () => {
+test('keeps unmatched processes waiting with a reason, starts them once a matching type is added, and runs native jobs beside them', async () => {
   const cluster = condorCluster(['n0']);
-  // More of them than a shard tells the leader of, and than its team is guaranteed: neither stands in a native job's way.
+  // More processes than a shard reports to the leader and than the team is guaranteed: neither may delay a
+  // native job.
   await ask(
     cluster,
     'n0',
@@ -329,7 +331,7 @@
   assert.ok(await cluster.clock.until(() => cluster.workers.at(-1)!.on('wk-condor-1-1/0'), 60_000));
 });
 
-test('hold stops what runs and release starts it anew; a cluster removed while it is expanded leaves nothing', async () => {
+test('hold stops running tasks, release restarts them, and a cluster removed during expansion leaves nothing behind', async () => {
   const cluster = condorCluster(['n0', 'n1']);
   await ask(
     cluster,
@@ -350,7 +352,7 @@
       (p: { state: string }) => p.state,
     );
   assert.equal((await states())[0], 'held');
-  // Whoever expands next knows of it.
+  // The next expander knows that the process is held.
   cluster.killNode('n0');
   cluster.startNode('n0');
   await cluster.clock.advance(20_000);
@@ -387,7 +389,7 @@
   );
 });
 
-test('no submit file is taken while one controller does not serve them', async () => {
+test('rejects submit files while one controller does not serve them', async () => {
   const cluster = new FakeCluster(['n0', 'n1']);
   cluster.condor = true;
   cluster.startNode('n0');
@@ -399,9 +401,9 @@
   assert.deepEqual([reply.status, reply.headers?.['Retry-After']], [503, '1']);
 });
 
-test('periodic expressions hold, release and remove, and no more processes become jobs than their owner asks for', async () => {
+test('applies periodic hold, release and remove, and respects the owner limits on materialized processes', async () => {
   const cluster = condorCluster(['n0'], 1);
-  // A machine with nothing on it would be given back.
+  // A machine without tasks would be returned to the cloud.
   assert.ok(await cluster.submit('n0', job('wk-keeps', { shape: 'standing', cpus: 1 })));
   const idle = '(JobStatus == 1) && (CurrentTime - QDate > 30)';
   const never = 'requirements = Memory > 60000\n';
--- a/tests/condor/crashes.ts
+++ b/tests/condor/crashes.ts
@@ -1,6 +1,6 @@
 /**
- * Expands 5,000 processes while whoever expands, or owns what they become, is killed at durable steps, on a fake clock.
- * Not part of the tests for its length.
+ * Expands 5,000 processes on a fake clock, while the expander, or the owner of the jobs, is killed at durable
+ * steps. Not part of the tests, because it takes long.
  *
  *     node target/check/tests/condor/crashes.js [PROCESSES]
  */
--- a/tests/condor/matching.ts
+++ b/tests/condor/matching.ts
@@ -1,5 +1,6 @@
 /**
- * How fast match expressions are asked, how that grows, and what a plan of native jobs pays for them.
+ * Benchmark: rate of evaluation of match expressions, its growth with the number of machines, and the cost of match
+ * expressions in a plan compared with native jobs.
  *
  *     node target/check/tests/condor/matching.js
  */
@@ -64,7 +65,8 @@
   };
   const first = measurePass();
   const again = measurePass();
-  if (first.yes !== again.yes || first.yes === 0) throw new Error('the same question, another answer');
+  if (first.yes !== again.yes || first.yes === 0)
+    throw new Error('the same expression gave a different result');
   return { first: first.rate, again: again.rate };
 }
 
@@ -85,7 +87,7 @@
     );
   }
 
-/** The median time of a plan of 400 jobs on 1,000 machines. */
+/** Returns the median time, in milliseconds, of a plan of 400 jobs on 1,000 machines. */
 function planMs(match: (i: number) => Match | null): number {
   const registry = machines(1000);
   const times = Array.from({ length: 15 }, () => {
@@ -119,8 +121,8 @@
 }
 const matcher = new ClassAdMatcher(names, catalog);
 const native = planMs(() => null);
-const kinds = planMs((i) => matcher.compile({ requirements: kindText(i), rank: null }));
-const singles = planMs((i) => matcher.compile({ requirements: machineText(i), rank: null }));
+const byKind = planMs((i) => matcher.compile({ requirements: kindText(i), rank: null }));
+const byMachine = planMs((i) => matcher.compile({ requirements: machineText(i), rank: null }));
 console.log(
-  `a plan of 400 jobs on 1,000 machines: native ${native.toFixed(1)} ms, by kind ${(kinds / native).toFixed(2)} times, by machine ${(singles / native).toFixed(2)} times`,
+  `a plan of 400 jobs on 1,000 machines: native ${native.toFixed(1)} ms, by kind ${(byKind / native).toFixed(2)} times, by machine ${(byMachine / native).toFixed(2)} times`,
 );
