--- a/src/classad/ast.ts
+++ b/src/classad/ast.ts
@@ -30,7 +30,7 @@
 /** A value that has a literal form: any value but lists and ads. */
 export type Literal = Undefined | ErrorValue | boolean | bigint | number | string;
 
-/** Scope of an attribute reference: this ad, the target ad, or (null) the first of them that has the attribute. */
+/** Scope of an attribute reference: this ad, the target ad, or (null) the first ad that has the attribute. */
 export type Scope = 'my' | 'target' | null;
 
 /** Unary operators. */
--- a/src/classad/evaluate.ts
+++ b/src/classad/evaluate.ts
@@ -255,8 +255,8 @@
 };
 
 /**
- * Compares two values: -1, 0 or 1; NaN when an operand is NaN, so that no comparison holds; null when the
- * values are not comparable. Strings are compared case-insensitively.
+ * Compares two values: -1, 0 or 1; NaN when an operand is NaN, so that only `!=` holds; null when the values
+ * are not comparable. Strings are compared case-insensitively.
  */
 export function compareValues(left: Value, right: Value): number | null {
   if (typeof left === 'string' && typeof right === 'string') {
--- a/src/condor/expander.ts
+++ b/src/condor/expander.ts
@@ -85,7 +85,7 @@
     );
   }
 
-  private get now(): number {
+  private get wallSeconds(): number {
     return this.clock.wall() / 1000;
   }
 
@@ -121,7 +121,7 @@
     const all = await this.records.all();
     for (const stored of all) {
       if (stored.record.state === 'over' || this.clusters.has(stored.number)) continue;
-      const cluster = await this.load(stored);
+      const cluster = await this.loadCluster(stored);
       if (this.term !== term || !cluster) continue;
       this.clusters.set(stored.number, cluster);
       this.log.info(
@@ -132,7 +132,7 @@
     this.lastDiscoveryAt = this.clock.now();
   }
 
-  private async load(stored: StoredCluster): Promise<Cluster | null> {
+  private async loadCluster(stored: StoredCluster): Promise<Cluster | null> {
     const plan = new ClusterPlan(await this.records.submission(stored.record), this.options);
     const { exceptions, versions } = await this.records.exceptions(stored.number);
     return new Cluster(stored.number, stored.record, stored.version, plan, exceptions, versions);
@@ -163,12 +163,12 @@
   private allowance(cluster: Cluster): number {
     if (cluster.cursor >= cluster.record.total && cluster.pendingRestarts.size === 0) return 0;
     const unlisted = Math.max(0, cluster.cursor - cluster.listedCursor);
-    const room = this.limitOf(cluster) - cluster.jobs.size - unlisted;
+    const headroom = this.limitOf(cluster) - cluster.jobs.size - unlisted;
     const maxIdle = this.ownerLimit(cluster, 'JobMaterializeMaxIdle');
-    if (maxIdle === null) return room;
+    if (maxIdle === null) return headroom;
     let idle = unlisted;
     for (const j of cluster.jobs.values()) if (j.running === 0) idle++;
-    return Math.min(room, maxIdle - idle);
+    return Math.min(headroom, maxIdle - idle);
   }
 
   private limitOf(cluster: Cluster): number {
@@ -185,7 +185,7 @@
   }
 
   /**
-   * Returns whether a cluster is active, so not being removed, and this copy of its state is still the current
+   * Returns whether a cluster is active (not being removed) and this copy of its state is still the current
    * one.
    */
   private isExpandable(cluster: Cluster): boolean {
@@ -206,8 +206,8 @@
     if (cluster.cursor >= cluster.record.upTo && !(await this.extendWindow(cluster))) return 0;
     const procs = [];
     for (let n = cluster.cursor; n < cluster.record.upTo && procs.length < maxSteps; n++) procs.push(n);
-    // The cursor advances only when the whole step has succeeded, so that it never passes a process not known
-    // to be a job.
+    // The cursor advances only when the whole step has succeeded, so that it never passes a process whose
+    // submission has failed or whose outcome is unknown.
     await Promise.all(procs.filter((n) => cluster.shouldBecomeJob(n)).map((n) => this.submit(cluster, n)));
     cluster.cursor += procs.length;
     return procs.length;
@@ -279,7 +279,7 @@
     await this.cancelPending(cluster);
     const cursor = cluster.cursor;
     if (this.clock.now() - cluster.listedAt >= LIST_INTERVAL_MS) {
-      const jobs = await this.list(cluster.number);
+      const jobs = await this.listJobs(cluster.number);
       cluster.jobs = new Map(jobs.map((j) => [j.id, j]));
       cluster.listedCursor = cursor;
       cluster.listedAt = this.clock.now();
@@ -292,11 +292,11 @@
     }
     if (this.clock.now() - cluster.checkedAt >= PERIODIC_INTERVAL_MS) {
       cluster.checkedAt = this.clock.now();
-      await this.periodic(cluster);
+      await this.applyPeriodicExpressions(cluster);
     }
   }
 
-  private async list(n: number): Promise<ListedJob[]> {
+  private async listJobs(n: number): Promise<ListedJob[]> {
     const all: ListedJob[] = [];
     for (let after = ''; ; ) {
       const { jobs, more } = await this.node.list(jobIdPrefix(n), after);
@@ -354,7 +354,7 @@
       });
   }
 
-  private async periodic(cluster: Cluster): Promise<void> {
+  private async applyPeriodicExpressions(cluster: Cluster): Promise<void> {
     const { ad } = cluster.proc(0);
     const periodicActions: [string, ProcAction, ProcState[]][] = [
       ['PeriodicRemove', 'remove', ['idle', 'running', 'held']],
@@ -365,7 +365,7 @@
       if (!ad.has(attribute)) continue;
       const procs = await this.filterProcs(
         cluster,
-        (n) => states.includes(cluster.state(n)) && cluster.attributeIsTrue(n, attribute, this.now),
+        (n) => states.includes(cluster.state(n)) && cluster.attributeIsTrue(n, attribute, this.wallSeconds),
       );
       const reason = evaluate({ node: 'name', scope: 'my', name: `${attribute}Reason` }, { my: ad });
       const why = typeof reason === 'string' ? reason : `${attribute} is true`;
@@ -387,7 +387,7 @@
   procsMatching(cluster: Cluster, constraint: Expr | null): Promise<number[]> {
     return this.filterProcs(cluster, (n) => {
       if (constraint === null) return true;
-      return evaluate(constraint, { my: cluster.adOf(n, this.now), now: this.now }) === true;
+      return evaluate(constraint, { my: cluster.adOf(n, this.wallSeconds), now: this.wallSeconds }) === true;
     });
   }
 
--- a/src/condor/language.ts
+++ b/src/condor/language.ts
@@ -38,7 +38,7 @@
       1,
       1,
     );
-  return new SubmitFileParser(text).read();
+  return new SubmitFileParser(text).parse();
 }
 
 /** Returns the selected items of a queue statement, one a row; its files must have been read. */
@@ -48,12 +48,12 @@
   if (items.rows === null) throw new SubmitError('its items have not been read', queue.line, queue.column);
   const rows = items.rows;
   if (!queue.slice) return rows;
-  const resolveIndex = (n: number | null, otherwise: number) =>
-    n === null ? otherwise : n < 0 ? Math.max(0, rows.length + n) : Math.min(rows.length, n);
-  const out: string[] = [];
+  const resolveIndex = (n: number | null, fallback: number) =>
+    n === null ? fallback : n < 0 ? Math.max(0, rows.length + n) : Math.min(rows.length, n);
+  const selected: string[] = [];
   const to = resolveIndex(queue.slice.to, rows.length);
-  for (let i = resolveIndex(queue.slice.from, 0); i < to; i += queue.slice.step) out.push(rows[i]!);
-  return out;
+  for (let i = resolveIndex(queue.slice.from, 0); i < to; i += queue.slice.step) selected.push(rows[i]!);
+  return selected;
 }
 
 /** Splits one row into the variables of its queue statement; the last variable takes the rest of the row. */
@@ -84,8 +84,8 @@
       throw new SubmitError(`more than ${LIMITS.lines} lines`, LIMITS.lines, 1);
   }
 
-  read(): Queue[] {
-    while (this.lineIndex < this.lines.length) this.statement();
+  parse(): Queue[] {
+    while (this.lineIndex < this.lines.length) this.parseStatement();
     const open = this.openConditionals.at(-1);
     if (open) throw new SubmitError('"if" without "endif"', open.line, 1);
     if (this.queues.length === 0)
@@ -97,7 +97,7 @@
     return this.openConditionals.every((conditional) => conditional.active);
   }
 
-  private statement(): void {
+  private parseStatement(): void {
     const line = this.lineIndex + 1;
     let text = this.lines[this.lineIndex++]!;
     if (/^\s*(#.*)?$/.test(text)) return;
@@ -110,7 +110,7 @@
       !isAssignment &&
       (keyword === 'if' || keyword === 'elif' || keyword === 'else' || keyword === 'endif')
     ) {
-      this.conditional(keyword, text, line, column);
+      this.parseConditional(keyword, text, line, column);
       return;
     }
     if (!this.isActive) return;
@@ -121,10 +121,10 @@
         line,
         column,
       );
-    else this.assign(text, line, column);
+    else this.parseAssignment(text, line, column);
   }
 
-  private conditional(
+  private parseConditional(
     keyword: 'if' | 'elif' | 'else' | 'endif',
     text: string,
     line: number,
@@ -134,7 +134,7 @@
     if (keyword === 'if') {
       if (this.openConditionals.length >= LIMITS.ifs)
         throw new SubmitError(`"if" nested deeper than ${LIMITS.ifs}`, line, column);
-      const active = this.isActive && this.condition(text, 'if', line);
+      const active = this.isActive && this.evaluateCondition(text, 'if', line);
       this.openConditionals.push({ active, taken: active, inElse: false, line });
       return;
     }
@@ -145,12 +145,13 @@
     }
     if (last.inElse) throw new SubmitError(`"${keyword}" after "else"`, line, column);
     const outerActive = this.openConditionals.slice(0, -1).every((conditional) => conditional.active);
-    last.active = outerActive && !last.taken && (keyword === 'else' || this.condition(text, keyword, line));
+    last.active =
+      outerActive && !last.taken && (keyword === 'else' || this.evaluateCondition(text, keyword, line));
     last.taken ||= last.active;
     last.inElse = keyword === 'else';
   }
 
-  private condition(text: string, keyword: string, line: number): boolean {
+  private evaluateCondition(text: string, keyword: string, line: number): boolean {
     const from = text.toLowerCase().indexOf(keyword) + keyword.length;
     const column = from + 2;
     const raw = text.slice(from).trim();
@@ -184,7 +185,7 @@
     return holds === null ? fail() : holds !== negated;
   }
 
-  private assign(text: string, line: number, column: number): void {
+  private parseAssignment(text: string, line: number, column: number): void {
     const match = /^(\s*)(\+?|MY\.)([A-Za-z_][\w.]*)(\s*)(@?=)(\s*)(.*)$/i.exec(text);
     if (!match) throw new SubmitError('"name = value", "queue" or "if" was expected', line, column);
     const isAttribute = match[2] !== '' || /^my\./i.test(match[3]!);
--- a/src/condor/matcher.ts
+++ b/src/condor/matcher.ts
@@ -47,8 +47,8 @@
 /** Compiles match expressions; the same text is compiled once, and evaluated once for each kind of machine. */
 export class ClassAdMatcher implements MatchCompiler {
   private readonly compiled = new Map<string, Match>();
-  private readonly kinds = new Map<number, Ad>();
-  private version = -1;
+  private readonly kindAds = new Map<number, Ad>();
+  private kindAdsVersion = -1;
   /** Number of evaluations so far. */
   evaluationCount = 0;
 
@@ -131,15 +131,15 @@
   }
 
   private kindAdOf(type: number, zone: number, spot: boolean): Ad | null {
-    if (this.version !== this.catalog.version) this.kinds.clear();
-    this.version = this.catalog.version;
+    if (this.kindAdsVersion !== this.catalog.version) this.kindAds.clear();
+    this.kindAdsVersion = this.catalog.version;
     const key = kindKey(type, zone, spot);
-    const known = this.kinds.get(key);
+    const known = this.kindAds.get(key);
     if (known) return known;
     const machineType = this.catalog.get(type);
     if (!machineType) return null;
     const ad = kindAd(machineType, this.names.zones.name(zone), spot);
-    this.kinds.set(key, ad);
+    this.kindAds.set(key, ad);
     return ad;
   }
 
--- a/src/condor/procs.ts
+++ b/src/condor/procs.ts
@@ -56,7 +56,7 @@
     queues.forEach((queue, i) => {
       const rows = submission.rows[i];
       if (rows && queue.items.kind !== 'none' && queue.items.kind !== 'in') queue.items.rows ??= rows;
-      const count = this.count(queue);
+      const count = this.countProcesses(queue);
       const list = rowsOf(queue);
       this.queues.push({ queue, count, rows: list, firstProc: total });
       total += count * list.length;
@@ -118,7 +118,7 @@
     return builder.build(cluster, n, this.submission, this.options);
   }
 
-  private count({ count, line, column }: Queue): number {
+  private countProcesses({ count, line, column }: Queue): number {
     const value = evaluate(this.parse(count, line, column), { my: new Ad() });
     const n = Number(asNumber(value) ?? Number.NaN);
     if (!Number.isInteger(n) || n < 0)
@@ -199,19 +199,19 @@
     for (const key of this.queue.settings.keys()) this.setAttribute(ad, key);
     this.applyDefaults(ad);
     const spec = this.buildSpec(ad, options);
-    const never = options.neverRunsReason(spec);
-    if (never !== null) throw new SubmitError(never, this.queue.line, this.queue.column);
+    const reason = options.neverRunsReason(spec);
+    if (reason !== null) throw new SubmitError(reason, this.queue.line, this.queue.column);
     const held = this.booleanAttribute(ad, 'SubmitOnHold');
     return { ad, spec, held };
   }
 
-  private setting(key: string): { value: string; definition: Setting } | null {
+  private expandedSetting(key: string): { value: string; definition: Setting } | null {
     const definition = this.queue.settings.get(key);
     return definition ? { value: this.macros.get(key) ?? '', definition } : null;
   }
 
   private setAttribute(ad: Ad, key: string): void {
-    const setting = this.setting(key)!;
+    const setting = this.expandedSetting(key)!;
     const { line, column, name } = setting.definition;
     if (key.startsWith('+')) {
       ad.set(name.slice(1), this.parseAttribute(setting.value, line, column));
@@ -221,8 +221,10 @@
     if (!command) return;
     if (command.use === 'refused') throw new SubmitError(`${name} is not served: ${command.why}`, line, 1);
     if (setting.value === '') return;
-    if (key === 'request_memory') ad.set(command.attribute, this.quantity(setting.value, line, column, 1));
-    else if (key === 'request_disk') ad.set(command.attribute, this.quantity(setting.value, line, column, 0));
+    if (key === 'request_memory')
+      ad.set(command.attribute, this.parseQuantity(setting.value, line, column, 1));
+    else if (key === 'request_disk')
+      ad.set(command.attribute, this.parseQuantity(setting.value, line, column, 0));
     else if (EXPRESSION_COMMANDS.has(key))
       ad.set(command.attribute, this.parseAttribute(setting.value, line, column));
     else ad.setValue(command.attribute, setting.value.replace(/^"(.*)"$/s, '$1'));
@@ -233,7 +235,7 @@
   }
 
   /** Parses `2GB`, `512 M`, `1.5T` or an expression; the result is in KiB if `unit` is 0 and in MiB if it is 1. */
-  private quantity(text: string, line: number, column: number, unit: number): Expr {
+  private parseQuantity(text: string, line: number, column: number, unit: number): Expr {
     const match = /^(\d+(?:\.\d*)?|\.\d+)\s*([KMGT])(?:i?B)?$/i.exec(text.trim());
     if (!match) return this.parseAttribute(text, line, column);
     const power = 'KMGT'.indexOf(match[2]!.toUpperCase()) - unit;
@@ -241,7 +243,7 @@
   }
 
   private applyDefaults(ad: Ad): void {
-    const universe = this.setting('universe')?.value.toLowerCase() ?? 'vanilla';
+    const universe = this.expandedSetting('universe')?.value.toLowerCase() ?? 'vanilla';
     ad.setValue('JobUniverse', BigInt(UNIVERSES[universe] ?? 5));
     const missing: [string, bigint][] = [
       ['RequestCpus', 1n],
--- a/src/condor/service.ts
+++ b/src/condor/service.ts
@@ -112,7 +112,7 @@
       if (request.method !== 'GET') return wrongMethod('GET');
       const from = Number(request.query.get('from') ?? 0);
       if (!Number.isInteger(from) || from < 0) return bad('from: a process number was expected');
-      return { status: 200, body: (await this.request(what, { cluster, from })) as object };
+      return { status: 200, body: (await this.requestExpander(what, { cluster, from })) as object };
     }
     if (request.method !== 'POST') return wrongMethod('POST');
     const parsed = v.safeParse(actBody, parseBody(request.body) ?? {});
@@ -121,10 +121,10 @@
     const { procs, constraint, reason } = parsed.output;
     if (constraint != null) parseExpr(constraint);
     const args = { cluster, act: what, procs: procs ?? null, constraint: constraint ?? null, reason };
-    return { status: 200, body: (await this.request('act', args)) as object };
+    return { status: 200, body: (await this.requestExpander('act', args)) as object };
   }
 
-  /** Checks the whole submission first, then stores the cluster durably, and answers after that. */
+  /** Parses and checks the submission first, then stores the cluster durably, and answers after that. */
   private async submit(request: HttpRequest): Promise<HttpReply> {
     const parsed = v.safeParse(submitBody, parseBody(request.body));
     if (!parsed.success)
@@ -145,12 +145,12 @@
 
   private async list(request: HttpRequest): Promise<HttpReply> {
     const over = request.query.get('over') === '1';
-    return { status: 200, body: (await this.request('list', { over })) as object };
+    return { status: 200, body: (await this.requestExpander('list', { over })) as object };
   }
 
   // --- requests that the expander answers
 
-  private async request(what: string, args: Record<string, unknown>): Promise<unknown> {
+  private async requestExpander(what: string, args: Record<string, unknown>): Promise<unknown> {
     if (this.expander.active) return this.serve(what, args);
     const entry = this.node.membership.stateCache.entries.get(EXPANDER);
     const holder = entry && v.safeParse(v.object({ node: v.string() }), entry.value);
@@ -171,7 +171,7 @@
     const cluster = await this.findCluster(Number(args.cluster));
     if (what === 'show') return this.summary(cluster);
     if (what === 'analyze') return this.analyzeProc(cluster, Number(args.from));
-    if (what === 'procs') return this.page(cluster, Number(args.from));
+    if (what === 'procs') return this.procPage(cluster, Number(args.from));
     return { changed: await this.applyAction(cluster, args) };
   }
 
@@ -218,15 +218,15 @@
     return { clusters };
   }
 
-  private page(cluster: Cluster, from: number): object {
+  private procPage(cluster: Cluster, from: number): object {
     const procs: ProcView[] = [];
     const offers = this.offers();
     const to = Math.min(cluster.record.total, from + PAGE_SIZE);
-    for (let n = from; n < to; n++) procs.push(this.view(cluster, n, offers));
+    for (let n = from; n < to; n++) procs.push(this.procView(cluster, n, offers));
     return { procs, more: to < cluster.record.total };
   }
 
-  private view(cluster: Cluster, n: number, offers: readonly Offer[]): ProcView {
+  private procView(cluster: Cluster, n: number, offers: readonly Offer[]): ProcView {
     const { ad, spec } = cluster.proc(n);
     const state = cluster.state(n);
     const exception = cluster.exceptions.get(n);
