--- a/src/condor/analyze.ts
+++ b/src/condor/analyze.ts
@@ -2,7 +2,7 @@
 import { evaluate } from '../classad/evaluate.js';
 import { printExpr, printValue } from '../classad/print.js';
 
-/** A kind of machine that is offered. */
+/** A kind of machine on offer. */
 export interface Offer {
   type: string;
   zone: string;
@@ -10,57 +10,65 @@
   ad: Ad;
 }
 
-/** One clause of a process's requirements. */
+/** A clause of the requirements of a process. */
 export interface Clause {
   text: string;
-  /** How many kinds it alone holds for. */
+  /** Number of kinds that satisfy this clause on its own. */
   matches: number;
-  /** Where it is a comparison with an attribute that no kind satisfies: the nearest that there is, and of how many. */
+  /**
+   * If no kind satisfies a comparison with an attribute: the nearest value on offer, and the number of types
+   * with it.
+   */
   nearest?: string;
 }
 
-/** What the requirements of a process match. */
+/** Result of matching the requirements of a process against all kinds of machines. */
 export interface Analysis {
   /** Number of kinds of machines. */
   kinds: number;
-  /** Number of those that match all clauses. */
+  /** Number of kinds that match every clause. */
   matches: number;
   clauses: Clause[];
-  /** What keeps the process from starting, in one sentence; null when some kind matches. */
+  /** Why the process cannot start, in one sentence; null when some kind matches. */
   reason: string | null;
 }
 
-/** The parts of a requirement that must all hold. */
-function clausesOf(e: Expr): Expr[] {
-  return e.node === 'binary' && e.op === '&&' ? [...clausesOf(e.left), ...clausesOf(e.right)] : [e];
+/** Splits a requirement into the operands of its top-level `&&` operators. */
+function conjunctsOf(expr: Expr): Expr[] {
+  return expr.node === 'binary' && expr.op === '&&'
+    ? [...conjunctsOf(expr.left), ...conjunctsOf(expr.right)]
+    : [expr];
 }
 
-const TRUE = (e: Expr, my: Ad, offer: Offer) => evaluate(e, { my, target: offer.ad }) === true;
+const isSatisfied = (expr: Expr, my: Ad, offer: Offer) => evaluate(expr, { my, target: offer.ad }) === true;
 
-/** Which clauses of a requirement fail on which kinds. Requests that no kind is large enough for count as clauses. */
+/**
+ * Returns how many kinds match each clause of a requirement and all of them. The size requirements count as
+ * clauses too, so that a request that no kind is large enough for is reported.
+ */
 export function analyze(
   requirements: Expr,
   my: Ad,
   offers: readonly Offer[],
-  extra: readonly Expr[] = [],
+  sizeRequirements: readonly Expr[] = [],
 ): Analysis {
-  const parts = [...extra, ...clausesOf(requirements)];
-  const clauses = parts.map((e) => {
-    const matches = offers.filter((o) => TRUE(e, my, o)).length;
-    const nearest = matches === 0 ? nearestOf(e, my, offers) : null;
+  const conjuncts = [...sizeRequirements, ...conjunctsOf(requirements)];
+  const clauses = conjuncts.map((e) => {
+    const matches = offers.filter((o) => isSatisfied(e, my, o)).length;
+    const nearest = matches === 0 ? nearestValue(e, my, offers) : null;
     return { text: printExpr(e), matches, ...(nearest !== null && { nearest }) };
   });
-  const matches = offers.filter((o) => parts.every((e) => TRUE(e, my, o))).length;
+  const matches = offers.filter((o) => conjuncts.every((e) => isSatisfied(e, my, o))).length;
   return {
     kinds: offers.length,
     matches,
     clauses,
-    reason: matches > 0 ? null : reasonOf(parts, clauses, my, offers),
+    reason: matches > 0 ? null : reasonOf(conjuncts, clauses, my, offers),
   };
 }
 
 function reasonOf(
-  parts: readonly Expr[],
+  conjuncts: readonly Expr[],
   clauses: readonly Clause[],
   my: Ad,
   offers: readonly Offer[],
@@ -69,28 +77,37 @@
   const failing = clauses.filter((c) => c.matches === 0);
   if (failing.length === 0)
     return `every clause matches some kinds, but none of the ${offers.length} matches all: ${clauses.map((c) => `${c.text} ${c.matches}`).join('; ')}`;
-  const others = parts.filter((_, i) => clauses[i]!.matches > 0);
-  const rest = offers.filter((o) => others.every((e) => TRUE(e, my, o))).length;
-  const told = failing.map((c) =>
+  const others = conjuncts.filter((_, i) => clauses[i]!.matches > 0);
+  const matchingOthers = offers.filter((o) => others.every((e) => isSatisfied(e, my, o))).length;
+  const explanations = failing.map((c) =>
     c.nearest ? `${c.text}: ${c.nearest}` : `${c.text}: on none of ${offers.length} kinds`,
   );
-  return others.length === 0 ? told.join('; ') : `${told.join('; ')}; the other clauses match ${rest}`;
+  return others.length === 0
+    ? explanations.join('; ')
+    : `${explanations.join('; ')}; the other clauses match ${matchingOthers}`;
 }
 
-/** Of `Memory > 512000`: the largest memory that there is. */
-function nearestOf(e: Expr, my: Ad, offers: readonly Offer[]): string | null {
-  if (e.node !== 'binary' || !/^(<|<=|>|>=|==)$/.test(e.op)) return null;
-  const asks = (x: Expr) => x.node === 'name' && (x.scope === 'target' || !my.has(x.name));
-  const side = asks(e.left) ? e.left : asks(e.right) ? e.right : null;
-  if (!side) return null;
-  const values = offers.map((o) => evaluate(side, { my, target: o.ad }));
+/** Returns the value on offer that comes nearest to a comparison: for `Memory > 512000`, the largest memory. */
+function nearestValue(clause: Expr, my: Ad, offers: readonly Offer[]): string | null {
+  if (clause.node !== 'binary' || !/^(<|<=|>|>=|==)$/.test(clause.op)) return null;
+  const isTargetAttribute = (x: Expr) => x.node === 'name' && (x.scope === 'target' || !my.has(x.name));
+  const targetAttribute = isTargetAttribute(clause.left)
+    ? clause.left
+    : isTargetAttribute(clause.right)
+      ? clause.right
+      : null;
+  if (!targetAttribute) return null;
+  const values = offers.map((o) => evaluate(targetAttribute, { my, target: o.ad }));
   const numbers = values.filter((v) => typeof v === 'bigint' || typeof v === 'number');
   if (numbers.length === 0) {
-    const known = new Set(values.filter((v) => typeof v === 'string').map(printValue));
-    return known.size === 0 ? 'no kind has that attribute' : `there are ${[...known].slice(0, 8).join(', ')}`;
+    const offeredStrings = new Set(values.filter((v) => typeof v === 'string').map(printValue));
+    return offeredStrings.size === 0
+      ? 'no kind has that attribute'
+      : `there are ${[...offeredStrings].slice(0, 8).join(', ')}`;
   }
-  const larger = (side === e.left) === (e.op === '>' || e.op === '>=' || e.op === '==');
-  const best = numbers.reduce((a, b) => ((larger ? b > a : b < a) ? b : a));
+  const wantsLarger =
+    (targetAttribute === clause.left) === (clause.op === '>' || clause.op === '>=' || clause.op === '==');
+  const best = numbers.reduce((a, b) => ((wantsLarger ? b > a : b < a) ? b : a));
   const types = new Set(offers.filter((_, i) => values[i] === best).map((o) => o.type));
-  return `${larger ? 'largest' : 'smallest'} is ${printValue(best)} on ${types.size} type${types.size === 1 ? '' : 's'}`;
+  return `${wantsLarger ? 'largest' : 'smallest'} is ${printValue(best)} on ${types.size} type${types.size === 1 ? '' : 's'}`;
 }
--- a/src/condor/commands.ts
+++ b/src/condor/commands.ts
@@ -1,10 +1,13 @@
-/** What becomes of a command of a submit file. */
+/** Treatment of a submit command. */
 export interface Command {
-  /** `used`: it has the effect that it says. `kept`: an attribute of the process that nothing acts on. */
+  /**
+   * `used`: has its usual effect. `kept`: stored as an attribute of the process, without effect. `refused`: an
+   * error.
+   */
   use: 'used' | 'kept' | 'refused';
-  /** The attribute of the process's ad that it sets. */
+  /** Attribute of the process's ad that the command sets. */
   attribute: string;
-  /** Of those kept or refused: why, for people. */
+  /** Why the command is kept or refused, in words for users. */
   why?: string;
 }
 
@@ -12,10 +15,10 @@
 const kept = (attribute: string, why: string): Command => ({ use: 'kept', attribute, why });
 const refused = (why: string): Command => ({ use: 'refused', attribute: '', why });
 
-const FETCHED = 'workers fetch what they run themselves';
-const RETRIED = 'a task that fails is started again until it is done or removed';
+const FETCHED_BY_WORKERS = 'workers fetch what they run themselves';
+const ALWAYS_RETRIED = 'a task that fails is started again until it is done or removed';
 
-/** Every command that is known, by its name in lower case; docs/condor.md has the same table. */
+/** Known commands by lower-case name; docs/condor.md has the same table. */
 export const COMMANDS: Readonly<Record<string, Command>> = {
   executable: used('Cmd'),
   arguments: used('Args'),
@@ -45,25 +48,25 @@
   on_exit_remove: used('OnExitRemove'),
   on_exit_hold: used('OnExitHold'),
   universe: used('Universe'),
-  max_retries: kept('JobMaxRetries', RETRIED),
-  retry_until: kept('RetryUntil', RETRIED),
-  success_exit_code: kept('JobSuccessExitCode', RETRIED),
-  input: kept('In', FETCHED),
-  output: kept('Out', FETCHED),
-  error: kept('Err', FETCHED),
+  max_retries: kept('JobMaxRetries', ALWAYS_RETRIED),
+  retry_until: kept('RetryUntil', ALWAYS_RETRIED),
+  success_exit_code: kept('JobSuccessExitCode', ALWAYS_RETRIED),
+  input: kept('In', FETCHED_BY_WORKERS),
+  output: kept('Out', FETCHED_BY_WORKERS),
+  error: kept('Err', FETCHED_BY_WORKERS),
   log: kept('UserLog', 'condor q and the cluster’s own records say what became of a process'),
-  initialdir: kept('Iwd', FETCHED),
-  should_transfer_files: kept('ShouldTransferFiles', FETCHED),
-  when_to_transfer_output: kept('WhenToTransferOutput', FETCHED),
-  transfer_input_files: kept('TransferInput', FETCHED),
-  transfer_output_files: kept('TransferOutput', FETCHED),
-  transfer_executable: kept('TransferExecutable', FETCHED),
+  initialdir: kept('Iwd', FETCHED_BY_WORKERS),
+  should_transfer_files: kept('ShouldTransferFiles', FETCHED_BY_WORKERS),
+  when_to_transfer_output: kept('WhenToTransferOutput', FETCHED_BY_WORKERS),
+  transfer_input_files: kept('TransferInput', FETCHED_BY_WORKERS),
+  transfer_output_files: kept('TransferOutput', FETCHED_BY_WORKERS),
+  transfer_executable: kept('TransferExecutable', FETCHED_BY_WORKERS),
   getenv: kept('GetEnv', 'a worker knows nothing of your environment'),
   notification: kept('JobNotification', 'nobody is written to'),
   notify_user: kept('NotifyUser', 'nobody is written to'),
   concurrency_limits: kept('ConcurrencyLimits', 'limits are those of the team (accounting_group)'),
-  stream_output: kept('StreamOut', FETCHED),
-  stream_error: kept('StreamErr', FETCHED),
+  stream_output: kept('StreamOut', FETCHED_BY_WORKERS),
+  stream_error: kept('StreamErr', FETCHED_BY_WORKERS),
   want_graceful_removal: kept('WantGracefulRemoval', 'a removed process is gone within the cluster’s bound'),
   job_lease_duration: kept('JobLeaseDuration', 'leases are the platform’s'),
   leave_in_queue: kept('LeaveJobInQueue', 'how a process ended is kept in any case'),
@@ -76,7 +79,7 @@
   deferral_time: refused('processes by calendar are not served'),
 };
 
-/** Universes that run here: what a process is started as. */
+/** Supported universes, each with the number of the universe that its processes run in. */
 export const UNIVERSES: Readonly<Record<string, number>> = {
   vanilla: 5,
   docker: 5,
--- a/tests/condor/crashes.ts
+++ b/tests/condor/crashes.ts
@@ -1,6 +1,6 @@
 /**
- * Expands 5,000 processes while whoever expands, or owns what they become, is killed at durable steps, on a fake clock.
- * Not part of the tests for its length.
+ * Expands 5,000 processes on a fake clock, while the expander, or the owner of the jobs, is killed at durable
+ * steps. Not part of the tests, because it takes long.
  *
  *     node target/check/tests/condor/crashes.js [PROCESSES]
  */
@@ -11,10 +11,10 @@
   [211, 1],
   [211, 100],
 ] as const) {
-  const begun = performance.now();
+  const startedAt = performance.now();
   const kills = await expandThroughCrashes(procs, every, first, 60);
   console.log(
-    `${procs} processes, ${kills} kills: each a job once, each done once; ${Math.round((performance.now() - begun) / 1000)} s`,
+    `${procs} processes, ${kills} kills: each a job once, each done once; ${Math.round((performance.now() - startedAt) / 1000)} s`,
   );
 }
 process.exit(0);
