--- a/tests/support/users.ts
+++ b/tests/support/users.ts
@@ -7,18 +7,18 @@
 import { type JobSpec, readJob, readStatus } from '../../src/wire/users.js';
 import { type FakeCluster, job } from './cluster.js';
 
-const SUBMIT_MS = 5000;
-const POLL_WAIT_MS = 2000;
+const REQUEST_TIMEOUT_MS = 5000;
+const POLL_TIMEOUT_MS = 2000;
 const POLL_MS = 5000;
-const GIVE_UP_MS = 60_000;
-/** A job about which nobody has answered a question for so long, all troubles over, counts as forgotten. */
-const SILENT_MS = 75_000;
-/** Who looks closely asks all nodes so often, the rounds no further apart than this. */
-const LOOKS = 3;
-const LOOK_MS = 30;
-const ODD_MS = 1300;
+const RETRY_PERIOD_MS = 60_000;
+/** A job counts as forgotten when no status request for it was answered for this long after the end of all faults. */
+const FORGOTTEN_AFTER_MS = 75_000;
+/** A user that polls closely asks all nodes in this many rounds, at most `CLOSE_POLL_INTERVAL_MS` apart. */
+const CLOSE_POLL_ROUNDS = 3;
+const CLOSE_POLL_INTERVAL_MS = 30;
+const INVALID_REQUEST_INTERVAL_MS = 1300;
 
-interface Known {
+interface SubmittedJob {
   spec: JobSpec;
   wire: object;
   accepted: boolean;
@@ -27,26 +27,32 @@
   answeredAt: number;
 }
 
-/** Users of a scripted cluster, as the protocol describes them; what they did and heard is kept for the checker. */
+/**
+ * Users of a scripted cluster that follow the protocol; their requests and the responses are recorded for the
+ * checker.
+ */
 export class Users {
   readonly events: UserEvent[] = [];
-  readonly jobs = new Map<string, Known>();
-  /** They ask at all nodes and submit again, within milliseconds of each acceptance, end and confirmation. */
+  readonly jobs = new Map<string, SubmittedJob>();
+  /**
+   * Whether users poll all nodes and resubmit within milliseconds of each acceptance, end and confirmed
+   * cancellation.
+   */
   looking = true;
-  private made = 0;
+  private generatedIds = 0;
 
   constructor(
-    private readonly c: FakeCluster,
+    private readonly cluster: FakeCluster,
     private readonly tasks: Tasks,
     private readonly random: Random,
   ) {}
 
-  /** Submits a job with all retries, asks how it stands until it is over, and now and then afterwards. */
+  /** Submits a job with retries and polls its status until it has ended, and less often afterwards. */
   async submit(wire: object, runS: number, cancelAtOnce = false): Promise<void> {
     const spec = readJob(wire);
     if (typeof spec === 'string') throw new Error(spec);
     const { id } = spec;
-    const known: Known = {
+    const submitted: SubmittedJob = {
       spec,
       wire,
       accepted: false,
@@ -54,115 +60,120 @@
       cancelAsked: false,
       answeredAt: this.now,
     };
-    this.jobs.set(id, known);
+    this.jobs.set(id, submitted);
     this.tasks.upload({ spec, runS, fails: false });
-    this.note(id, 'submitted');
-    const heard = await this.insist('/api/jobs', wire, (r) => [200, 201, 400, 422].includes(r.status));
-    if (!heard) return;
-    if (heard.reply.status >= 400) {
-      this.note(id, 'refused', { asked: heard.asked });
+    this.recordEvent(id, 'submitted');
+    const final = await this.requestUntilFinal('/api/jobs', wire, (reply) =>
+      [200, 201, 400, 422].includes(reply.status),
+    );
+    if (!final) return;
+    if (final.reply.status >= 400) {
+      this.recordEvent(id, 'refused', { asked: final.asked });
       return;
     }
-    known.accepted = true;
-    known.answeredAt = this.now;
-    this.note(id, 'accepted', { asked: heard.asked });
+    submitted.accepted = true;
+    submitted.answeredAt = this.now;
+    this.recordEvent(id, 'accepted', { asked: final.asked });
     if (cancelAtOnce) void this.cancel(id);
-    void this.lookClosely(known);
+    void this.pollAllNodes(submitted);
     for (;;) {
-      await pause(this.c.clock, (known.over ? 3 : 1) * POLL_MS * this.random.between(0.2, 1.2));
-      await this.poll(known);
+      await pause(this.cluster.clock, (submitted.over ? 3 : 1) * POLL_MS * this.random.between(0.2, 1.2));
+      await this.poll(submitted);
     }
   }
 
-  /** Asks how a job stands, at a node or by way of the load balancer. */
-  private async poll(known: Known, node?: string): Promise<void> {
-    const { id } = known.spec;
+  /** Requests the status of a job, from a node or through the load balancer. */
+  private async poll(submitted: SubmittedJob, node?: string): Promise<void> {
+    const { id } = submitted.spec;
     const asked = this.events.length;
-    const r = await this.call('GET', `/api/jobs/${id}`, null, POLL_WAIT_MS, node);
-    if (r?.status === 404) this.note(id, 'unknown', { asked });
-    if (r?.status === 200) this.told(known, r, asked);
+    const reply = await this.call('GET', `/api/jobs/${id}`, null, POLL_TIMEOUT_MS, node);
+    if (reply?.status === 404) this.recordEvent(id, 'unknown', { asked });
+    if (reply?.status === 200) this.recordStatus(submitted, reply, asked);
   }
 
-  /** Takes an answer that says how a job stands. */
-  private told(known: Known, r: HttpReply, asked: number): void {
-    const view = readStatus(JSON.parse(JSON.stringify(r.body)));
-    if (!view) throw new Error('an answer that cannot be read');
-    known.answeredAt = this.now;
-    this.note(known.spec.id, 'told', { status: view.status, asked });
+  /** Records a response that contains the status of a job. */
+  private recordStatus(submitted: SubmittedJob, reply: HttpReply, asked: number): void {
+    const view = readStatus(JSON.parse(JSON.stringify(reply.body)));
+    if (!view) throw new Error('unreadable status response');
+    submitted.answeredAt = this.now;
+    this.recordEvent(submitted.spec.id, 'told', { status: view.status, asked });
     if (view.status !== 'done' && view.status !== 'cancelled') return;
-    const first = !known.over;
-    known.over = true;
-    if (first) void this.lookClosely(known);
+    const first = !submitted.over;
+    submitted.over = true;
+    if (first) void this.pollAllNodes(submitted);
   }
 
-  /** Asks all nodes, submits the job again, and cancels it again when that was wanted, again and again within milliseconds. */
-  private async lookClosely(known: Known): Promise<void> {
+  /**
+   * Polls all nodes, resubmits the job and repeats a requested cancellation, in several rounds within milliseconds.
+   */
+  private async pollAllNodes(submitted: SubmittedJob): Promise<void> {
     if (!this.looking) return;
-    for (let i = 0; i < LOOKS; i++) {
-      for (const node of [...this.c.nodes.keys()]) {
-        const what = this.random.next();
-        if (what < 0.3) void this.again(known, node);
-        else if (known.cancelAsked && what < 0.5) void this.abort(known, node);
-        else void this.poll(known, node);
+    for (let i = 0; i < CLOSE_POLL_ROUNDS; i++) {
+      for (const node of [...this.cluster.nodes.keys()]) {
+        const action = this.random.next();
+        if (action < 0.3) void this.resubmit(submitted, node);
+        else if (submitted.cancelAsked && action < 0.5) void this.abort(submitted, node);
+        else void this.poll(submitted, node);
       }
-      await pause(this.c.clock, this.random.between(1, LOOK_MS));
+      await pause(this.cluster.clock, this.random.between(1, CLOSE_POLL_INTERVAL_MS));
     }
   }
 
-  private async again(known: Known, node?: string): Promise<void> {
-    const { id } = known.spec;
+  private async resubmit(submitted: SubmittedJob, node?: string): Promise<void> {
+    const { id } = submitted.spec;
     const asked = this.events.length;
-    const r = await this.call('POST', '/api/jobs', known.wire, SUBMIT_MS, node);
-    if (r?.status === 400 || r?.status === 422) this.note(id, 'refused', { asked });
-    if (r?.status === 200 || r?.status === 201) this.told(known, r, asked);
+    const reply = await this.call('POST', '/api/jobs', submitted.wire, REQUEST_TIMEOUT_MS, node);
+    if (reply?.status === 400 || reply?.status === 422) this.recordEvent(id, 'refused', { asked });
+    if (reply?.status === 200 || reply?.status === 201) this.recordStatus(submitted, reply, asked);
   }
 
-  private async abort(known: Known, node?: string): Promise<void> {
+  private async abort(submitted: SubmittedJob, node?: string): Promise<void> {
     const asked = this.events.length;
-    this.cancelled(
-      known,
-      await this.call('POST', `/api/jobs/${known.spec.id}/abort`, null, SUBMIT_MS, node),
+    this.recordCancellation(
+      submitted,
+      await this.call('POST', `/api/jobs/${submitted.spec.id}/abort`, null, REQUEST_TIMEOUT_MS, node),
       asked,
     );
   }
 
-  private cancelled(known: Known, reply: HttpReply | null, asked: number): void {
-    const { id } = known.spec;
-    if (reply?.status === 404) this.note(id, 'unknown', { asked });
+  private recordCancellation(submitted: SubmittedJob, reply: HttpReply | null, asked: number): void {
+    const { id } = submitted.spec;
+    if (reply?.status === 404) this.recordEvent(id, 'unknown', { asked });
     if (reply?.status !== 200) return;
     if ((reply.body as { status?: string }).status === 'aborted') {
-      this.note(id, 'cancelled', { asked });
-      const first = !known.over;
-      known.over = true;
-      if (first) void this.lookClosely(known);
-    } else this.told(known, reply, asked);
+      this.recordEvent(id, 'cancelled', { asked });
+      const first = !submitted.over;
+      submitted.over = true;
+      if (first) void this.pollAllNodes(submitted);
+    } else this.recordStatus(submitted, reply, asked);
   }
 
   async cancel(id: string): Promise<void> {
-    const known = this.jobs.get(id);
-    if (!known?.accepted) return;
-    known.cancelAsked = true;
-    this.note(id, 'cancel asked');
-    const heard = await this.insist(
+    const submitted = this.jobs.get(id);
+    if (!submitted?.accepted) return;
+    submitted.cancelAsked = true;
+    this.recordEvent(id, 'cancel asked');
+    const final = await this.requestUntilFinal(
       `/api/jobs/${id}/abort`,
       null,
-      (r) => r.status === 200 || r.status === 404,
+      (reply) => reply.status === 200 || reply.status === 404,
     );
-    if (heard) this.cancelled(known, heard.reply, heard.asked);
+    if (final) this.recordCancellation(submitted, final.reply, final.asked);
   }
 
-  /** Calls off a share of the jobs that run, within a fifth of a second; returns the machines that have tasks of them. */
+  /** Cancels a share of the running jobs within 200 ms; returns the machines that run their tasks. */
   cancelNow(share: number): Worker[] {
-    const running = new Set(this.c.workers.flatMap((w) => w.attempts.map((a) => a.job)));
-    const off = [...this.jobs.values()].filter(
+    const running = new Set(this.cluster.workers.flatMap((w) => w.attempts.map((a) => a.job)));
+    const cancelled = [...this.jobs.values()].filter(
       (j) => j.accepted && !j.over && !j.cancelAsked && running.has(j.spec.id) && this.random.chance(share),
     );
-    for (const j of off) this.c.clock.after(this.random.between(0, 200), () => void this.cancel(j.spec.id));
-    const ids = new Set(off.map((j) => j.spec.id));
-    return this.c.workers.filter((w) => w.attempts.some((a) => ids.has(a.job) && a.state !== 'exited'));
+    for (const j of cancelled)
+      this.cluster.clock.after(this.random.between(0, 200), () => void this.cancel(j.spec.id));
+    const ids = new Set(cancelled.map((j) => j.spec.id));
+    return this.cluster.workers.filter((w) => w.attempts.some((a) => ids.has(a.job) && a.state !== 'exited'));
   }
 
-  /** Submits so many jobs at once, urgent and not. */
+  /** Submits `count` jobs at once, of different priorities. */
   burst(count: number): void {
     for (let i = 0; i < count; i++) {
       const runS = this.random.between(3, 15);
@@ -174,62 +185,71 @@
         cpus: this.random.pick([2, 4, 8]),
         expectedS: runS,
       };
-      void this.submit(job(`wk-burst-${++this.made}`, change), runS);
+      void this.submit(job(`wk-burst-${++this.generatedIds}`, change), runS);
     }
   }
 
-  /** From now on that share of the jobs is called off at the moment at which their last task completes; returns what ends it. */
+  /**
+   * Cancels a share of the jobs within 400 ms of the completion of their last task, until the returned function is
+   * called.
+   */
   cancelAtEnd(share: number): () => void {
-    this.tasks.noted = (e: TaskEvent) => {
-      const known = this.jobs.get(e.job);
-      if (e.kind !== 'off' || e.cause !== 'done' || !known || known.cancelAsked) return;
+    this.tasks.noted = (event: TaskEvent) => {
+      const submitted = this.jobs.get(event.job);
+      if (event.kind !== 'off' || event.cause !== 'done' || !submitted || submitted.cancelAsked) return;
       const done = new Set(
-        this.tasks.history.filter((x) => x.job === e.job && x.cause === 'done').map((x) => x.index),
+        this.tasks.history.filter((x) => x.job === event.job && x.cause === 'done').map((x) => x.index),
       );
-      if (known.spec.kind !== 'gang' && done.size < known.spec.tasks) return;
+      if (submitted.spec.kind !== 'gang' && done.size < submitted.spec.tasks) return;
       if (!this.random.chance(share)) return;
-      this.c.clock.after(this.random.between(0, 400), () => void this.cancel(e.job));
+      this.cluster.clock.after(this.random.between(0, 400), () => void this.cancel(event.job));
     };
     return () => {
       this.tasks.noted = null;
     };
   }
 
-  /** Repeats submissions, cancels jobs that are over, and sends what can never run or is malformed, until it is ended. */
-  odd(): () => void {
-    let going = true;
+  /**
+   * Repeats submissions, cancels ended jobs, and submits jobs that are malformed or can never run, until it is
+   * stopped.
+   */
+  startInvalidRequests(): () => void {
+    let active = true;
     const loop = async () => {
-      while (going) {
-        await pause(this.c.clock, ODD_MS * this.random.between(0.4, 1.6));
-        const known = [...this.jobs.values()].filter((j) => j.accepted);
-        if (known.length > 0) {
-          const one = this.random.pick(known);
-          if (one.over) void this.abort(one);
-          else void this.again(one);
+      while (active) {
+        await pause(this.cluster.clock, INVALID_REQUEST_INTERVAL_MS * this.random.between(0.4, 1.6));
+        const accepted = [...this.jobs.values()].filter((j) => j.accepted);
+        if (accepted.length > 0) {
+          const picked = this.random.pick(accepted);
+          if (picked.over) void this.abort(picked);
+          else void this.resubmit(picked);
         }
-        void this.submitUnfit(this.random.pick(UNFIT));
+        void this.submitInvalid(this.random.pick(INVALID_SUBMISSIONS));
       }
     };
     void loop();
     return () => {
-      going = false;
+      active = false;
     };
   }
 
-  private async submitUnfit([why, change]: (typeof UNFIT)[number]): Promise<void> {
-    const id = `wk-odd-${++this.made}`;
+  private async submitInvalid([why, change]: (typeof INVALID_SUBMISSIONS)[number]): Promise<void> {
+    const id = `wk-odd-${++this.generatedIds}`;
     const wire: Record<string, unknown> = { ...job(id), ...change };
     for (const [field, value] of Object.entries(change)) if (value === undefined) delete wire[field];
-    const r = await this.call('POST', '/api/jobs', wire, SUBMIT_MS);
-    if (r?.status === 200 || r?.status === 201) this.note(id, 'accepted', { unfit: why });
+    const reply = await this.call('POST', '/api/jobs', wire, REQUEST_TIMEOUT_MS);
+    if (reply?.status === 200 || reply?.status === 201) this.recordEvent(id, 'accepted', { unfit: why });
   }
 
-  /** Jobs of which nobody has said anything for too long, and that have not ended although nobody wanted them cancelled. */
-  forgotten(since: number, atEnd: boolean): Violation[] {
+  /**
+   * Finds jobs whose status requests were unanswered for too long and, at the end, jobs that neither ended nor were
+   * cancelled.
+   */
+  findForgotten(since: number, atEnd: boolean): Violation[] {
     const found: Violation[] = [];
     for (const [id, k] of this.jobs) {
       if (!k.accepted || k.over) continue;
-      if (this.now - Math.max(since, k.answeredAt) > SILENT_MS)
+      if (this.now - Math.max(since, k.answeredAt) > FORGOTTEN_AFTER_MS)
         found.push({ rule: 'forgotten', at: this.now, what: `no question about ${id} is answered` });
       else if (atEnd && !k.cancelAsked && k.spec.kind !== 'service')
         found.push({ rule: 'never done', at: this.now, what: `${id} was accepted and is not done` });
@@ -238,30 +258,33 @@
   }
 
   private get now(): number {
-    return this.c.clock.now();
+    return this.cluster.clock.now();
   }
 
-  private note(job: string, kind: UserEvent['kind'], more: Partial<UserEvent> = {}): void {
+  private recordEvent(job: string, kind: UserEvent['kind'], more: Partial<UserEvent> = {}): void {
     this.events.push({ at: this.now, job, kind, ...more });
   }
 
-  /** Repeats a request until the answer is one to keep, for a minute; `asked` tells what had been heard when it was sent. */
-  private async insist(
+  /**
+   * Retries a request for a minute until its reply is final; `asked` is the number of events recorded before it was
+   * sent.
+   */
+  private async requestUntilFinal(
     path: string,
     body: object | null,
-    good: (r: HttpReply) => boolean,
+    isFinal: (reply: HttpReply) => boolean,
   ): Promise<{ reply: HttpReply; asked: number } | null> {
-    const until = this.now + GIVE_UP_MS;
+    const until = this.now + RETRY_PERIOD_MS;
     while (this.now < until) {
       const asked = this.events.length;
-      const reply = await this.call('POST', path, body, SUBMIT_MS);
-      if (reply && good(reply)) return { reply, asked };
-      await pause(this.c.clock, 1000 + 500 * this.random.next());
+      const reply = await this.call('POST', path, body, REQUEST_TIMEOUT_MS);
+      if (reply && isFinal(reply)) return { reply, asked };
+      await pause(this.cluster.clock, 1000 + 500 * this.random.next());
     }
     return null;
   }
 
-  /** A request to a node, or by way of the load balancer; null when there was no answer in time. */
+  /** Sends a request to a node or through the load balancer; returns null if there was no response in time. */
   private async call(
     method: string,
     path: string,
@@ -269,26 +292,28 @@
     withinMs: number,
     node?: string,
   ): Promise<HttpReply | null> {
-    const all = [...this.c.nodes]
-      .filter(([name, n]) => !n.cut && !this.c.zoneIsCut(name) && (node === undefined || name === node))
+    const all = [...this.cluster.nodes]
+      .filter(
+        ([name, n]) => !n.cut && !this.cluster.isZoneIsolated(name) && (node === undefined || name === node),
+      )
       .map(([, n]) => n);
     const healthy = all.filter((n) => n.node.healthy);
-    const among = healthy.length > 0 ? healthy : all;
-    if (among.length === 0) return null;
-    const to = this.random.pick(among);
+    const candidates = healthy.length > 0 ? healthy : all;
+    if (candidates.length === 0) return null;
+    const target = this.random.pick(candidates);
     return new Promise((resolve) => {
-      const timer = this.c.clock.after(withinMs, () => resolve(null));
-      void to.api.handle(this.c.request(method, path, body)).then((r) => {
-        if (to.stopped.value) return;
+      const timer = this.cluster.clock.after(withinMs, () => resolve(null));
+      void target.api.handle(this.cluster.request(method, path, body)).then((reply) => {
+        if (target.stopped.value) return;
         timer.cancel();
-        resolve(r);
+        resolve(reply);
       });
     });
   }
 }
 
-/** Submissions that must not be accepted: why, and what is changed in a good one (undefined: left out). */
-const UNFIT: [string, Record<string, unknown>][] = [
+/** Submissions that must be rejected: the reason, and the changes to a valid one (undefined removes the field). */
+const INVALID_SUBMISSIONS: [string, Record<string, unknown>][] = [
   ['a task fits no machine', { cpus: 900 }],
   ['a gang is beyond its team’s limit', { shape: 'ensemble', pieces: 50, cpus: 4 }],
   ['its team is unknown', { owner: 'nobody' }],
--- a/tests/upgrade/check.ts
+++ b/tests/upgrade/check.ts
@@ -1,14 +1,15 @@
 /**
- * Whether this build and an older one can take over each other's stored data and work beside each other: an old cluster,
- * the new one on its data, the old one again, and controllers of both in one cluster, under load and with controllers
- * killed. Not part of the tests: it takes some minutes of real time.
+ * Checks whether this build and an older one can use each other's stored data and work in the same cluster: it runs
+ * an old cluster, a new one on its data, the old one again, and then controllers of both builds in one cluster,
+ * under load and while controllers are killed. It is not part of the tests, since it takes some minutes of real
+ * time.
  *
  *     npm run check:upgrade -- OLD [--new NEW] [--json] [--speed TIMES] [--port FIRST] [--data DIR]
  *
- * OLD is a checkout of the older version that has been built (`OLD/target/main.js`), NEW one of the newer version (this one
- * if left out). Ends with 0 when no rule was broken
- * and every accepted job was accounted for, with 1 otherwise, and with 2 when it is called in a wrong way. On a machine that is
- * busy with other work leases lapse at ten times the time of day: a lower `--speed` gives it more time.
+ * OLD is a checkout of the older version that has been built (`OLD/target/main.js`), NEW a built checkout of the
+ * newer version (the current directory by default). The exit code is 0 when no rule was broken and every accepted
+ * job was accounted for, 1 otherwise, and 2 for invalid arguments. On a busy machine leases expire when the clock
+ * runs at ten times real time: a lower `--speed` avoids this.
  */
 import { existsSync, mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -20,20 +21,20 @@
 import { MORE_TEAMS } from './jobs.js';
 import type { Build } from './owners.js';
 import { printable, reportOf, type StepFigures, verdictOf } from './report.js';
-import { playStep, type Stage, type StepPlan } from './step.js';
+import { playStep, type SharedState, type StepPlan } from './step.js';
 import { Users } from './users.js';
 
 const USAGE =
   'usage: npm run check:upgrade -- OLD [--new NEW] [--json] [--speed TIMES] [--port FIRST] [--data DIR]';
 const CONTROLLERS = 4;
 const SEED = 11;
-/** Away from the ports of `spartray local`. */
+/** Differs from the ports of `spartray local`. */
 const PORT = '9400';
 const SPEED = '10';
-const SPEED_MOST = 50;
-/** So small that the done tasks of a large array take several values: 2,304 of them each. */
+const MAX_SPEED = 50;
+/** Small, so that the completed tasks of a large array need several values, of 2,304 tasks each. */
 const VALUE_KB = 0.5;
-/** Of the large arrays' team, so that these last longer than a step. */
+/** CPU limit of the team that owns the large arrays, so that these take longer than a step. */
 const BULK_CPUS_MAX = 100;
 const MACHINES_UP = 6;
 
@@ -92,7 +93,7 @@
 ];
 
 interface Options {
-  /** The controllers' programs. */
+  /** The controller program of each build. */
   programs: Record<Build, string>;
   json: boolean;
   speed: number;
@@ -104,7 +105,7 @@
   return resolve(checkout, 'target/main.js');
 }
 
-/** What the command line asks for; a string says what is wrong with it. */
+/** Parses the command line; returns an error message if it is invalid. */
 function readOptions(args: string[]): Options | string {
   try {
     const { values, positionals } = parseArgs({
@@ -122,9 +123,9 @@
     if (folder === undefined || positionals.length > 1) return USAGE;
     const programs = { old: programIn(folder), new: programIn(values.new) };
     for (const program of Object.values(programs))
-      if (!existsSync(program)) return `${program} is not there: build that version first\n${USAGE}`;
+      if (!existsSync(program)) return `${program} does not exist: build that version first\n${USAGE}`;
     const [speed, port] = [Number(values.speed), Number(values.port)];
-    if (!(speed >= 1 && speed <= SPEED_MOST)) return `--speed: a number from 1 to ${SPEED_MOST}\n${USAGE}`;
+    if (!(speed >= 1 && speed <= MAX_SPEED)) return `--speed: a number from 1 to ${MAX_SPEED}\n${USAGE}`;
     if (!(Number.isInteger(port) && port >= 1024 && port <= 60_000))
       return `--port: a number from 1024 to 60000\n${USAGE}`;
     return { programs, json: values.json, speed, port, data: values.data };
@@ -133,9 +134,9 @@
   }
 }
 
-function platformOf(): Platform {
+function buildPlatform(): Platform {
   const platform = loadPlatform('builtin');
-  for (const c of platform.capacity) c.up = Math.min(c.count, MACHINES_UP);
+  for (const capacity of platform.capacity) capacity.up = Math.min(capacity.count, MACHINES_UP);
   for (const team of platform.teams) if (team.name === 'guests') team.cpus_max = BULK_CPUS_MAX;
   for (const name of MORE_TEAMS) platform.teams.push({ name, cpus: 16, cpus_max: 256, gpus: 0, gpus_max: 0 });
   platform.state.value_kb = VALUE_KB;
@@ -150,44 +151,44 @@
     return EXIT.usage;
   }
   const { speed, port } = options;
-  const say = (line: string) => (options.json ? process.stderr : process.stdout).write(`${line}\n`);
+  const print = (line: string) => (options.json ? process.stderr : process.stdout).write(`${line}\n`);
   const data = options.data ?? mkdtempSync(join(tmpdir(), 'spartray-upgrade-'));
   const clock = fastClock(speed);
   const host = '127.0.0.1';
   const users = new Users(clock, { users: `${host}:${port}`, depot: `${host}:${port + 1}` });
-  const stage: Stage = {
+  const shared: SharedState = {
     clock,
     users,
-    platform: platformOf(),
+    platform: buildPlatform(),
     programs: options.programs,
-    local: { controllers: CONTROLLERS, speed, data, port, seed: SEED, onError: say },
+    local: { controllers: CONTROLLERS, speed, data, port, seed: SEED, onError: print },
     histories: [],
     reported: new Set(),
     running: null,
   };
   const abort = async () => {
-    await stage.running?.stop();
+    await shared.running?.stop();
     process.exit(EXIT.failed);
   };
   for (const signal of ['SIGINT', 'SIGTERM'] as const) process.once(signal, () => void abort());
   const steps: StepFigures[] = [];
   try {
     for (const plan of STEPS) {
-      const figures = await playStep(stage, plan);
+      const figures = await playStep(shared, plan);
       steps.push(figures);
-      say(verdictOf(figures));
+      print(verdictOf(figures));
     }
   } catch (error) {
-    say(`stopped early: ${error instanceof Error ? error.message : error}`);
+    print(`check stopped early: ${error instanceof Error ? error.message : error}`);
   }
   users.close();
   const report = reportOf(steps, users, STEPS.length, speed);
   if (options.json) process.stdout.write(`${JSON.stringify(report)}\n`);
-  else say(`\n${printable(report)}`);
+  else print(`\n${printable(report)}`);
   if (options.data === undefined && report.passed) rmSync(data, { recursive: true, force: true });
-  else say(`settings, logs and stored data: ${data}`);
+  else print(`settings, logs and stored data: ${data}`);
   return report.passed ? EXIT.ok : EXIT.failed;
 }
 
-// The clocks of stopped clusters go on.
+// Exits explicitly, since the timers of stopped clusters are still active.
 process.exit(await main());
--- a/tests/upgrade/jobs.ts
+++ b/tests/upgrade/jobs.ts
@@ -1,36 +1,36 @@
 import type { JobFileEntry } from '../../src/client/jobfile.js';
 import { readJobFile } from '../../src/client/jobfile.js';
 
-/** Every id of this check begins so. */
+/** Prefix of the job ids of this check. */
 export const ID_PREFIX = 'wk-upgrade-';
 
-/** Jobs that one user submits one after the other, since later ones may wait for earlier ones. */
+/** Jobs that one user submits in sequence, since later jobs may depend on earlier ones. */
 export interface Submission {
-  /** Seconds after the beginning of the step. */
+  /** Time of the submission, in seconds after the start of the step. */
   atS: number;
-  orders: JobFileEntry[];
-  /** The first job is cancelled so many seconds after the last one was submitted. */
+  entries: JobFileEntry[];
+  /** Seconds from the submission of the last job to the cancellation of the first one. */
   cancelAfterS?: number;
 }
 
-/** Beside those of the builtin platform, so that every shard has jobs of a team. */
+/** Teams in addition to those of the builtin platform, so that every shard has a team with jobs. */
 export const MORE_TEAMS = ['green', 'amber'];
 const TEAMS = ['red', 'blue', ...MORE_TEAMS];
 
 const SMALL_EVERY_S = 5;
 const GANG_EVERY_S = 20;
 const CHAIN_EVERY_S = 30;
-/** Every so many small arrays, and chains, one is cancelled. */
+/** One of this many small arrays, and one of this many chains, is cancelled. */
 const CANCELLED_EVERY = 6;
 const CANCEL_AFTER_S = 12;
-/** Long tasks are submitted this long before the step's end, so that they run when the cluster stops. */
+/** Time before the end of a step at which long tasks are submitted, so that they run when the cluster stops. */
 const LONG_BEFORE_END_S = 40;
-/** A description with so long an image name fits no single value of the state service. */
+/** An image name so long that the job description does not fit into a single value of the state service. */
 const LONG_IMAGE = 'solver-'.padEnd(199, 'x');
 
 type JobFields = Record<string, unknown>;
 
-function order(fields: JobFields): JobFileEntry {
+function readEntry(fields: JobFields): JobFileEntry {
   return readJobFile(JSON.stringify(fields), 'json')[0]!;
 }
 
@@ -48,7 +48,7 @@
   };
 }
 
-function gang(id: string, n: number): JobFields {
+function gangJob(id: string, n: number): JobFields {
   return {
     id,
     owner: 'blue',
@@ -66,14 +66,14 @@
   };
 }
 
-/** Jobs of all teams, of which each waits for all those before it: mostly for those of other shards. */
-function chain(prefix: string, n: number): JobFields[] {
+/** Returns one job per team, each of which depends on all earlier ones, most of them in other shards. */
+function chainedJobs(prefix: string, n: number): JobFields[] {
   const ids = TEAMS.map((team) => `${prefix}chain-${n}-${team}`);
   return ids.map((id, i) => ({ ...smallArray(id, n + i), pieces: 4, waitsOn: ids.slice(0, i) }));
 }
 
-/** One array of many short tasks, its done tasks in several chunks, and a job that waits for it. */
-function bulk(prefix: string, tasks: number): JobFields[] {
+/** Returns an array of many short tasks, whose completions fill several chunks, and a job that depends on it. */
+function bulkJobs(prefix: string, tasks: number): JobFields[] {
   const id = `${prefix}bulk`;
   return [
     {
@@ -90,7 +90,7 @@
   ];
 }
 
-function service(id: string): JobFields {
+function serviceJob(id: string): JobFields {
   return { id, owner: 'red', shape: 'standing', pieces: 2, cpus: 2, memoryGb: 4, spread: true };
 }
 
@@ -98,33 +98,33 @@
   return { ...smallArray(id, 0), pieces: 20, expectedS: 120, runS: 120, saveEveryS: 20, savingS: 1 };
 }
 
-function every(periodS: number, untilS: number): number[] {
+function periodIndexes(periodS: number, untilS: number): number[] {
   return Array.from({ length: Math.floor(untilS / periodS) }, (_, n) => n);
 }
 
-/** All that is submitted in a step of this length, in order of time. */
+/** Returns the submissions of a step of this length, ordered by time. */
 export function submissionsOf(step: string, lengthS: number, bulkTasks: number): Submission[] {
   const prefix = `${ID_PREFIX}${step}-`;
   const cancelled = (n: number) =>
     n % CANCELLED_EVERY === CANCELLED_EVERY - 1 ? { cancelAfterS: CANCEL_AFTER_S } : {};
   const lastS = lengthS - LONG_BEFORE_END_S;
   const all: Submission[] = [
-    { atS: 0, orders: bulk(prefix, bulkTasks).map(order) },
-    { atS: 1, orders: [order(service(`${prefix}service`))] },
-    { atS: lastS, orders: [order(longArray(`${prefix}long`))] },
+    { atS: 0, entries: bulkJobs(prefix, bulkTasks).map(readEntry) },
+    { atS: 1, entries: [readEntry(serviceJob(`${prefix}service`))] },
+    { atS: lastS, entries: [readEntry(longArray(`${prefix}long`))] },
   ];
-  for (const n of every(SMALL_EVERY_S, lengthS))
+  for (const n of periodIndexes(SMALL_EVERY_S, lengthS))
     all.push({
       atS: n * SMALL_EVERY_S,
-      orders: [order(smallArray(`${prefix}small-${n}`, n))],
+      entries: [readEntry(smallArray(`${prefix}small-${n}`, n))],
       ...cancelled(n),
     });
-  for (const n of every(GANG_EVERY_S, lengthS))
-    all.push({ atS: n * GANG_EVERY_S + 3, orders: [order(gang(`${prefix}gang-${n}`, n))] });
-  for (const n of every(CHAIN_EVERY_S, lengthS))
+  for (const n of periodIndexes(GANG_EVERY_S, lengthS))
+    all.push({ atS: n * GANG_EVERY_S + 3, entries: [readEntry(gangJob(`${prefix}gang-${n}`, n))] });
+  for (const n of periodIndexes(CHAIN_EVERY_S, lengthS))
     all.push({
       atS: n * CHAIN_EVERY_S + 7,
-      orders: chain(prefix, n).map(order),
+      entries: chainedJobs(prefix, n).map(readEntry),
       ...cancelled(n + 3),
     });
   return all.sort((a, b) => a.atS - b.atS);
--- a/tests/upgrade/owners.ts
+++ b/tests/upgrade/owners.ts
@@ -7,36 +7,39 @@
 
 const WATCH_MS = 500;
 
-/** Watches in the state service who owns the shards of a cluster, who stands by, and in which terms. */
+/**
+ * Observes in the state service which controllers own the shards of a cluster and which are standbys, and counts
+ * terms.
+ */
 export class OwnerWatch {
-  /** Each new owner of a shard begins one. */
+  /** Terms of shards, as owner key and version; each new owner of a shard begins one. */
   readonly terms = new Set<string>();
-  /** Controllers that owned a shard, as their build and number. */
+  /** Controllers that owned a shard, as build and number. */
   readonly owners = new Set<string>();
   /** Builds of a shard's owner and its standby, as `old>new`. */
   readonly standbys = new Set<string>();
-  /** Teams that were served by owners of both builds at one moment, the most of them. */
+  /** Maximum number of teams of the cluster at a moment at which owners of both builds served teams. */
   mixedTeams = 0;
-  private over = false;
+  private stopped = false;
 
   constructor(
     private readonly cluster: LocalCluster,
     private readonly builds: readonly Build[],
   ) {}
 
-  /** Looks on until `stop` is called. */
+  /** Samples the owners periodically until `stop` is called. */
   async run(): Promise<void> {
-    while (!this.over) {
-      this.look();
+    while (!this.stopped) {
+      this.sample();
       await pause(this.cluster.clock, WATCH_MS);
     }
   }
 
   stop(): void {
-    this.over = true;
+    this.stopped = true;
   }
 
-  private look(): void {
+  private sample(): void {
     const { items } = this.cluster.state;
     const buildOfShard = new Map<number, Build>();
     for (const [key, item] of items) {
--- a/tests/upgrade/report.ts
+++ b/tests/upgrade/report.ts
@@ -1,16 +1,19 @@
 import { table } from '../../src/cli/output.js';
 import type { Violation } from '../../src/load/history.js';
-import { isOver, type Questions, type TrackedJob, type Users } from './users.js';
+import { isEnded, type Questions, type TrackedJob, type Users } from './users.js';
 
-/** What happened while one step's cluster ran. */
+/** Measurements of the run of one step's cluster. */
 export interface StepFigures {
   step: string;
   what: string;
   lengthS: number;
-  /** Jobs accepted in earlier steps and not over when this one began, and how many of them are over at its end. */
+  /**
+   * Jobs accepted in earlier steps that had not ended when this step began, and how many of these have ended at its
+   * end.
+   */
   carried: number;
   carriedOver: number;
-  /** Jobs of any step that were not over at the end. */
+  /** Jobs of any step that had not ended at the end of this step. */
   left: number;
   /** Terms of shards: each new owner of a shard begins one. */
   terms: number;
@@ -19,19 +22,19 @@
   owners: string[];
   /** Builds of a shard's owner and its standby, as `old>new`. */
   standbys: string[];
-  /** Teams of the cluster when owners of both builds served some of them; 0 when they never did. */
+  /** Maximum number of teams at a moment at which owners of both builds served teams; 0 when they never did. */
   mixedTeams: number;
-  /** Chunks of done tasks that the step's large array has at the end. */
+  /** Stored chunks of completed tasks of the step's large array at the end. */
   chunks: number;
-  /** While a new cluster's users ask again until each job is answered for, and after that. */
+  /** Status requests: while users repeat them until a new cluster has answered for each job, and after that. */
   atTakeover: Questions;
   underLoad: Questions;
-  /** Tasks that ran to their end more than once in this step. */
+  /** Tasks that completed more than once in this step. */
   twice: number;
   broken: Violation[];
 }
 
-/** What became of the jobs that were submitted in one step, over all steps. */
+/** Outcomes of the jobs that were submitted in one step, at the end of all steps. */
 export interface JobFigures {
   step: string;
   submitted: number;
@@ -40,7 +43,7 @@
   undecided: number;
   done: number;
   cancelled: number;
-  /** Accepted, and neither done nor cancelled when all was over. */
+  /** Accepted jobs that were neither done nor cancelled at the end of the last step. */
   lost: number;
 }
 
@@ -62,11 +65,14 @@
     undecided: count((job) => job.outcome === 'undecided' || job.outcome === 'pending'),
     done: count((job) => job.view?.status === 'done'),
     cancelled: count((job) => job.view?.status === 'cancelled'),
-    lost: count((job) => job.outcome === 'accepted' && !isOver(job)),
+    lost: count((job) => job.outcome === 'accepted' && !isEnded(job)),
   };
 }
 
-/** The report of all steps that were played; it passes when no rule was broken and every job is accounted for. */
+/**
+ * Builds the report of the steps; it passes when all planned steps ran, no rule was broken and every job is
+ * accounted for.
+ */
 export function reportOf(steps: StepFigures[], users: Users, planned: number, speed: number): UpgradeReport {
   const all = [...users.jobs.values()];
   const jobs = steps.map(({ step }) =>
@@ -82,7 +88,7 @@
 
 const VIOLATIONS_SHOWN = 10;
 
-/** The verdict on one step, in a line for each rule that was broken. */
+/** Formats the verdict on one step, with a line for each violation. */
 export function verdictOf({ step, what, broken }: StepFigures): string {
   const shown = broken.slice(0, VIOLATIONS_SHOWN).map((x) => `  ${x.rule}: ${x.what}`);
   const more = broken.length > shown.length ? [`  and ${broken.length - shown.length} more`] : [];
@@ -90,36 +96,36 @@
   return [`step ${step} (${what}): ${verdict}`, ...shown, ...more].join('\n');
 }
 
-function shareOf({ asked, answered }: Questions): string {
+function answeredShare({ asked, answered }: Questions): string {
   return `${answered}/${asked}`;
 }
 
 export function printable(report: UpgradeReport): string {
-  const stepRows = report.steps.map((s) => [
-    s.step,
-    s.lengthS,
-    s.carried,
-    s.carriedOver,
-    s.left,
-    s.terms,
-    s.kills,
-    s.chunks,
-    shareOf(s.atTakeover),
-    shareOf(s.underLoad),
-    s.twice,
-    s.broken.length,
-    s.owners.join(' '),
-    s.standbys.join(' '),
+  const stepRows = report.steps.map((step) => [
+    step.step,
+    step.lengthS,
+    step.carried,
+    step.carriedOver,
+    step.left,
+    step.terms,
+    step.kills,
+    step.chunks,
+    answeredShare(step.atTakeover),
+    answeredShare(step.underLoad),
+    step.twice,
+    step.broken.length,
+    step.owners.join(' '),
+    step.standbys.join(' '),
   ]);
-  const jobRows = report.jobs.map((f) => [
-    f.step,
-    f.submitted,
-    f.accepted,
-    f.refused,
-    f.undecided,
-    f.done,
-    f.cancelled,
-    f.lost,
+  const jobRows = report.jobs.map((job) => [
+    job.step,
+    job.submitted,
+    job.accepted,
+    job.refused,
+    job.undecided,
+    job.done,
+    job.cancelled,
+    job.lost,
   ]);
   const stepHead = ['STEP', 'SECONDS', 'CARRIED', 'OVER', 'LEFT', 'TERMS', 'KILLS', 'CHUNKS'];
   return [
--- a/tests/upgrade/users.ts
+++ b/tests/upgrade/users.ts
@@ -6,7 +6,7 @@
 import type { JobSpec, JobView } from '../../src/wire/users.js';
 import { ID_PREFIX, type Submission } from './jobs.js';
 
-/** A job that was submitted, and what its user knows of it. */
+/** A submitted job, and its state as its user knows it. */
 export interface TrackedJob {
   spec: JobSpec;
   /** The step in which it was submitted. */
@@ -15,34 +15,40 @@
   view: JobView | null;
 }
 
-/** Questions how a job stands, and those of them that got an answer. */
+/** The numbers of status requests that were sent, and that were answered. */
 export interface Questions {
   asked: number;
   answered: number;
 }
 
 const TAKEOVER_S = 300;
-/** Questions under way together: more of them would time out on a busy machine, where the clock runs many times as fast. */
-const ASKED_AT_ONCE = 8;
-const ASK_AGAIN_MS = 1000;
+/**
+ * Maximum number of concurrent status requests. More of them would time out on a busy machine, since the clock is
+ * accelerated.
+ */
+const MAX_CONCURRENT_POLLS = 8;
+const POLL_RETRY_MS = 1000;
 const RETRY_S = 120;
 
-export function isOver(job: TrackedJob): boolean {
+export function isEnded(job: TrackedJob): boolean {
   return job.view?.status === 'done' || job.view?.status === 'cancelled';
 }
 
-/** Does something with each job, with some of them at once. */
-async function eachOf<T>(jobs: readonly TrackedJob[], act: (job: TrackedJob) => Promise<T>): Promise<T[]> {
+/** Runs a function for each job, with limited concurrency, and returns the results in order of completion. */
+async function mapConcurrently<T>(
+  jobs: readonly TrackedJob[],
+  run: (job: TrackedJob) => Promise<T>,
+): Promise<T[]> {
   const queue = [...jobs];
   const results: T[] = [];
-  const work = async () => {
-    for (let job = queue.shift(); job; job = queue.shift()) results.push(await act(job));
+  const runNext = async () => {
+    for (let job = queue.shift(); job; job = queue.shift()) results.push(await run(job));
   };
-  await Promise.all(Array.from({ length: ASKED_AT_ONCE }, work));
+  await Promise.all(Array.from({ length: MAX_CONCURRENT_POLLS }, runNext));
   return results;
 }
 
-/** All users, over all clusters: what they submitted, and all that they were told. */
+/** The users of all clusters: their submitted jobs, and the responses that they got. */
 export class Users {
   readonly jobs = new Map<string, TrackedJob>();
   readonly specs = new Map<string, JobSpec>();
@@ -67,102 +73,103 @@
     this.http.close();
   }
 
-  /** Accepted, and not known to be over. */
-  open(): TrackedJob[] {
-    return this.accepted().filter((job) => !isOver(job));
+  /** Returns the accepted jobs that are not known to have ended. */
+  unfinished(): TrackedJob[] {
+    return this.accepted().filter((job) => !isEnded(job));
   }
 
   accepted(): TrackedJob[] {
     return [...this.jobs.values()].filter((job) => job.outcome === 'accepted');
   }
 
-  /** Submits the jobs one after the other; the first that is not accepted ends it. */
+  /** Submits the jobs in sequence, and stops at the first that is not accepted. */
   async submit(step: string, submission: Submission): Promise<void> {
-    for (const order of submission.orders) {
+    for (const order of submission.entries) {
       const job = await this.submitOne(step, order);
       if (job.outcome !== 'accepted') return;
     }
     if (submission.cancelAfterS === undefined) return;
     await pause(this.clock, submission.cancelAfterS * 1000);
-    await this.cancel(submission.orders[0]!.spec.id);
+    await this.cancel(submission.entries[0]!.spec.id);
   }
 
   private async submitOne(step: string, { spec, upload }: JobFileEntry): Promise<TrackedJob> {
     const job: TrackedJob = { spec, step, outcome: 'pending', view: null };
     this.jobs.set(spec.id, job);
     this.specs.set(spec.id, spec);
-    this.note(spec.id, 'submitted');
+    this.recordEvent(spec.id, 'submitted');
     try {
       job.view = await this.client.submit(spec, upload);
       job.outcome = 'accepted';
-      this.note(spec.id, 'accepted');
+      this.recordEvent(spec.id, 'accepted');
     } catch (error) {
       if (!(error instanceof RequestRejectedError || error instanceof ClientUnreachableError)) throw error;
       job.outcome = error instanceof RequestRejectedError ? 'refused' : 'undecided';
-      if (error instanceof RequestRejectedError) this.note(spec.id, 'refused');
+      if (error instanceof RequestRejectedError) this.recordEvent(spec.id, 'refused');
     }
     return job;
   }
 
   async cancel(id: string): Promise<void> {
-    this.note(id, 'cancel asked');
+    this.recordEvent(id, 'cancel asked');
     const asked = this.events.length;
     try {
       const view = await this.client.cancel(id);
-      if (view.status === 'cancelled') this.hear(id, view, asked);
+      if (view.status === 'cancelled') this.recordView(id, view, asked);
     } catch (error) {
       if (!(error instanceof RequestRejectedError || error instanceof ClientUnreachableError)) throw error;
-      if (error instanceof RequestRejectedError) this.note(id, 'unknown', asked);
+      if (error instanceof RequestRejectedError) this.recordEvent(id, 'unknown', asked);
     }
   }
 
-  /** Asks once how each of these jobs stands. */
+  /** Requests the status of each of these jobs once. */
   async poll(jobs: readonly TrackedJob[]): Promise<void> {
-    await eachOf(jobs, (job) => this.ask(job));
+    await mapConcurrently(jobs, (job) => this.pollOnce(job));
   }
 
-  /** Asks once; undefined when there was no answer. */
-  private async ask(job: TrackedJob): Promise<JobView | null | undefined> {
+  /** Requests the status of a job once; null if the job is unknown, undefined if there was no answer. */
+  private async pollOnce(job: TrackedJob): Promise<JobView | null | undefined> {
     const { id } = job.spec;
     const asked = this.events.length;
     this.questions.asked++;
     const view = await this.client.poll(id);
     if (view === undefined) return undefined;
     this.questions.answered++;
-    if (view === null) this.note(id, 'unknown', asked);
-    else this.hear(id, view, asked);
+    if (view === null) this.recordEvent(id, 'unknown', asked);
+    else this.recordView(id, view, asked);
     return view;
   }
 
-  private hear(id: string, view: JobView, asked: number): void {
+  private recordView(id: string, view: JobView, asked: number): void {
     this.jobs.get(id)!.view = view;
     this.events.push({ at: this.clock.now(), job: id, kind: 'told', status: view.status, asked });
   }
 
-  private note(job: string, kind: UserEvent['kind'], asked?: number): void {
+  private recordEvent(job: string, kind: UserEvent['kind'], asked?: number): void {
     this.events.push({ at: this.clock.now(), job, kind, ...(asked !== undefined && { asked }) });
   }
 
   /**
-   * Asks a cluster that took over for every job that was ever accepted, until each is answered; `settled` holds the tasks
-   * that were stored as done. A job that is known but not told of in time, or with fewer done tasks, breaks a rule; so does
-   * an unfinished one that is missing in the list or stands there as another. (The checker sees jobs that are forgotten.)
+   * Polls a new cluster for every job that was ever accepted until each is answered; `settled` holds the tasks that
+   * were stored as done. It is a violation if the status of a job is not answered in time or has fewer done tasks
+   * than were stored, or if an unfinished job is missing in the list of jobs or listed with other properties. (Jobs
+   * that are unknown to the cluster are found by the checker of histories.)
    */
-  async takeOver(settled: ReadonlyMap<string, ReadonlySet<number>>): Promise<Violation[]> {
-    const until = this.clock.now() + TAKEOVER_S * 1000;
-    const found = await eachOf(this.accepted(), (job) =>
-      this.askUntilKnown(job, settled.get(job.spec.id)?.size ?? 0, until),
+  async checkTakeover(settled: ReadonlyMap<string, ReadonlySet<number>>): Promise<Violation[]> {
+    const deadline = this.clock.now() + TAKEOVER_S * 1000;
+    const found = await mapConcurrently(this.accepted(), (job) =>
+      this.askUntilKnown(job, settled.get(job.spec.id)?.size ?? 0, deadline),
     );
-    const unfinished = this.open();
+    const unfinished = this.unfinished();
     return [...found.flat(), ...(await this.compareList(unfinished))];
   }
 
-  private async askUntilKnown(job: TrackedJob, doneAtLeast: number, until: number): Promise<Violation[]> {
+  private async askUntilKnown(job: TrackedJob, doneAtLeast: number, deadline: number): Promise<Violation[]> {
     for (;;) {
-      const view = await this.ask(job);
-      if (view === null || (view && isOver(job)) || (view && view.done >= doneAtLeast)) return [];
-      if (this.clock.now() < until) {
-        await pause(this.clock, ASK_AGAIN_MS);
+      const view = await this.pollOnce(job);
+      if (view === null || (view && isEnded(job)) || (view && view.done >= doneAtLeast)) return [];
+      if (this.clock.now() < deadline) {
+        await pause(this.clock, POLL_RETRY_MS);
         continue;
       }
       const what = view
@@ -182,8 +189,8 @@
       const { id, team, class: jobClass, tasks } = job.spec;
       const entry = byId.get(id);
       if (!entry) {
-        await this.ask(job);
-        if (!isOver(job)) found.push({ rule: 'not_listed', at, what: `${id} is unfinished and not listed` });
+        await this.pollOnce(job);
+        if (!isEnded(job)) found.push({ rule: 'not_listed', at, what: `${id} is unfinished and not listed` });
       } else if (entry.team !== team || entry.class !== jobClass || entry.tasks !== tasks)
         found.push({ rule: 'changed', at, what: `${id} is listed as ${JSON.stringify(entry)}` });
     }
