--- a/tests/faults/latemessages.test.ts
+++ b/tests/faults/latemessages.test.ts
@@ -39,7 +39,7 @@
       );
     }
   }
-  // Another machine may have that address by now: it gets no more status requests than duplicates arrive.
+  // Another machine may have that address now, and gets at most one status request per duplicate.
   let asked = 0;
   cluster.net.peers.set(worker.place.addr, () => ({
     status: 200,
--- a/tests/support/cluster.ts
+++ b/tests/support/cluster.ts
@@ -211,7 +211,7 @@
       else run();
     };
     const whenAwake = <T>(value: T) => new Promise<T>((resolve) => whenRunning(() => resolve(value)));
-    // A killed process runs no more callbacks.
+    // A killed process executes no callbacks.
     const clock = {
       now: () => this.clock.now(),
       wall: () => this.clock.wall(),
@@ -336,7 +336,7 @@
   private mesh(from: string, running: Running): Mesh {
     return {
       request: async (to, op, args, timeoutMs) => {
-        // A killed process sends no more requests.
+        // A killed process sends no requests.
         if (running.stopped.value) return new Promise(() => undefined);
         const target = this.nodes.get(to);
         this.sent.push({ from, to, op });
@@ -409,7 +409,7 @@
     const report = worker.report();
     this.onHeartbeat?.(report);
     void running.api.handle(this.request('POST', '/v1/report', report)).then((reply) => {
-      // The response does not reach this worker: it times out after 4 s and turns to the next node a second later.
+      // The response does not reach this worker, which times out after 4 s and turns to the next node a second later.
       if (isBlocked) return;
       timer.cancel();
       if (reply.status === 200) worker.answer(JSON.parse(JSON.stringify(reply.body)), sent);
@@ -417,7 +417,7 @@
     });
   }
 
-  /** All machine types that the cloud offers. */
+  /** The machine types that the cloud offers. */
   get types(): MachineType[] {
     return [['c8', 8, 0] as const, ['g8', 8, 2] as const, ...this.moreTypes].map(([n, c, g]) =>
       this.type(n, c, g),
--- a/tests/support/feeds.ts
+++ b/tests/support/feeds.ts
@@ -14,7 +14,7 @@
 interface FeedNode {
   feed: ChangeFeed;
   stateCache: ClusterStateCache;
-  /** Whether the node is killed or paused: it answers no request and runs no callback. */
+  /** Whether the node is killed or paused, and therefore answers no request and runs no callback. */
   down: boolean;
   /** Whether the node's lease renewals show that the state service is reachable. */
   served: boolean;
--- a/tests/support/produced.ts
+++ b/tests/support/produced.ts
@@ -362,7 +362,7 @@
   };
 }
 
-/** Returns complete responses to users and workers, of those that do not depend on the outcome of planning. */
+/** Returns complete responses to users and workers, except responses that depend on the outcome of planning. */
 export async function apiAnswers(): Promise<EncodedTexts> {
   const cluster = new FakeCluster(['n0']);
   cluster.addWorker('c8', 'a');
--- a/tests/support/shapes.ts
+++ b/tests/support/shapes.ts
@@ -1,4 +1,7 @@
-/** Strings that match are recorded literally, since they may be part of the format; all others only as `string`. */
+/**
+ * Strings that match are recorded literally, since they may be part of the format; other strings are recorded as
+ * `string`.
+ */
 const ENUM_WORD = /^[a-z][A-Za-z_]{0,23}$/;
 /** Members whose content is a stored value, which has a shape of its own and is not recorded here. */
 const OPAQUE_MEMBERS: ReadonlySet<string> = new Set(['value']);
--- a/tests/support/troubles.ts
+++ b/tests/support/troubles.ts
@@ -13,7 +13,7 @@
   share: number;
 }
 
-/** All kinds of faults that can be injected, each with its maximum duration. */
+/** The kinds of faults that can be injected, each with its maximum duration. */
 const MAX_DURATION_S = {
   'late writes': 30,
   'lost answers': 20,
@@ -87,7 +87,10 @@
 
 const MAX_LOST_ANSWERS = 3;
 
-/** Loses the answers to the first three transactions that write a key with this prefix; they are executed at once. */
+/**
+ * Loses the answers to the first three transactions that write a key with this prefix. The transactions are
+ * executed at once.
+ */
 export function loseAnswers(key: string): {
   fate: (from: string, addr: string, method: string, path: string, body: unknown) => RequestOutcome | null;
   count: () => number;
@@ -124,7 +127,7 @@
   private readonly delayedCommands = new Set<Fault>();
   private readonly delayedHeartbeats = new Set<Fault>();
   private readonly heartbeatsForNextLeader = new Set<Fault>();
-  /** One heartbeat of each machine, kept for the next leader. */
+  /** The heartbeats kept for the next leader, one per machine. */
   private readonly keptHeartbeats = new Map<string, object>();
   private readonly fastBoots = new Set<Fault>();
   private readonly nodesWithoutState = new Set<string>();
--- a/tests/upgrade/step.ts
+++ b/tests/upgrade/step.ts
@@ -10,7 +10,7 @@
 import type { StepFigures } from './report.js';
 import { isEnded, type Questions, type TrackedJob, type Users } from './users.js';
 
-/** The plan of a step: one cluster on the data directory that all steps share. */
+/** The plan of a step. Each step runs one cluster on the data directory that all steps share. */
 export interface StepPlan {
   name: string;
   what: string;
