--- a/src/api/routes.ts
+++ b/src/api/routes.ts
@@ -4,7 +4,7 @@
 import type { ControllerNode } from '../controller/controllernode.js';
 import { UnavailableError } from '../errors/errors.js';
 import type { ClientKind } from '../http/connectionadmission.js';
-import { bad, later, parseBody, wrongMethod } from '../http/replies.js';
+import { badRequest, methodNotAllowed, parseBody, retryLater } from '../http/replies.js';
 import type { HttpReply, HttpRequest } from '../http/server.js';
 import { fitCount } from '../plan/capacityprofile.js';
 import { StateStoreError } from '../state/statestore.js';
@@ -31,7 +31,7 @@
 /** Handles the requests of users and workers. */
 export class Api {
   /** Handlers of optional components by path prefix. */
-  readonly mounts = new Map<string, (request: HttpRequest) => Promise<HttpReply>>();
+  readonly handlersByPrefix = new Map<string, (request: HttpRequest) => Promise<HttpReply>>();
 
   constructor(
     private readonly context: ControllerContext,
@@ -45,7 +45,7 @@
     } catch (error) {
       if (error instanceof UnavailableError || error instanceof StateStoreError) {
         this.context.log.debug({ path: request.path, err: error }, 'request failed: unavailable');
-        return later(503, 1, error.message);
+        return retryLater(503, 1, error.message);
       }
       throw error;
     }
@@ -53,14 +53,15 @@
 
   private async route(request: HttpRequest): Promise<HttpReply> {
     if (request.path === USER_PATHS.health)
-      return request.method === 'GET' ? this.health() : wrongMethod('GET');
+      return request.method === 'GET' ? this.health() : methodNotAllowed('GET');
     if (request.path === WORKER_PATHS.heartbeat)
-      return request.method === 'POST' ? this.heartbeat(request) : wrongMethod('POST');
+      return request.method === 'POST' ? this.heartbeat(request) : methodNotAllowed('POST');
     if (request.path === USER_PATHS.jobs) {
       if (request.method === 'GET') return this.list(request);
-      return request.method === 'POST' ? this.submit(request) : wrongMethod('GET, POST');
+      return request.method === 'POST' ? this.submit(request) : methodNotAllowed('GET, POST');
     }
-    for (const [prefix, handler] of this.mounts) if (request.path.startsWith(prefix)) return handler(request);
+    for (const [prefix, handler] of this.handlersByPrefix)
+      if (request.path.startsWith(prefix)) return handler(request);
     return this.routeJob(request);
   }
 
@@ -68,15 +69,15 @@
     const job = JOB_PATH.exec(request.path);
     if (!job) return { status: 404, body: { error: 'no such path' } };
     const id = decode(job[1]!);
-    if (job[2] === undefined) return request.method === 'GET' ? this.status(id) : wrongMethod('GET');
+    if (job[2] === undefined) return request.method === 'GET' ? this.status(id) : methodNotAllowed('GET');
     if (job[2] !== USER_PATHS.cancel) return { status: 404, body: { error: 'no such path' } };
-    return request.method === 'POST' ? this.cancel(id) : wrongMethod('POST');
+    return request.method === 'POST' ? this.cancel(id) : methodNotAllowed('POST');
   }
 
   private health(): HttpReply {
     const reply = this.node.healthy
       ? { status: 200, body: writeHealth(this.node.membership.stateCache.revision) }
-      : later(503, 1, 'starting');
+      : retryLater(503, 1, 'starting');
     return { ...reply, clientKind: 'health' };
   }
 
@@ -96,10 +97,11 @@
 
   private async submit(request: HttpRequest): Promise<HttpReply> {
     const body = parseBody(request.body);
-    if (typeof body !== 'object' || body === null || Array.isArray(body)) return bad('not a JSON object');
+    if (typeof body !== 'object' || body === null || Array.isArray(body))
+      return badRequest('not a JSON object');
     const spec = readJob(body);
-    if (typeof spec === 'string') return bad(spec);
-    if (!this.context.catalog.known) return later(503, 1, 'machine types are not known yet');
+    if (typeof spec === 'string') return badRequest(spec);
+    if (!this.context.catalog.hasTypes) return retryLater(503, 1, 'machine types are not known yet');
     const reason = this.findRejectionReason(spec);
     if (reason !== null) {
       // An accepted job is not rejected when it is submitted again, even if no machine type fits it any more.
@@ -107,10 +109,10 @@
       if (!entry) return { status: 422, body: { error: reason } };
     }
     const result = await this.node.submit(spec);
-    if (result.kind === 'refused') return later(429, result.retryS, 'no plan meets the deadline');
+    if (result.kind === 'refused') return retryLater(429, result.retryS, 'no plan meets the deadline');
     if (result.kind === 'never')
       return { status: 422, body: { error: `${result.needs} was never accepted` } };
-    if (result.kind === 'busy') return later(503, result.retryS, 'too many new jobs at once');
+    if (result.kind === 'busy') return retryLater(503, result.retryS, 'too many new jobs at once');
     if (result.kind === 'accepted')
       return { status: 201, body: writeAccepted(spec.id, result.cancelled ? 'cancelled' : 'queued') };
     return { status: 200, body: writeAccepted(spec.id, result.status) };
@@ -122,7 +124,7 @@
     const team = teams.find((t) => t.name === spec.team);
     if (teams.length > 0 && !team) return `unknown team ${spec.team}`;
     const fits = this.context.catalog
-      .all()
+      .offeredTypes()
       .some(
         ([, t]) =>
           (!spec.types || spec.types.includes(t.name)) &&
--- a/src/autoscaler/autoscaler.ts
+++ b/src/autoscaler/autoscaler.ts
@@ -13,7 +13,7 @@
 /** Manages a shard's machines: their records, rentals and returns. */
 export class Autoscaler {
   /** Machines that are being moved to another shard or returned to the cloud. */
-  readonly moving = new Set<string>();
+  readonly movingMachines = new Set<string>();
   private readonly records: MachineRecords;
   private readonly scaleOut: ScaleOut;
   private readonly scaleIn: ScaleIn;
@@ -21,7 +21,7 @@
   constructor(options: AutoscalerOptions) {
     this.records = new MachineRecords(options);
     this.scaleOut = new ScaleOut(options, this.records);
-    this.scaleIn = new ScaleIn(options, this.records, this.moving);
+    this.scaleIn = new ScaleIn(options, this.records, this.movingMachines);
   }
 
   /** Machines that have been requested from the cloud and are not recorded yet. */
@@ -55,8 +55,8 @@
   }
 
   /** Returns machines to the cloud that are not needed, never came up, stopped reporting or fail all tasks. */
-  returnIdle(now: number): void {
-    this.scaleIn.returnIdle(now);
+  returnUnneeded(now: number): void {
+    this.scaleIn.returnUnneeded(now);
   }
 
   /** Called when the cloud's list of machines has been read. */
--- a/src/autoscaler/machinerecords.ts
+++ b/src/autoscaler/machinerecords.ts
@@ -36,7 +36,7 @@
         [{ put: key, value }],
       );
       if (result.ok) return result.revision;
-      if (result.failed.includes(this.ownerCondition.key)) throw hooks.lostOwnership();
+      if (result.failed.includes(this.ownerCondition.key)) throw hooks.onOwnershipLost();
     } catch (error) {
       if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
     }
@@ -61,10 +61,14 @@
    */
   async settle(machine: Machine): Promise<void> {
     const { context, hooks, registry } = this.options;
-    while (!hooks.stopped() && registry.machines.get(machine.id) === machine) {
+    while (!hooks.isStopped() && registry.machines.get(machine.id) === machine) {
       try {
         const version = await this.write(machine);
-        hooks.recorded(machine.id, { key: KEYS.machine(machine.id), value: this.recordOf(machine), version });
+        hooks.onRecorded(machine.id, {
+          key: KEYS.machine(machine.id),
+          value: this.recordOf(machine),
+          version,
+        });
         return;
       } catch (error) {
         if (error instanceof NotOwnerError) return;
@@ -87,7 +91,7 @@
     const value: MachineRecord = { shard, addr: '', type, zone, spot, state: 'use', rentedAt };
     for (const batch of this.splitIntoTransactions(ids)) {
       let unrecorded = batch;
-      while (unrecorded.length > 0 && !hooks.stopped())
+      while (unrecorded.length > 0 && !hooks.isStopped())
         unrecorded = await this.tryRecordRented(unrecorded, value);
     }
   }
@@ -148,11 +152,11 @@
       );
       if (result.ok) {
         for (const id of ids)
-          hooks.recorded(id, { key: KEYS.machine(id), value: { ...value }, version: result.revision });
+          hooks.onRecorded(id, { key: KEYS.machine(id), value: { ...value }, version: result.revision });
         return [];
       }
       if (result.failed.includes(this.ownerCondition.key)) {
-        hooks.lostOwnership();
+        hooks.onOwnershipLost();
         return [];
       }
       return ids.filter((id) => !result.failed.includes(KEYS.machine(id)));
--- a/src/autoscaler/options.ts
+++ b/src/autoscaler/options.ts
@@ -8,19 +8,19 @@
 /** The shard's state and operations that its autoscaler uses. */
 export interface AutoscalerHooks {
   /** Returns whether this owner has stopped acting for the shard. */
-  stopped(): boolean;
+  isStopped(): boolean;
   /** Returns whether a machine is empty and neither reserved for a task nor promised to another shard. */
   isIdle(machine: Machine): boolean;
   /** Called when a machine's record has been written. */
-  recorded(id: string, entry: Entry): void;
+  onRecorded(id: string, entry: Entry): void;
   /** Called when another node owns the shard; returns the error to throw. */
-  lostOwnership(): Error;
+  onOwnershipLost(): Error;
   /** Returns a name that is never used again by any node. */
   uniqueName(kind: string): string;
   /** Returns the resources that a task of a class takes; null if the shard has had no task of that class. */
   taskSizeOf(jobClass: string): Amounts | null;
   /** Returns whether the shard has had no job yet, in which case its first job may be of any class. */
-  hasSeenNoJob(): boolean;
+  hasHadNoJob(): boolean;
   requestPlan(): void;
 }
 
--- a/src/autoscaler/scalein.ts
+++ b/src/autoscaler/scalein.ts
@@ -61,7 +61,7 @@
   }
 
   /** Returns machines to the cloud that are not needed, never came up, stopped reporting or fail all tasks. */
-  returnIdle(now: number): void {
+  returnUnneeded(now: number): void {
     const toReturn: Machine[] = [];
     for (const machine of this.options.registry.machines.values())
       if (!this.moving.has(machine.id) && this.shouldReturn(machine, now)) toReturn.push(machine);
@@ -150,7 +150,7 @@
   private isKeptFor(machine: Machine, jobClass: string): boolean {
     const { context, hooks } = this.options;
     const taskSize = hooks.taskSizeOf(jobClass);
-    if (!taskSize) return hooks.hasSeenNoJob();
+    if (!taskSize) return hooks.hasHadNoJob();
     const size = context.catalog.size(machine.type);
     if (
       fitCount(size, taskSize, 1) > 0 &&
@@ -158,7 +158,7 @@
     )
       return true;
     const costs = context.catalog
-      .all()
+      .offeredTypes()
       .map(([type, t]) => ({ type, cost: t.price / fitCount(t, taskSize, MAX_RESERVED_TASKS) }));
     const least = Math.min(...costs.map((c) => c.cost));
     return costs.some((c) => c.type === machine.type && c.cost <= least * MAX_KEPT_COST_FACTOR);
--- a/src/autoscaler/scaleout.ts
+++ b/src/autoscaler/scaleout.ts
@@ -86,7 +86,7 @@
   rentOptions(now: number): RentOption[] {
     const { catalog, names, settings } = this.options.context;
     const options: RentOption[] = [];
-    for (const [type, machineType] of catalog.all()) {
+    for (const [type, machineType] of catalog.offeredTypes()) {
       // Among equals the shard's own zone comes first, because a partition between zones does not cut the shard off
       // from it.
       const zones = [...machineType.zones].sort(
@@ -143,7 +143,7 @@
   /** Requests machines from the cloud; repeats a request without an answer, since it may have been executed. */
   private async requestRental(request: Rental): Promise<RentalOutcome> {
     const { context, hooks, log } = this.options;
-    while (!hooks.stopped()) {
+    while (!hooks.isStopped()) {
       try {
         const machines = await context.cloud.rent(request);
         this.cloudBackoff = NO_BACKOFF;
@@ -170,7 +170,9 @@
       return;
     }
     const { catalog, clock, settings } = this.options.context;
-    const kinds = catalog.all().reduce((sum, [, machineType]) => sum + 2 * machineType.zones.length, 0);
+    const kinds = catalog
+      .offeredTypes()
+      .reduce((sum, [, machineType]) => sum + 2 * machineType.zones.length, 0);
     const probingRate = Math.max(0.1, settings.cloudLimits.rps * PROBING_FRACTION);
     // The time that all shards need to request all kinds one after another at that rate.
     const probingMs = (kinds * settings.nodes * 1000) / probingRate;
--- a/src/cli/condor.ts
+++ b/src/cli/condor.ts
@@ -36,7 +36,7 @@
  * Returns the item rows of the queue statements whose items come from local files or file name patterns, by the index
  * of the statement. Relative paths are resolved against `base`.
  */
-export function readRows(queues: readonly Queue[], base: string): Record<string, string[]> {
+export function readItemRows(queues: readonly Queue[], base: string): Record<string, string[]> {
   const rows: Record<string, string[]> = {};
   queues.forEach(({ items, line }, i) => {
     if (items.kind === 'from' && items.file !== null)
@@ -113,7 +113,7 @@
 
 function parseRows(file: string, text: string): Record<string, string[]> {
   try {
-    return readRows(parseSubmit(text), file === '-' ? '.' : dirname(file));
+    return readItemRows(parseSubmit(text), file === '-' ? '.' : dirname(file));
   } catch (error) {
     if (error instanceof SubmitError) failAt(file, error);
     throw error;
--- a/src/cli/connect.ts
+++ b/src/cli/connect.ts
@@ -40,11 +40,11 @@
 
 /** Creates a client of the cluster that the options name; sends nothing yet. */
 export function connect(options: ServerOptions): ClusterConnection {
-  const http = new HttpClient(systemClock, { maxSockets: 16, bodyBytes: 4 * 1024 * 1024 });
+  const http = new HttpClient(systemClock, { maxSockets: 16, maxBodyBytes: 4 * 1024 * 1024 });
   const client = new SpartrayClient(systemClock, http, {
     servers: options.server.split(','),
     depot: options.depot ?? null,
-    retryS: Number(options.timeout),
+    retryPeriodS: Number(options.timeout),
   });
   return { client, close: () => http.close() };
 }
--- a/src/cli/jobs.ts
+++ b/src/cli/jobs.ts
@@ -71,7 +71,7 @@
   const ids = jobs.map((job) => job.spec.id);
   const connection = connect(options);
   let views: (JobView | null)[] = [];
-  for (const { spec, upload } of jobs) views.push(await connection.client.submit(spec, upload));
+  for (const { spec, emulation } of jobs) views.push(await connection.client.submit(spec, emulation));
   if (options.wait) {
     if (!options.json) for (const v of views) printLine(`${v!.id} accepted`);
     views = await Promise.all(ids.map((id) => connection.client.wait(id)));
--- a/src/cli/local.ts
+++ b/src/cli/local.ts
@@ -5,7 +5,7 @@
 import { type Command, InvalidArgumentError } from 'commander';
 import type { LocalCluster } from '../emulator/local.js';
 import type { Platform } from '../emulator/platform.js';
-import { MOST_CONTROLLERS } from '../emulator/ports.js';
+import { MAX_CONTROLLERS } from '../emulator/ports.js';
 import { loadJobs } from './files.js';
 import { EXIT, fail, printLine } from './output.js';
 
@@ -36,7 +36,7 @@
 /** Adds the flags of every command that starts a cluster on this machine; `speed` is the default of `--speed`. */
 export function addLocalOptions(command: Command, speed: number): Command {
   return command
-    .option('--controllers <n>', 'number of controller processes', numberInRange(1, MOST_CONTROLLERS), 3)
+    .option('--controllers <n>', 'number of controller processes', numberInRange(1, MAX_CONTROLLERS), 3)
     .option('--machines <file>', 'platform file: machine types, capacity, teams, limits', 'builtin')
     .option(
       '--speed <times>',
--- a/src/cli/runfile.ts
+++ b/src/cli/runfile.ts
@@ -6,10 +6,10 @@
 
 /** Submits jobs to a cluster on this machine and waits for them; returns whether all of them are done. */
 export async function runJobs(cluster: LocalCluster, jobs: readonly JobFileEntry[]): Promise<boolean> {
-  const http = new HttpClient(cluster.clock, { maxSockets: 64, bodyBytes: 1024 * 1024 });
+  const http = new HttpClient(cluster.clock, { maxSockets: 64, maxBodyBytes: 1024 * 1024 });
   const client = new SpartrayClient(cluster.clock, http, { servers: [cluster.users], depot: cluster.depot });
-  for (const { spec, upload } of jobs) {
-    await client.submit(spec, upload);
+  for (const { spec, emulation } of jobs) {
+    await client.submit(spec, emulation);
     printLine(`${spec.id} accepted`);
   }
   const views = await Promise.all(
--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -2,7 +2,7 @@
 
 import { type Clock, pause } from '../clock/clock.js';
 import { InvalidInputError, UnreachableError } from '../errors/errors.js';
-import { type HttpAnswer, HttpRequestError, type Requester } from '../http/client.js';
+import { HttpRequestError, type HttpResponse, type Requester } from '../http/client.js';
 import {
   type JobSpec,
   type JobView,
@@ -44,7 +44,7 @@
   /** `host:port` of the service from which workers fetch job descriptions; null when descriptions are not uploaded. */
   depot: string | null;
   /** Retry period of a request, in seconds. */
-  retryS?: number;
+  retryPeriodS?: number;
   /** Called after every request with its status, or 0 when there was no response, and its duration. */
   onResponse?: (request: string, status: number, ms: number) => void;
 }
@@ -89,7 +89,7 @@
     const { depot } = this.options;
     if (depot === null) return;
     const body = { job: writeJob(spec), ...emulation };
-    const deadline = this.clock.now() + (this.options.retryS ?? DEFAULT_RETRY_S) * 1000;
+    const deadline = this.clock.now() + (this.options.retryPeriodS ?? DEFAULT_RETRY_S) * 1000;
     for (;;) {
       const response = await this.requestOnce(depot, 'PUT', `/jobs/${spec.id}`, body, RESPONSE_TIMEOUT_MS);
       if (response?.status === 200) return;
@@ -175,8 +175,8 @@
     body: object | null,
     finalStatuses: readonly number[],
     timeoutMs = RESPONSE_TIMEOUT_MS,
-  ): Promise<HttpAnswer> {
-    const deadline = this.clock.now() + (this.options.retryS ?? DEFAULT_RETRY_S) * 1000;
+  ): Promise<HttpResponse> {
+    const deadline = this.clock.now() + (this.options.retryPeriodS ?? DEFAULT_RETRY_S) * 1000;
     let failure = 'no answer';
     for (;;) {
       const response = await this.requestOnce(this.currentServer(), method, path, body, timeoutMs);
@@ -197,9 +197,9 @@
     path: string,
     body: object | null,
     timeoutMs: number,
-  ): Promise<HttpAnswer | null> {
+  ): Promise<HttpResponse | null> {
     const sentAt = this.clock.now();
-    let response: HttpAnswer | null = null;
+    let response: HttpResponse | null = null;
     try {
       response = await this.http.request(addr, method, path, body, timeoutMs);
     } catch (error) {
@@ -214,7 +214,7 @@
     return this.options.servers[this.nextServer % this.options.servers.length]!;
   }
 
-  private viewOf(response: HttpAnswer): JobView {
+  private viewOf(response: HttpResponse): JobView {
     const view = response.status < 300 ? readStatus(response.body) : null;
     if (!view) throw new RequestRejectedError(response.status, errorText(response));
     return view;
@@ -225,13 +225,13 @@
   return `${USER_PATHS.jobs}/${encodeURIComponent(id)}`;
 }
 
-function retryAfterSeconds(response: HttpAnswer | null): number {
+function retryAfterSeconds(response: HttpResponse | null): number {
   const seconds = Number(response?.headers.get('retry-after') ?? 0);
   return Number.isFinite(seconds) ? seconds : 0;
 }
 
 /** Returns the error text of a response. */
-function errorText(response: HttpAnswer): string {
+function errorText(response: HttpResponse): string {
   const error = (response.body as { error?: unknown } | null)?.error;
   return typeof error === 'string' ? error : 'no reason given';
 }
--- a/src/client/jobfile.ts
+++ b/src/client/jobfile.ts
@@ -13,7 +13,7 @@
 /** A job of a file: its specification and its parameters for emulated workers. */
 export interface JobFileEntry {
   spec: JobSpec;
-  upload: EmulationParameters;
+  emulation: EmulationParameters;
 }
 
 /** Values of the fields of a submission that a job file leaves out. */
@@ -58,10 +58,12 @@
     if (!isObject(job)) throw new JobFileError(`job ${i + 1}: not an object`);
     const spec = readJob({ ...DEFAULTS, id: `wk-${randomUUID()}`, ...job });
     if (typeof spec === 'string') throw new JobFileError(`job ${i + 1}: ${spec}`);
-    const upload = v.safeParse(emulationFields, job);
-    if (!upload.success)
-      throw new JobFileError(`job ${i + 1}: ${v.getDotPath(upload.issues[0])}: ${upload.issues[0].message}`);
-    return { spec, upload: upload.output };
+    const emulation = v.safeParse(emulationFields, job);
+    if (!emulation.success)
+      throw new JobFileError(
+        `job ${i + 1}: ${v.getDotPath(emulation.issues[0])}: ${emulation.issues[0].message}`,
+      );
+    return { spec, emulation: emulation.output };
   });
 }
 
--- a/src/cloud/cloud.ts
+++ b/src/cloud/cloud.ts
@@ -49,7 +49,7 @@
   }
 
   /** Returns the machine types that the cloud offers. */
-  async types(): Promise<MachineType[]> {
+  async listMachineTypes(): Promise<MachineType[]> {
     const response = await this.send('GET', CLOUD_PATHS.types, null);
     const types = response.status === 200 ? readTypes(response.body) : null;
     if (!types)
@@ -58,7 +58,7 @@
   }
 
   /** Returns all rented machines, requested page by page. */
-  async list(): Promise<ListedMachine[]> {
+  async listMachines(): Promise<ListedMachine[]> {
     const all: ListedMachine[] = [];
     let after: string | null = null;
     for (;;) {
--- a/src/condor/expander.ts
+++ b/src/condor/expander.ts
@@ -118,7 +118,7 @@
   /** Loads clusters that are not in memory yet. */
   async discoverClusters(): Promise<void> {
     const term = this.term;
-    const all = await this.records.all();
+    const all = await this.records.listClusters();
     for (const stored of all) {
       if (stored.record.state === 'over' || this.clusters.has(stored.number)) continue;
       const cluster = await this.loadCluster(stored);
@@ -235,7 +235,7 @@
       let version: number | null = null;
       try {
         version = await (record.state === 'over'
-          ? this.records.end(this.term, cluster, record)
+          ? this.records.moveToEnded(this.term, cluster, record)
           : this.records.put(this.term, cluster, record));
       } finally {
         if (version === null) this.invalidate(cluster);
@@ -347,7 +347,7 @@
     this.clusters.delete(cluster.number);
     this.log.info({ cluster: cluster.number, procs: cluster.record.total, removed }, 'cluster ended');
     if (this.term !== null)
-      await this.records.sweep(this.term, {
+      await this.records.deleteObsolete(this.term, {
         number: cluster.number,
         record: cluster.record,
         version: cluster.version,
--- a/src/condor/procs.ts
+++ b/src/condor/procs.ts
@@ -3,7 +3,7 @@
 import { flatten } from '../classad/flatten.js';
 import { ClassAdError, parseExpr } from '../classad/parser.js';
 import { printExpr } from '../classad/print.js';
-import { type JobSpec, PRIORITIES, PRIORITY } from '../wire/users.js';
+import { type JobSpec, PRIORITIES_BY_URGENCY, PRIORITY } from '../wire/users.js';
 import { COMMANDS, UNIVERSES } from './commands.js';
 import { parseSubmit, type Queue, rowsOf, splitRow } from './language.js';
 import { MacroExpander, type Setting, SubmitError } from './macros.js';
@@ -338,11 +338,12 @@
   private parsePriority(ad: Ad): number {
     const priorityName = this.stringAttribute(ad, 'SpartrayPriority');
     if (priorityName !== null) {
-      const priority = PRIORITIES[priorityName.toLowerCase() as keyof typeof PRIORITIES];
+      const priority =
+        PRIORITIES_BY_URGENCY[priorityName.toLowerCase() as keyof typeof PRIORITIES_BY_URGENCY];
       if (priority !== undefined) return priority;
       const { line, column } = this.positionOf('SpartrayPriority');
       throw new SubmitError(
-        `SpartrayPriority has to be one of ${Object.keys(PRIORITIES).join(', ')}`,
+        `SpartrayPriority has to be one of ${Object.keys(PRIORITIES_BY_URGENCY).join(', ')}`,
         line,
         column,
       );
--- a/src/condor/records.ts
+++ b/src/condor/records.ts
@@ -154,7 +154,7 @@
   }
 
   /** Returns all clusters that have not ended, or all that have. */
-  async all(ended = false): Promise<StoredCluster[]> {
+  async listClusters(ended = false): Promise<StoredCluster[]> {
     const prefix = ended ? STORE_KEYS.endedClusters : STORE_KEYS.clusters;
     const { entries } = await this.store.list(prefix);
     const out: StoredCluster[] = [];
@@ -200,7 +200,7 @@
   }
 
   /** Moves a cluster's record to the ended clusters; null as for `put`. */
-  async end(term: number, cluster: StoredCluster, record: ClusterRecord): Promise<number | null> {
+  async moveToEnded(term: number, cluster: StoredCluster, record: ClusterRecord): Promise<number | null> {
     return this.write(
       term,
       [{ key: STORE_KEYS.cluster(cluster.number), version: cluster.version }],
@@ -237,7 +237,7 @@
   }
 
   /** Deletes the records that an ended cluster no longer needs, a few at a time. */
-  async sweep(term: number, cluster: StoredCluster): Promise<void> {
+  async deleteObsolete(term: number, cluster: StoredCluster): Promise<void> {
     const batchSize = Math.max(1, this.limits.txnOps);
     for (const prefix of [
       STORE_KEYS.parts(cluster.record.submission),
--- a/src/condor/service.ts
+++ b/src/condor/service.ts
@@ -6,7 +6,7 @@
 import type { ControllerContext } from '../context/context.js';
 import type { ControllerNode } from '../controller/controllernode.js';
 import { InvalidInputError, UnavailableError } from '../errors/errors.js';
-import { bad, later, parseBody, wrongMethod } from '../http/replies.js';
+import { badRequest, methodNotAllowed, parseBody, retryLater } from '../http/replies.js';
 import type { HttpReply, HttpRequest } from '../http/server.js';
 import { PeerRejectedError } from '../peer/mesh.js';
 import { StateStoreError } from '../state/statestore.js';
@@ -94,7 +94,7 @@
         return { status: 400, body: { error: error.message, line: error.line, column: error.column } };
       if (error instanceof NoSuchClusterError) return { status: 404, body: { error: 'no such cluster' } };
       if (error instanceof UnavailableError || error instanceof StateStoreError)
-        return later(503, 1, error.message);
+        return retryLater(503, 1, error.message);
       throw error;
     }
   }
@@ -106,18 +106,18 @@
     const what = match[2] ?? 'show';
     if (cluster === null) {
       if (request.method === 'POST') return this.submit(request);
-      return request.method === 'GET' ? this.list(request) : wrongMethod('GET, POST');
+      return request.method === 'GET' ? this.list(request) : methodNotAllowed('GET, POST');
     }
     if (what === 'procs' || what === 'show' || what === 'analyze') {
-      if (request.method !== 'GET') return wrongMethod('GET');
+      if (request.method !== 'GET') return methodNotAllowed('GET');
       const from = Number(request.query.get('from') ?? 0);
-      if (!Number.isInteger(from) || from < 0) return bad('from: a process number was expected');
+      if (!Number.isInteger(from) || from < 0) return badRequest('from: a process number was expected');
       return { status: 200, body: (await this.requestExpander(what, { cluster, from })) as object };
     }
-    if (request.method !== 'POST') return wrongMethod('POST');
+    if (request.method !== 'POST') return methodNotAllowed('POST');
     const parsed = v.safeParse(actBody, parseBody(request.body) ?? {});
     if (!parsed.success)
-      return bad(`${v.getDotPath(parsed.issues[0]) ?? 'body'}: ${parsed.issues[0].message}`);
+      return badRequest(`${v.getDotPath(parsed.issues[0]) ?? 'body'}: ${parsed.issues[0].message}`);
     const { procs, constraint, reason } = parsed.output;
     if (constraint != null) parseExpr(constraint);
     const args = { cluster, act: what, procs: procs ?? null, constraint: constraint ?? null, reason };
@@ -128,7 +128,7 @@
   private async submit(request: HttpRequest): Promise<HttpReply> {
     const parsed = v.safeParse(submitBody, parseBody(request.body));
     if (!parsed.success)
-      return bad(`${v.getDotPath(parsed.issues[0]) ?? 'body'}: ${parsed.issues[0].message}`);
+      return badRequest(`${v.getDotPath(parsed.issues[0]) ?? 'body'}: ${parsed.issues[0].message}`);
     if (!this.node.allSupportMatching)
       throw new UnavailableError('not all controllers serve HTCondor submit files');
     const { submission, text, rows, user } = parsed.output;
@@ -200,7 +200,7 @@
     await this.expander.discoverClusters();
     const clusters = [...this.expander.clusters.values()].map((c) => this.summary(c));
     if (over) {
-      for (const { number, record } of await this.records.all(true)) {
+      for (const { number, record } of await this.records.listClusters(true)) {
         const { user, batch, at, total, removed } = record;
         const ended = { idle: 0, running: 0, held: 0, removed, completed: total - removed };
         clusters.push({
@@ -269,11 +269,11 @@
   }
 
   private offers(): Offer[] {
-    return [...this.context.catalog.kinds()].map(({ of, zone, spot }) => ({
-      type: of.name,
+    return [...this.context.catalog.kinds()].map(({ machineType, zone, spot }) => ({
+      type: machineType.name,
       zone,
       spot,
-      ad: kindAd(of, zone, spot),
+      ad: kindAd(machineType, zone, spot),
     }));
   }
 
--- a/src/context/machinetypecatalog.ts
+++ b/src/context/machinetypecatalog.ts
@@ -5,7 +5,7 @@
 /** A kind of machine: a type, by index and description, in a zone, spot or not. */
 export interface MachineKind {
   readonly type: number;
-  readonly of: MachineType;
+  readonly machineType: MachineType;
   readonly zone: string;
   readonly spot: boolean;
 }
@@ -28,7 +28,7 @@
   constructor(private readonly names: NameTables) {}
 
   /** Whether any machine type is known. */
-  get known(): boolean {
+  get hasTypes(): boolean {
     return this.byIndex.size > 0;
   }
 
@@ -51,14 +51,15 @@
   }
 
   /** Returns the offered types with their indices. */
-  all(): [number, MachineType][] {
+  offeredTypes(): [number, MachineType][] {
     return [...this.byIndex].filter(([type]) => this.offered.has(type));
   }
 
   /** Iterates over every kind of machine that is or was offered. */
   *kinds(): Generator<MachineKind> {
     for (const [type, of] of this.byIndex)
-      for (const zone of of.zones) for (const spot of [false, true]) yield { type, of, zone, spot };
+      for (const zone of of.zones)
+        for (const spot of [false, true]) yield { type, machineType: of, zone, spot };
   }
 
   /** Returns the resources of a machine of a type; zero amounts if the type is unknown. */
--- a/src/controller/cloudpoller.ts
+++ b/src/controller/cloudpoller.ts
@@ -35,7 +35,7 @@
   /** Polls the machine types. Like `pollMachines`, returns the delay until the next poll, in milliseconds. */
   private async pollTypes(): Promise<number> {
     try {
-      this.context.catalog.set(await this.context.cloud.types());
+      this.context.catalog.set(await this.context.cloud.listMachineTypes());
       for (const shard of this.ownership.shards.values()) shard.requestPlan();
       void this.storeTypes();
       return TYPES_INTERVAL_MS;
@@ -48,7 +48,7 @@
 
   /** Uses the stored machine types on a node that started while the cloud does not answer. */
   private restoreStoredTypes(): void {
-    if (this.context.catalog.known) return;
+    if (this.context.catalog.hasTypes) return;
     const stored = this.stateCache.entries.get(KEYS.machineTypes);
     if (stored && Array.isArray(stored.value)) this.context.catalog.set(stored.value);
   }
@@ -59,7 +59,7 @@
    */
   private async storeTypes(): Promise<void> {
     if (!this.ownership.leader) return;
-    const types = this.context.catalog.all().map(([, type]) => type);
+    const types = this.context.catalog.offeredTypes().map(([, type]) => type);
     const stored = this.stateCache.entries.get(KEYS.machineTypes);
     if (stored || JSON.stringify(types).length > this.context.settings.stateLimits.valueKb * 1000) return;
     try {
@@ -74,7 +74,7 @@
 
   private async pollMachines(): Promise<number> {
     try {
-      const machines = await this.context.cloud.list();
+      const machines = await this.context.cloud.listMachines();
       this.context.catalog.setListed(machines);
       for (const shard of this.ownership.shards.values()) shard.onMachineList();
       this.ownership.leader?.onMachineList(this.context.catalog.listedMachines);
--- a/src/controller/controllernode.ts
+++ b/src/controller/controllernode.ts
@@ -7,7 +7,7 @@
 import { UnavailableError } from '../errors/errors.js';
 import type { Job, JobEntry } from '../jobs/job.js';
 import type { Mesh } from '../peer/mesh.js';
-import type { StatusAnswer, SubmitAnswer } from '../scheduler/responses.js';
+import type { JobStatusResponse, SubmitResponse } from '../scheduler/responses.js';
 import type { Shard } from '../scheduler/shard.js';
 import { KEYS, MATCH_PROTOCOL_VERSION, PROTOCOL_VERSION, writeLeaseHolder } from '../schema/schema.js';
 import type { Entry } from '../wire/state.js';
@@ -118,7 +118,7 @@
         evictForTransfer: (shard, machine, to, priority) =>
           ownerClient.evictForTransfer(shard, machine, to, priority),
         reserveForTransfer: (shard, to, need, zone) => ownerClient.reserveForTransfer(shard, to, need, zone),
-        allSupportLatest: () => ownerClient.allSupportLatest,
+        allSupportProtocolVersion: () => ownerClient.allSupportProtocolVersion,
       },
       announceOwner: (shard, term) => {
         for (const peer of context.settings.peers) {
@@ -167,7 +167,7 @@
    * types.
    */
   get healthy(): boolean {
-    return !this.leaving && this.membership.stateCache.isLoaded && this.context.catalog.known;
+    return !this.leaving && this.membership.stateCache.isLoaded && this.context.catalog.hasTypes;
   }
 
   private onRecordChanged(key: string, entry: Entry | null): void {
@@ -237,12 +237,12 @@
   }
 
   /** Submits a job to the owner of its shard. */
-  submit(spec: JobSpec): Promise<SubmitAnswer> {
+  submit(spec: JobSpec): Promise<SubmitResponse> {
     return this.routing.submit(spec);
   }
 
   /** Returns the status of a job; null when no job with this id ever existed. */
-  status(id: string): Promise<StatusAnswer | null> {
+  status(id: string): Promise<JobStatusResponse | null> {
     return this.routing.status(id);
   }
 
--- a/src/controller/leader.ts
+++ b/src/controller/leader.ts
@@ -14,7 +14,7 @@
   /** Whether this node's lease is guaranteed to be valid. */
   holdsLease(): boolean;
   /** Whether every node supports `PROTOCOL_VERSION`, and so the features that the first version lacks. */
-  allSupportLatest(): boolean;
+  allSupportProtocolVersion(): boolean;
 }
 
 /** Dependencies of a `Leader`, which acts under one term. */
@@ -45,7 +45,7 @@
       context,
       term,
       stateCache,
-      allSupportLatest: () => hooks.allSupportLatest(),
+      allSupportProtocolVersion: () => hooks.allSupportProtocolVersion(),
     });
     this.machines = new MachineAssigner({
       context,
--- a/src/controller/ownerclient.ts
+++ b/src/controller/ownerclient.ts
@@ -193,7 +193,7 @@
   }
 
   /** Whether every node supports `PROTOCOL_VERSION`, and so the features that the first version lacks. */
-  get allSupportLatest(): boolean {
+  get allSupportProtocolVersion(): boolean {
     return this.options.members.allSupport(this.options.nodes, PROTOCOL_VERSION);
   }
 
--- a/src/controller/ownerlessadmission.ts
+++ b/src/controller/ownerlessadmission.ts
@@ -1,8 +1,8 @@
 import type { ControllerContext } from '../context/context.js';
 import { NotOwnerError, UnavailableError } from '../errors/errors.js';
 import { JobRecords } from '../jobs/records.js';
-import { defaultDueS } from '../scheduler/admission.js';
-import type { SubmitAnswer } from '../scheduler/responses.js';
+import { defaultDeadlineS } from '../scheduler/admission.js';
+import type { SubmitResponse } from '../scheduler/responses.js';
 import { KEYS } from '../schema/schema.js';
 import { StateStoreError } from '../state/statestore.js';
 import type { JobSpec } from '../wire/users.js';
@@ -35,7 +35,7 @@
   constructor(
     private readonly context: ControllerContext,
     private readonly members: Membership,
-    private readonly allSupportLatest: () => boolean,
+    private readonly allSupportProtocolVersion: () => boolean,
     /**
      * Asks the owner for a job, which makes it read the job's record. Returns false when the owner does not answer.
      */
@@ -51,7 +51,7 @@
    * Accepts and stores a job. Throws `UnavailableError` when it cannot be stored now, or when the shard has a new
    * owner.
    */
-  async accept(shard: number, spec: JobSpec): Promise<SubmitAnswer> {
+  async accept(shard: number, spec: JobSpec): Promise<SubmitResponse> {
     // A node that cannot reach the key-value store itself fails fast.
     if (!this.canStore()) throw new UnavailableError('no owner at present');
     const result = await this.storeJob(shard, spec);
@@ -78,9 +78,9 @@
     const { store, settings, clock } = this.context;
     const seenTerm = this.members.stateCache.entries.get(KEYS.owner(shard))?.version ?? 0;
     const limits = { ...settings.stateLimits, layoutKb: settings.layoutKb };
-    const records = new JobRecords(store, shard, seenTerm, limits, this.allSupportLatest);
+    const records = new JobRecords(store, shard, seenTerm, limits, this.allSupportProtocolVersion);
     const wall = clock.wall();
-    const deadline = Math.round(wall + defaultDueS(this.context, null, spec.estimateS) * 1000);
+    const deadline = Math.round(wall + defaultDeadlineS(this.context, null, spec.estimateS) * 1000);
     try {
       const tag = `${this.context.incarnation}-d${this.acceptedCount++}`;
       return await records.accept({ spec, accepted: wall, deadline }, tag);
--- a/src/controller/peerhandlers.ts
+++ b/src/controller/peerhandlers.ts
@@ -182,7 +182,7 @@
         PEER_OPS.redirected,
         noticeHandler(redirectArgs, ({ machine }, from) => {
           ownership.workerConnectivity.onRedirect(machine, from);
-          for (const shard of ownership.shards.values()) shard.registry.onHeartbeatElsewhere(machine);
+          for (const shard of ownership.shards.values()) shard.registry.onRedirectedHeartbeat(machine);
         }),
       ],
       [
--- a/src/controller/peershards.ts
+++ b/src/controller/peershards.ts
@@ -11,7 +11,7 @@
   routing: Routing,
 ): PeerShards {
   return {
-    allSupportLatest: () => ownerClient.allSupportLatest,
+    allSupportProtocolVersion: () => ownerClient.allSupportProtocolVersion,
     locate: (id) => routing.locate(id),
     jobStatusFromStore: (id) => jobStatusFromStore(context.store, id),
     requestDependencyStatus: (shard, from, claims) =>
--- a/src/controller/routing.ts
+++ b/src/controller/routing.ts
@@ -3,7 +3,11 @@
 import { hasNoQuota, type JobEntry } from '../jobs/job.js';
 import { hasDependencies, jobStatusFromStore } from '../jobs/jobstatus.js';
 import { findJob } from '../jobs/records.js';
-import { OwnerUnavailableError, type StatusAnswer, type SubmitAnswer } from '../scheduler/responses.js';
+import {
+  type JobStatusResponse,
+  OwnerUnavailableError,
+  type SubmitResponse,
+} from '../scheduler/responses.js';
 import type { Shard } from '../scheduler/shard.js';
 import { readTeamAssignment } from '../schema/schema.js';
 import { StateStoreError } from '../state/statestore.js';
@@ -34,12 +38,12 @@
     this.ownerlessAdmission = new OwnerlessAdmission(
       context,
       members,
-      () => ownerClient.allSupportLatest,
+      () => ownerClient.allSupportProtocolVersion,
       (shard, id) => this.confirmWithOwner(shard, id),
     );
   }
 
-  private requestStatus(shard: number, id: string): Promise<StatusAnswer | null> {
+  private requestStatus(shard: number, id: string): Promise<JobStatusResponse | null> {
     return this.ownerClient.request({
       shard,
       op: PEER_OPS.status,
@@ -105,7 +109,7 @@
    * a network partition between zones, a user may reach no other node for minutes. A final status is durable before
    * it is returned to any user, so the result is never older than a status that the user has already seen.
    */
-  private async statusFromStore(id: string): Promise<StatusAnswer | null> {
+  private async statusFromStore(id: string): Promise<JobStatusResponse | null> {
     const entry = await findJob((key) => this.context.store.getCoalesced(key), id);
     if (!entry) return null;
     this.cacheRoute(id, entry);
@@ -125,23 +129,23 @@
    * Submits a job to the owner of its shard. Throws `UnavailableError` when it can currently be neither accepted nor
    * rejected.
    */
-  async submit(spec: JobSpec): Promise<SubmitAnswer> {
+  async submit(spec: JobSpec): Promise<SubmitResponse> {
     const known = this.routes.get(spec.id);
     if (known?.final) return { kind: 'known', status: known.final };
     const shard = known?.shard ?? this.shardOf(spec);
     if (shard === null) throw new UnavailableError('teams are not parted yet');
     // A node of an older version ignores dependencies, and would start the job immediately.
-    if (spec.after.length > 0 && !this.ownerClient.allSupportLatest)
+    if (spec.after.length > 0 && !this.ownerClient.allSupportProtocolVersion)
       throw new UnavailableError('not all controllers run a version that lets jobs wait for others');
     // A node that does not support match expressions would start the job on any machine.
     if (spec.match && !this.ownerClient.allSupportMatching)
       throw new UnavailableError('not all controllers serve match expressions');
     const op = spec.after.length > 0 ? PEER_OPS.submitWithDependencies : PEER_OPS.submit;
-    let answer: SubmitAnswer;
+    let answer: SubmitResponse;
     try {
       const ownerless = this.ownerlessAdmission.mayAccept(spec);
       answer = await this.ownerClient
-        .request<SubmitAnswer>({
+        .request<SubmitResponse>({
           shard,
           op,
           args: { spec },
@@ -166,7 +170,7 @@
    * Accepts a job whose shard has no reachable owner. An owner that only this node cannot reach learns of the job by
    * a stored request.
    */
-  private async acceptWithoutOwner(shard: number, op: string, spec: JobSpec): Promise<SubmitAnswer> {
+  private async acceptWithoutOwner(shard: number, op: string, spec: JobSpec): Promise<SubmitResponse> {
     for (const id of spec.after) {
       const entry = await this.locate(id);
       if (!entry) return { kind: 'never', needs: id };
@@ -188,13 +192,13 @@
    * Returns the status of a job; null when no job with this id ever existed. Throws `UnavailableError` when the
    * status cannot be determined now.
    */
-  async status(id: string): Promise<StatusAnswer | null> {
+  async status(id: string): Promise<JobStatusResponse | null> {
     const entry = await this.locate(id);
     if (!entry) return null;
     if (entry.final) {
       return { status: entry.final, done: entry.final === 'done' ? (entry.tasks ?? 0) : 0, running: 0 };
     }
-    let answer: StatusAnswer | null;
+    let answer: JobStatusResponse | null;
     try {
       answer = await this.requestStatus(entry.shard, id);
     } catch (error) {
--- a/src/controller/standbycoordinator.ts
+++ b/src/controller/standbycoordinator.ts
@@ -56,7 +56,7 @@
       clock,
       incarnation: context.incarnation,
       mayTakeOver: () => members.holdsLease && members.stateCache.isLoaded && !hooks.isCordoned(),
-      refused: (node) => mesh.refused(node),
+      connectionsRefused: (node) => mesh.refused(node),
       cachedVersions: (shard) => ({
         owner: members.stateCache.entries.get(KEYS.owner(shard))?.version ?? 0,
         standby: members.stateCache.entries.get(KEYS.standby(shard))?.version ?? 0,
@@ -94,7 +94,7 @@
     const log = this.context.log.child({ shard, term });
     const hooks: StandbyReplicatorHooks = {
       holdsLease: () => this.members.holdsLeaseId(lease),
-      lease: () => (this.members.holdsLeaseId(lease) ? lease : null),
+      leaseId: () => (this.members.holdsLeaseId(lease) ? lease : null),
       chooseStandby: () => this.chooseStandby(shard),
       eligibleHomeNode: () => {
         const home = this.hooks.homeNode(shard);
--- a/src/controller/teamassignment.ts
+++ b/src/controller/teamassignment.ts
@@ -1,5 +1,5 @@
 import type { ControllerContext } from '../context/context.js';
-import { valueBytes } from '../jobs/records.js';
+import { maxValueBytes } from '../jobs/records.js';
 import { KEYS, readTeamAssignment } from '../schema/schema.js';
 import type { ClusterStateCache } from './clusterstatecache.js';
 
@@ -73,7 +73,7 @@
   readonly term: number;
   readonly stateCache: ClusterStateCache;
   /** Whether every node supports an assignment in several records. */
-  allSupportLatest(): boolean;
+  allSupportProtocolVersion(): boolean;
 }
 
 /** Assigns each team to a shard, on the leader. */
@@ -101,8 +101,8 @@
 
   private async store(assignment: Record<string, number>): Promise<void> {
     const { context, term, stateCache } = this.options;
-    const records = this.options.allSupportLatest()
-      ? assignmentRecords(assignment, valueBytes(context.settings.stateLimits.valueKb))
+    const records = this.options.allSupportProtocolVersion()
+      ? assignmentRecords(assignment, maxValueBytes(context.settings.stateLimits.valueKb))
       : [[KEYS.teams, assignment] as const];
     for (const [key, value] of records) {
       const version = stateCache.entries.get(key)?.version ?? 0;
--- a/src/emulator/cloud.ts
+++ b/src/emulator/cloud.ts
@@ -10,7 +10,7 @@
   writeTypes,
 } from '../wire/cloud.js';
 import { TokenBucket } from './bucket.js';
-import type { Served } from './state.js';
+import type { ServiceResponse } from './state.js';
 
 /** Source of the emulated machines, separate from the protocol that `CloudService` implements. */
 export interface MachineInventory {
@@ -39,7 +39,7 @@
     this.requests = new TokenBucket(clock, BURST_S);
   }
 
-  serve(method: string, path: string, body: unknown): Served {
+  serve(method: string, path: string, body: unknown): ServiceResponse {
     if (this.down) return { status: 503, body: { error: 'trouble' } };
     if (!this.requests.take(1, this.requestsPerSecond)) return { status: 429, body: {} };
     if (path === CLOUD_PATHS.types) return { status: 200, body: writeTypes(this.machines.types()) };
@@ -57,7 +57,7 @@
     return { status: 200, body: writeList(remaining.slice(0, limit), remaining.length > limit) };
   }
 
-  private rent(body: unknown): Served {
+  private rent(body: unknown): ServiceResponse {
     const rental = readRental(body);
     if (!rental) return { status: 400, body: { error: 'malformed' } };
     let workers = this.rentalsByRequest.get(rental.request);
--- a/src/emulator/hollow.ts
+++ b/src/emulator/hollow.ts
@@ -22,7 +22,7 @@
   const { id, host, port, controller, reportS, leaseS } = options;
   const clock = systemClock;
   const machine = { id, addr: `${host}:${port}`, type: 'standard', zone: 'zone-1', spot: false };
-  const http = new HttpClient(clock, { maxSockets: 4, bodyBytes: MAX_BODY_BYTES });
+  const http = new HttpClient(clock, { maxSockets: 4, maxBodyBytes: MAX_BODY_BYTES });
   const worker: Worker = new Worker(clock, machine, leaseS, null, () => reporter?.reportSoon());
   const nodes = [{ node: 'controller', addr: controller }];
   const reporter: Reporter | null = new Reporter(clock, http, new Random(1), worker, nodes, reportS);
@@ -35,9 +35,9 @@
     },
     {
       maxConnections: 16,
-      bodyBytes: MAX_BODY_BYTES,
-      requestMs: 30_000,
-      idleMs: 120_000,
+      maxBodyBytes: MAX_BODY_BYTES,
+      requestTimeoutMs: 30_000,
+      idleTimeoutMs: 120_000,
       onError: (error) => process.stderr.write(`${error}\n`),
     },
   );
--- a/src/emulator/local.ts
+++ b/src/emulator/local.ts
@@ -17,7 +17,7 @@
 import { Random } from './random.js';
 import { PeerRelay } from './relay.js';
 import { Reporter, type ReporterLinks } from './reporter.js';
-import { type Served, StateService, type StoredState } from './state.js';
+import { type ServiceResponse, StateService, type StoredState } from './state.js';
 import { type JobDescription, Tasks } from './tasks.js';
 import { bodyBytes, Traffic } from './traffic.js';
 import { type MachineIdentity, Worker } from './worker.js';
@@ -100,9 +100,9 @@
     this.clock = fastClock(options.speed);
     this.random = new Random(options.seed);
     this.network = new Network(platform);
-    this.http = new HttpClient(this.clock, { maxSockets: 8000, bodyBytes: 1024 * 1024 });
+    this.http = new HttpClient(this.clock, { maxSockets: 8000, maxBodyBytes: 1024 * 1024 });
     this.state = new StateService(this.clock);
-    this.state.observed = (r) => {
+    this.state.onRequest = (r) => {
       const kind = `state ${r.kind}${r.prefix ? ` ${r.prefix}` : ''}${r.status === 429 ? ' refused' : ''}`;
       this.traffic.add(kind, r.requestBytes);
       this.traffic.add(`${kind} answer`, r.answerBytes);
@@ -267,7 +267,11 @@
 
   private async startServer(
     addr: string,
-    handleRequest: (method: string, path: string, body: unknown) => Served | Promise<Served>,
+    handleRequest: (
+      method: string,
+      path: string,
+      body: unknown,
+    ) => ServiceResponse | Promise<ServiceResponse>,
   ): Promise<HttpServer> {
     const server = new HttpServer(
       this.clock,
@@ -287,9 +291,9 @@
       },
       {
         maxConnections: 2000,
-        bodyBytes: 256 * 1024,
-        requestMs: 30_000 * this.options.speed,
-        idleMs: 120_000 * this.options.speed,
+        maxBodyBytes: 256 * 1024,
+        requestTimeoutMs: 30_000 * this.options.speed,
+        idleTimeoutMs: 120_000 * this.options.speed,
         onError: (error) => this.options.onError(String(error)),
       },
     );
@@ -316,15 +320,15 @@
    */
   private async serveOverLink(
     link: { from: Site; to: Site },
-    serve: () => Served | Promise<Served>,
-  ): Promise<Served> {
+    serve: () => ServiceResponse | Promise<ServiceResponse>,
+  ): Promise<ServiceResponse> {
     const delayMs = this.network.delayMs(link.from, link.to);
-    const noResponse = new Promise<Served>(() => undefined);
+    const noResponse = new Promise<ServiceResponse>(() => undefined);
     if (delayMs > 0) await pause(this.clock, delayMs);
-    if (this.network.apart(link.from, link.to)) return noResponse;
+    if (this.network.isSeparated(link.from, link.to)) return noResponse;
     const served = await serve();
     if (delayMs > 0) await pause(this.clock, delayMs);
-    return this.network.apart(link.from, link.to) ? noResponse : served;
+    return this.network.isSeparated(link.from, link.to) ? noResponse : served;
   }
 
   /**
@@ -332,14 +336,16 @@
    * from the services.
    */
   private isUnreachable(m: Pick<EmulatedMachine, 'reporter' | 'site'> | undefined): boolean {
-    return m !== undefined && (m.reporter.disconnected || this.network.apart(m.site, this.network.services));
+    return (
+      m !== undefined && (m.reporter.disconnected || this.network.isSeparated(m.site, this.network.services))
+    );
   }
 
   private linksOf(site: Site): ReporterLinks {
     const siteOf = new Map(this.controllers.map((c) => [c.node, this.network.inZone(c.zone)]));
     return {
       delayMs: (node) => this.network.delayMs(site, siteOf.get(node)!),
-      isSeparated: (node) => this.network.apart(site, siteOf.get(node)!),
+      isSeparated: (node) => this.network.isSeparated(site, siteOf.get(node)!),
       reportAnswered: (report, answer) => {
         this.traffic.add('worker report', bodyBytes(report));
         this.traffic.add('worker report answer', bodyBytes(answer));
@@ -347,7 +353,7 @@
     };
   }
 
-  private serveCommand(worker: Worker, method: string, path: string, body: unknown): Served {
+  private serveCommand(worker: Worker, method: string, path: string, body: unknown): ServiceResponse {
     const served = worker.serve(method, path, body);
     this.traffic.add('worker command', bodyBytes(body));
     this.traffic.add('worker command answer', bodyBytes(served.body));
@@ -365,7 +371,7 @@
     try {
       server = await this.startServer(identity.addr, (method, path, body) =>
         this.isUnreachable(this.machines.get(identity.id))
-          ? new Promise<Served>(() => undefined)
+          ? new Promise<ServiceResponse>(() => undefined)
           : this.serveCommand(worker, method, path, body),
       );
     } catch {
@@ -389,14 +395,14 @@
     if (!machine) return;
     this.machines.delete(id);
     machine.reporter.stop();
-    machine.worker.die();
+    machine.worker.killTasks();
     this.tasks.removeMachine(machine.worker);
     machine.server.close();
     this.servers.splice(this.servers.indexOf(machine.server), 1);
   }
 
   /** Serves the depot, where users upload the job descriptions that workers fetch. */
-  private serveDepot(method: string, path: string, body: unknown): Served {
+  private serveDepot(method: string, path: string, body: unknown): ServiceResponse {
     const id = decodeURIComponent(path.replace(/^\/jobs\//, ''));
     if (method === 'GET') {
       const description = this.tasks.description(id);
--- a/src/emulator/market.ts
+++ b/src/emulator/market.ts
@@ -96,7 +96,7 @@
   }
 
   release(ids: string[]): void {
-    for (const id of ids) this.take(id);
+    for (const id of ids) this.remove(id);
   }
 
   list(): ListedMachine[] {
@@ -124,7 +124,7 @@
   }
 
   /** Removes a machine, whether it was released, reclaimed or failed. */
-  take(id: string): void {
+  remove(id: string): void {
     const machine = this.machines.get(id);
     if (!machine || this.isRemoved(machine)) return;
     this.charge();
@@ -178,6 +178,6 @@
     const machine = this.machines.get(id);
     if (!machine || this.isRemoved(machine)) return;
     if (noticeMs > 0) this.hooks.notice(id, noticeMs / 1000);
-    machine.timers.push(this.clock.after(noticeMs, () => this.take(id)));
+    machine.timers.push(this.clock.after(noticeMs, () => this.remove(id)));
   }
 }
--- a/src/emulator/network.ts
+++ b/src/emulator/network.ts
@@ -48,13 +48,13 @@
   }
 
   /** Returns whether a partition separates two sites, so that no message passes between them. */
-  apart(a: Site, b: Site): boolean {
+  isSeparated(a: Site, b: Site): boolean {
     for (const cut of this.cuts) if (isBetween(cut, a, b)) return true;
     return false;
   }
 
   /** Starts a partition; returns a function that ends it. */
-  cut(cut: NetworkCut): () => void {
+  startPartition(cut: NetworkCut): () => void {
     this.cuts.add(cut);
     return () => this.cuts.delete(cut);
   }
--- a/src/emulator/ports.ts
+++ b/src/emulator/ports.ts
@@ -6,6 +6,6 @@
  */
 export const PORTS_PER_CONTROLLER = 5;
 /** Maximum number of controllers that the reserved ports suffice for. */
-export const MOST_CONTROLLERS = Math.floor((SERVICE_PORT_COUNT - 2) / PORTS_PER_CONTROLLER);
+export const MAX_CONTROLLERS = Math.floor((SERVICE_PORT_COUNT - 2) / PORTS_PER_CONTROLLER);
 /** Number of worker ports; addresses are reused after this many machines, removed ones included. */
 export const WORKER_PORT_COUNT = 4000;
--- a/src/emulator/relay.ts
+++ b/src/emulator/relay.ts
@@ -60,7 +60,8 @@
       if (!('op' in message)) return;
       if (message.op === 'hello') {
         callerSite = this.siteOf(String(message.a));
-        if (callerSite && targetSite && this.network.apart(callerSite, targetSite)) callerSocket.destroy();
+        if (callerSite && targetSite && this.network.isSeparated(callerSite, targetSite))
+          callerSocket.destroy();
         return;
       }
       if ('q' in message) opByRequestId.set(message.q, message.op);
@@ -88,7 +89,7 @@
     let checkScheduled = false;
     const isCut = () => {
       const link = currentLink();
-      return link !== null && this.network.apart(link.callerSite, link.targetSite);
+      return link !== null && this.network.isSeparated(link.callerSite, link.targetSite);
     };
     const flush = () => {
       if (isCut()) {
@@ -105,7 +106,7 @@
     };
     source.on('data', (data: Buffer) => {
       try {
-        for (const message of reader.feed(data)) observe(message, reader.lastBytes);
+        for (const message of reader.feed(data)) observe(message, reader.lastFrameBytes);
       } catch {
         source.destroy();
         return;
--- a/src/emulator/reporter.ts
+++ b/src/emulator/reporter.ts
@@ -1,6 +1,6 @@
 import { type Clock, pause, type Timer } from '../clock/clock.js';
 import { UnreachableError } from '../errors/errors.js';
-import type { HttpAnswer, Requester } from '../http/client.js';
+import type { HttpResponse, Requester } from '../http/client.js';
 import { readRedirect, WORKER_PATHS } from '../wire/workers.js';
 import type { Random } from './random.js';
 import type { Worker } from './worker.js';
@@ -82,12 +82,12 @@
     this.inFlight = true;
     this.changePending = false;
     this.sentAt = this.clock.now();
-    const { session } = this.worker;
+    const { incarnation } = this.worker;
     const sentAt = this.sentAt;
     let delayMs = this.reportS * 1000 * this.random.between(0.75, 1.25);
     try {
       const response = await this.sendReport();
-      if (response.status === 200) this.worker.answer(response.body, sentAt, session);
+      if (response.status === 200) this.worker.handleHeartbeatResponse(response.body, sentAt, incarnation);
       else delayMs = this.switchNode(response.status === 421 ? readRedirect(response.body) : null);
     } catch {
       delayMs = this.switchNode(null);
@@ -97,7 +97,7 @@
   }
 
   /** Sends a report to the current node; fails when no answer arrives in time. */
-  private async sendReport(): Promise<HttpAnswer> {
+  private async sendReport(): Promise<HttpResponse> {
     const { node, addr } = this.nodes[this.nodeIndex]!;
     const isUnreachable = () => this.disconnected || this.links.isSeparated(node);
     const delayMs = this.links.delayMs(node);
--- a/src/emulator/state.ts
+++ b/src/emulator/state.ts
@@ -15,7 +15,7 @@
 import { bodyBytes } from './traffic.js';
 
 /** Response of an emulated service. */
-export interface Served {
+export interface ServiceResponse {
   status: number;
   body: unknown;
 }
@@ -32,7 +32,7 @@
   from: string;
   /** Whether the wait time has passed; the watch stays open beyond it while its caller is not served. */
   expired: boolean;
-  respond: (s: Served) => void;
+  respond: (s: ServiceResponse) => void;
 }
 
 /** Kinds of requests to the emulated key-value store. */
@@ -70,7 +70,7 @@
   /** Whether there is an outage: watches stay open without an answer, and all other requests get 503. */
   down = false;
   /** Callers that are not served, as in an outage, while others are. */
-  readonly refusing = new Set<string>();
+  readonly refusedCallers = new Set<string>();
   /** Limits on sizes (rejected with 400) and rates (rejected with 429); may change at any time. */
   limits = {
     valueBytes: MAX_REQUEST_BYTES,
@@ -81,7 +81,7 @@
   /** Number of requests rejected so far, by status. */
   readonly refused = { 400: 0, 429: 0 };
   /** Called for each request that is answered or rejected, with its kind and the sizes of its body and answer. */
-  observed: ((request: ObservedRequest) => void) | null = null;
+  onRequest: ((request: ObservedRequest) => void) | null = null;
   private readonly writeBucket: TokenBucket;
   private readonly requestBucket: TokenBucket;
   private revision = 0;
@@ -102,7 +102,7 @@
   }
 
   /** Ends an outage, and renews every lease for its full duration. */
-  restore(): void {
+  endOutage(): void {
     this.down = false;
     for (const l of this.leases.values()) l.until = this.clock.now() + l.ttl;
     this.notifyWatchers();
@@ -125,15 +125,15 @@
     for (const [key, value, version] of stored.items) this.items.set(key, { value, version, lease: null });
   }
 
-  serve(method: string, path: string, body: unknown, from = ''): Served | Promise<Served> {
+  serve(method: string, path: string, body: unknown, from = ''): ServiceResponse | Promise<ServiceResponse> {
     const served = this.dispatch(method, path, body, from);
-    if (!this.observed) return served;
+    if (!this.onRequest) return served;
     if (!(served instanceof Promise)) return this.observe(path, body, from, served);
     return served.then((s) => this.observe(path, body, from, s));
   }
 
-  private observe(path: string, body: unknown, from: string, served: Served): Served {
-    this.observed?.({
+  private observe(path: string, body: unknown, from: string, served: ServiceResponse): ServiceResponse {
+    this.onRequest?.({
       kind: kindOf(path),
       prefix: prefixOf(path),
       from,
@@ -155,9 +155,14 @@
     return total;
   }
 
-  private dispatch(method: string, path: string, body: unknown, from: string): Served | Promise<Served> {
+  private dispatch(
+    method: string,
+    path: string,
+    body: unknown,
+    from: string,
+  ): ServiceResponse | Promise<ServiceResponse> {
     const isWatch = path.startsWith('/watch');
-    if (!isWatch && (this.down || this.refusing.has(from))) return { status: 503, body: {} };
+    if (!isWatch && (this.down || this.refusedCallers.has(from))) return { status: 503, body: {} };
     if (!this.requestBucket.take(1, this.limits.requestsPerSecond)) return this.reject(429);
     if (isWatch) return this.addWatcher(new URLSearchParams(path.slice(path.indexOf('?'))), from);
     if (path === '/txn') return this.serveTxn(body);
@@ -170,19 +175,19 @@
     return { status: 200, body: writeEntry({ key, value: item.value, version: item.version }, item.lease) };
   }
 
-  private reject(status: 400 | 429): Served {
+  private reject(status: 400 | 429): ServiceResponse {
     this.refused[status]++;
     return { status, body: { error: 'limit' } };
   }
 
-  private grantLease(body: unknown): Served {
+  private grantLease(body: unknown): ServiceResponse {
     const ttl = readLeaseRequest(body);
     if (ttl === null) return this.reject(400);
     this.leases.set(++this.lastLeaseId, { ttl, until: this.clock.now() + ttl });
     return { status: 200, body: writeLease(this.lastLeaseId) };
   }
 
-  private serveLease(method: string, id: number): Served {
+  private serveLease(method: string, id: number): ServiceResponse {
     const lease = this.leases.get(id);
     if (!lease) return { status: 404, body: {} };
     if (method === 'DELETE') this.endLease(id);
@@ -190,7 +195,7 @@
     return { status: 200, body: writeLease(id) };
   }
 
-  private servePage(query: URLSearchParams): Served {
+  private servePage(query: URLSearchParams): ServiceResponse {
     const prefix = query.get('under') ?? '';
     const since = query.get('since') ?? '';
     const limit = Math.min(MAX_PAGE_ENTRIES, Number(query.get('most') ?? MAX_PAGE_ENTRIES));
@@ -206,7 +211,7 @@
     return { status: 200, body: writeEntries(entries, entries.length < keys.length, this.revision) };
   }
 
-  private serveTxn(body: unknown): Served {
+  private serveTxn(body: unknown): ServiceResponse {
     const request = readTxnRequest(body);
     const { valueBytes, txnOps, writesPerSecond } = this.limits;
     if (!request || JSON.stringify(body).length > MAX_REQUEST_BYTES) return this.reject(400);
@@ -260,7 +265,7 @@
     this.clock.after(LEASE_CHECK_INTERVAL_MS, () => this.expireLeases());
   }
 
-  private addWatcher(query: URLSearchParams, from: string): Promise<Served> {
+  private addWatcher(query: URLSearchParams, from: string): Promise<ServiceResponse> {
     return new Promise((respond) => {
       const watcher = {
         prefix: query.get('under') ?? '',
@@ -281,7 +286,7 @@
   private notifyWatchers(): void {
     if (this.down) return;
     this.watchers = this.watchers.filter((watcher) => {
-      if (this.refusing.has(watcher.from)) return true;
+      if (this.refusedCallers.has(watcher.from)) return true;
       if (watcher.since < this.compactedRevision) {
         watcher.respond({ status: 410, body: {} });
         return false;
--- a/src/emulator/tasks.ts
+++ b/src/emulator/tasks.ts
@@ -74,11 +74,11 @@
 export class Tasks implements Runtime {
   readonly history: TaskEvent[] = [];
   /** Called with each event when it occurs. */
-  noted: ((e: TaskEvent) => void) | null = null;
+  onEvent: ((e: TaskEvent) => void) | null = null;
   /** Machines on which every task fails. */
   readonly faulty = new Set<string>();
   /** Number of completed runs of tasks that were already done. */
-  twice = 0;
+  duplicateCompletions = 0;
   private readonly jobs = new Map<string, JobProgress>();
   private readonly runs = new Map<Attempt, TaskRun>();
   private readonly gangs = new Map<string, Gang>();
@@ -171,7 +171,7 @@
   }
 
   private fits(worker: Worker, spec: JobSpec, others: Attempt[]): boolean {
-    const machineType = this.types.get(worker.place.type);
+    const machineType = this.types.get(worker.identity.type);
     if (!machineType) return false;
     let { cpus, gpus, memoryGb } = spec;
     for (const o of others) {
@@ -212,7 +212,7 @@
       ongoing.waiting.add(run);
       return;
     }
-    const type = this.types.get(run.worker.place.type)!;
+    const type = this.types.get(run.worker.identity.type)!;
     const fetchSeconds =
       (imageGb / type.fetchGbPerS) * (1 + state.fetches.size) * this.random.between(0.75, 1.33);
     const timer = this.clock.after(fetchSeconds * 1000, () => {
@@ -250,7 +250,7 @@
     worker.setState(attempt, 'running');
     if (job.spec.kind === 'service') return;
     this.schedule(run, ((job.runSeconds - run.baseProgressS) / speed) * 1000, () => {
-      if (job.completedTasks.has(attempt.index)) this.twice++;
+      if (job.completedTasks.has(attempt.index)) this.duplicateCompletions++;
       job.completedTasks.add(attempt.index);
       this.endRun(run, 'done', false);
     });
@@ -312,7 +312,7 @@
   }
 
   private completeGang(gang: Gang, job: JobProgress): void {
-    if (job.completedTasks.size > 0) this.twice++;
+    if (job.completedTasks.size > 0) this.duplicateCompletions++;
     for (let i = 0; i < job.spec.tasks; i++) job.completedTasks.add(i);
     for (const m of [...gang.members.values()]) this.endRun(m, 'done', false);
   }
@@ -401,11 +401,11 @@
   }
 
   private recordEvent(run: TaskRun, kind: 'on' | 'off', cause?: TaskEvent['cause']): void {
-    const { id, type, zone, spot } = run.worker.place;
+    const { id, type, zone, spot } = run.worker.identity;
     const { job, index, attempt } = run.attempt;
     const at = this.clock.now();
     const event = { at, kind, machine: id, type, zone, spot, job, index, attempt, ...(cause && { cause }) };
     this.history.push(event);
-    this.noted?.(event);
+    this.onEvent?.(event);
   }
 }
--- a/src/emulator/worker.ts
+++ b/src/emulator/worker.ts
@@ -9,7 +9,7 @@
   type WorkerCommand,
   writeHeartbeat,
 } from '../wire/workers.js';
-import type { Served } from './state.js';
+import type { ServiceResponse } from './state.js';
 
 /** Attempt of a task, as recorded by its worker. */
 export interface Attempt extends TaskStatus {
@@ -37,71 +37,72 @@
 
 /** Emulates a worker as its protocol specifies it: sessions, fencing tokens, leases and commands, but no network. */
 export class Worker {
-  token = 0;
-  session = 1;
+  fencingToken = 0;
+  incarnation = 1;
   private lastSequence = 0;
   attempts: Attempt[] = [];
   noticeS: number | null = null;
   /** Task names of all start commands that were executed. */
-  readonly started: string[] = [];
+  readonly executedStarts: string[] = [];
   /** Time at which the last answered report was sent, or this session began. */
-  lastSent: number;
+  lastHeartbeatSentAt: number;
 
   constructor(
     private readonly clock: Clock,
-    readonly place: MachineIdentity,
+    readonly identity: MachineIdentity,
     private readonly leaseS: number,
     private readonly runtime: Runtime | null = null,
     /** Called when something changed that reports include. */
     private readonly notifyChanged: () => void = () => undefined,
   ) {
-    this.lastSent = clock.now();
+    this.lastHeartbeatSentAt = clock.now();
   }
 
   get id(): string {
-    return this.place.id;
+    return this.identity.id;
   }
 
   report(): object {
     this.checkLease();
-    const { id, addr, type, zone, spot } = this.place;
+    const { id, addr, type, zone, spot } = this.identity;
     return writeHeartbeat({
       machine: id,
       addr,
       type,
       zone,
       spot,
-      incarnation: this.session,
+      incarnation: this.incarnation,
       sequence: ++this.lastSequence,
-      fencingToken: this.token,
+      fencingToken: this.fencingToken,
       reclaimInS: this.noticeS,
       tasks: this.attempts,
     });
   }
 
   /** Handles the answer to a report that was sent at `sentAt` in the given session. */
-  answer(body: unknown, sentAt: number, session = this.session): void {
+  handleHeartbeatResponse(body: unknown, sentAt: number, session = this.incarnation): void {
     const received = readCommands(body);
-    if (!received || (received.token ?? 0) < this.token || session !== this.session) return;
-    this.adoptToken(received.token ?? this.token);
-    this.lastSent = Math.max(this.lastSent, sentAt);
-    for (const o of received.orders) this.execute(o);
+    if (!received || (received.token ?? 0) < this.fencingToken || session !== this.incarnation) return;
+    this.adoptToken(received.token ?? this.fencingToken);
+    this.lastHeartbeatSentAt = Math.max(this.lastHeartbeatSentAt, sentAt);
+    for (const o of received.commands) this.execute(o);
   }
 
-  serve(_method: string, path: string, body: unknown): Served {
+  serve(_method: string, path: string, body: unknown): ServiceResponse {
     if (path === WORKER_PATHS.status) return { status: 200, body: this.report() };
     const received = readCommands(body);
-    if (!received || received.token === null || received.session === null) return { status: 400, body: {} };
+    if (!received || received.token === null || received.incarnation === null)
+      return { status: 400, body: {} };
     this.checkLease();
-    if (received.token < this.token || received.session !== this.session)
+    if (received.token < this.fencingToken || received.incarnation !== this.incarnation)
       return { status: 409, body: this.report() };
     this.adoptToken(received.token);
-    for (const o of received.orders) this.execute(o);
+    for (const o of received.commands) this.execute(o);
     return { status: 200, body: this.report() };
   }
 
   /** Ends a task, whatever state it is in. */
-  end(task: string, cause: ExitCause, saved = false): void {
+  endTask(task: string, cause: ExitCause, saved = false): void {
     for (const a of this.attempts) if (a.task === task && a.state !== 'exited') this.exit(a, cause, saved);
   }
 
@@ -122,14 +123,14 @@
     this.notifyChanged();
   }
 
-  on(task: string): boolean {
+  isActive(task: string): boolean {
     this.checkLease();
     return this.attempts.some((a) => a.task === task && a.state !== 'exited');
   }
 
   /** Remaining time of the lease in milliseconds; negative once it has expired. */
   get leaseLeftMs(): number {
-    return this.lastSent + this.leaseS * 1000 - this.clock.now();
+    return this.lastHeartbeatSentAt + this.leaseS * 1000 - this.clock.now();
   }
 
   /**
@@ -138,22 +139,22 @@
    */
   checkLease(): void {
     if (this.leaseLeftMs >= 0) return;
-    this.session++;
-    this.lastSent = this.clock.now();
-    this.die();
+    this.incarnation++;
+    this.lastHeartbeatSentAt = this.clock.now();
+    this.killTasks();
     this.notifyChanged();
   }
 
   /** Kills and discards all tasks. */
-  die(): void {
+  killTasks(): void {
     const lost = this.attempts;
     this.attempts = [];
     this.runtime?.attemptsLost(this, lost);
   }
 
   private adoptToken(token: number): void {
-    if (token > this.token) this.notifyChanged();
-    this.token = token;
+    if (token > this.fencingToken) this.notifyChanged();
+    this.fencingToken = token;
   }
 
   private execute(command: WorkerCommand): void {
@@ -163,7 +164,7 @@
       const { job, index, attempt } = command;
       const newAttempt: Attempt = { task, job, index, attempt, state: 'running', cause: null, saved: false };
       this.attempts.push(newAttempt);
-      this.started.push(task);
+      this.executedStarts.push(task);
       this.runtime?.startAttempt(this, newAttempt);
       this.notifyChanged();
     }
--- a/src/federation/lending.ts
+++ b/src/federation/lending.ts
@@ -24,14 +24,14 @@
 }
 
 /** Outcome of a job. */
-export type Final = 'done' | 'cancelled';
+export type JobOutcome = 'done' | 'cancelled';
 
 /** Record kept by the home cluster, which accepted the job. */
 export interface HomeRecord {
   /** Incremented each time the job comes back; work done under an earlier epoch no longer counts. */
   epoch: number;
   lent: { partner: string; until: number } | null;
-  final: Final | null;
+  final: JobOutcome | null;
 }
 
 /** Record kept by the partner cluster, to which the job is lent. */
@@ -70,7 +70,7 @@
  * expires, which must be within the time bound of a cancellation. The usable part of the lease must also be
  * long enough that a late renewal stops no task.
  */
-export function leaseFits(limits: LendingLimits, cancelMs: number): boolean {
+export function areLimitsConsistent(limits: LendingLimits, cancelMs: number): boolean {
   const usableMs = limits.leaseMs - limits.skewMs - limits.stopMs;
   return limits.leaseMs + 2 * limits.skewMs <= cancelMs && usableMs >= limits.stopMs / 2;
 }
@@ -116,19 +116,19 @@
 }
 
 /** Takes a job back once its lease has expired by every clock within the allowed skew. */
-export function takeBack(record: HomeRecord, now: number, limits: LendingLimits): Step<HomeRecord> {
+export function reclaimExpired(record: HomeRecord, now: number, limits: LendingLimits): Step<HomeRecord> {
   if (!record.lent || record.final !== null || now <= record.lent.until + limits.skewMs) return UNCHANGED;
   return { record: { ...record, epoch: record.epoch + 1, lent: null }, say: null };
 }
 
 /** Handles the partner's message that it has given the job back unstarted and will never start it. */
-export function takeReturned(record: HomeRecord, epoch: number): Step<HomeRecord> {
+export function acceptReturn(record: HomeRecord, epoch: number): Step<HomeRecord> {
   if (!record.lent || record.final !== null || record.epoch !== epoch) return UNCHANGED;
   return { record: { ...record, epoch: record.epoch + 1, lent: null }, say: null };
 }
 
 /** Handles the partner's message that the job is done. Only work done under the current epoch counts. */
-export function takeDone(record: HomeRecord, epoch: number): Step<HomeRecord> {
+export function acceptCompletion(record: HomeRecord, epoch: number): Step<HomeRecord> {
   const say = { kind: 'acknowledged', epoch } as const;
   // A duplicate or late message is acknowledged as well: the partner has no reason to keep its record.
   if (!record.lent || record.final !== null || record.epoch !== epoch) return { record: null, say };
@@ -136,7 +136,7 @@
 }
 
 /** Records that all tasks are done in the home cluster. */
-export function doneHome(record: HomeRecord): Step<HomeRecord> {
+export function completeAtHome(record: HomeRecord): Step<HomeRecord> {
   return mayRunHome(record) ? { record: { ...record, final: 'done' }, say: null } : UNCHANGED;
 }
 
@@ -152,7 +152,7 @@
 // --- partner cluster
 
 /** Accepts a lent job, unless its lease is about to expire or the job was here under the same or a later epoch. */
-export function borrow(
+export function acceptLoan(
   record: PartnerRecord | null,
   epoch: number,
   until: number,
@@ -191,13 +191,13 @@
 }
 
 /** Records that all tasks are done at the partner. */
-export function doneBorrowed(record: PartnerRecord): Step<PartnerRecord> {
+export function completeAtPartner(record: PartnerRecord): Step<PartnerRecord> {
   if (record.state !== 'started') return UNCHANGED;
   return { record: { ...record, state: 'done' }, say: { kind: 'done', epoch: record.epoch } };
 }
 
 /** Handles a recall by home, which prefers to run the job itself; refused once the job has started here. */
-export function giveBack(record: PartnerRecord, epoch: number): Step<PartnerRecord> {
+export function handleRecall(record: PartnerRecord, epoch: number): Step<PartnerRecord> {
   if (record.epoch !== epoch) return UNCHANGED;
   if (record.state === 'returned') return { record: null, say: { kind: 'returned', epoch } };
   if (record.state !== 'held') return UNCHANGED;
@@ -205,7 +205,7 @@
 }
 
 /** Handles a stop by home, which no longer wants the job. A completed job is kept until home has acknowledged it. */
-export function drop(record: PartnerRecord, epoch: number): Step<PartnerRecord> {
+export function handleStop(record: PartnerRecord, epoch: number): Step<PartnerRecord> {
   if (record.epoch !== epoch || record.state === 'done') return UNCHANGED;
   return { record: { ...record, state: 'returned' }, say: null };
 }
--- a/src/http/client.ts
+++ b/src/http/client.ts
@@ -7,7 +7,7 @@
 import { type HttpMessage, MessageParser } from './parser.js';
 
 /** A response; `body` is the parsed JSON value, or null if the body is empty. */
-export interface HttpAnswer {
+export interface HttpResponse {
   status: number;
   body: unknown;
   /** Header values by lower-case name. */
@@ -38,13 +38,13 @@
     path: string,
     body: object | null,
     timeoutMs: number,
-  ): Promise<HttpAnswer>;
+  ): Promise<HttpResponse>;
 }
 
 /** Resource limits of a client. */
 export interface ClientOptions extends PoolLimits {
   /** Maximum size of a response body. */
-  bodyBytes: number;
+  maxBodyBytes: number;
   /** Maximum memory for all incomplete responses together; the request whose response exceeds it fails. */
   maxHeldBytes?: number;
 }
@@ -76,7 +76,7 @@
     path: string,
     body: object | null,
     timeoutMs: number,
-  ): Promise<HttpAnswer> {
+  ): Promise<HttpResponse> {
     const text = requestText(addr, method, path, body);
     const socket = this.pool.acquire(addr);
     if (!socket) return Promise.reject(new HttpRequestError('no socket free', false));
@@ -86,7 +86,7 @@
         socket,
         parser: new MessageParser('response', {
           headerBytes: HEADER_BYTES,
-          bodyBytes: this.options.bodyBytes,
+          bodyBytes: this.options.maxBodyBytes,
         }),
         memory: this.memory,
         onEnd: (state) => this.pool.release(addr, socket, state),
@@ -124,7 +124,7 @@
   readonly memory: ResponseMemory;
   /** Called once, before the exchange resolves or rejects. */
   readonly onEnd: (state: 'reusable' | 'broken') => void;
-  readonly resolve: (answer: HttpAnswer) => void;
+  readonly resolve: (answer: HttpResponse) => void;
   readonly reject: (reason: string, sent: boolean) => void;
 }
 
--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -41,11 +41,11 @@
   /** Maximum number of open connections of all kinds. */
   maxConnections: number;
   /** Maximum size of a request body. */
-  bodyBytes: number;
+  maxBodyBytes: number;
   /** Maximum time from the first byte of a request to its last. */
-  requestMs: number;
+  requestTimeoutMs: number;
   /** Idle connections are closed after this time. */
-  idleMs: number;
+  idleTimeoutMs: number;
   /** Guesses the kind of client from the path of a request. */
   classify?: (path: string) => ClientKind;
   onError: (error: unknown) => void;
@@ -173,7 +173,10 @@
     const connection: Connection = {
       socket,
       slot: slot,
-      parser: new MessageParser('request', { headerBytes: HEADER_BYTES, bodyBytes: this.options.bodyBytes }),
+      parser: new MessageParser('request', {
+        headerBytes: HEADER_BYTES,
+        bodyBytes: this.options.maxBodyBytes,
+      }),
       queue: [],
       answering: false,
       closing: false,
@@ -323,11 +326,11 @@
     if (unsentBytes > MAX_UNSENT_BYTES || now - connection.unsentSince > UNSENT_MS) return true;
     if (connection.answering) return false;
     const waitedMs = now - connection.waitingSince;
-    if (connection.closing) return waitedMs > this.options.requestMs;
+    if (connection.closing) return waitedMs > this.options.requestTimeoutMs;
     const unidentified = connection.slot.kind === 'unidentified';
     if (!connection.parser.messageInProgress && !(unidentified && connection.receivedBytes === 0))
-      return waitedMs > this.options.idleMs;
-    if (waitedMs > this.options.requestMs) return true;
+      return waitedMs > this.options.idleTimeoutMs;
+    if (waitedMs > this.options.requestTimeoutMs) return true;
     const useShortLimit = unidentified && this.admission.nearCapacity;
     if (waitedMs <= (useShortLimit ? PROGRESS_NEAR_CAPACITY_MS : PROGRESS_MS)) return false;
     // A connection opened in advance sends nothing until its first request. It is kept while slots are not scarce.
--- a/src/jobs/completionchunks.ts
+++ b/src/jobs/completionchunks.ts
@@ -3,7 +3,7 @@
 import type { Job } from './job.js';
 import type { OwnerWrites, OwnerWritesOptions } from './ownerwrites.js';
 import type { StoredChunk } from './storedjob.js';
-import { chunkTasks } from './taskset.js';
+import { tasksPerChunk } from './taskset.js';
 
 /** Prefix of chunk names in the explicit layout, followed by the chunk's first task. */
 const EXPLICIT_PREFIX = 'at';
@@ -21,15 +21,15 @@
     private readonly writes: OwnerWrites,
     private readonly options: OwnerWritesOptions,
   ) {
-    this.tasksPerChunk = chunkTasks(options.limits.valueKb);
-    this.legacyTasksPerChunk = chunkTasks(options.limits.layoutKb);
+    this.tasksPerChunk = tasksPerChunk(options.limits.valueKb);
+    this.legacyTasksPerChunk = tasksPerChunk(options.limits.layoutKb);
   }
 
   /** Returns the name of the chunk that contains a task. */
   chunkOf(job: Job, task: number): string {
     // A single chunk holds all tasks, and both layouts are the same.
     if (job.spec.tasks <= this.tasksPerChunk) return '0';
-    if (this.options.allSupportLatest())
+    if (this.options.allSupportProtocolVersion())
       return `${EXPLICIT_PREFIX}${Math.floor(task / this.tasksPerChunk) * this.tasksPerChunk}`;
     return String(Math.floor(task / this.legacyTasksPerChunk));
   }
@@ -44,7 +44,7 @@
     // Done tasks in the legacy layout are stored again in the explicit layout as soon as all nodes can read
     // that layout. The legacy layout stays readable only as long as the key-value store's limit in the settings
     // is unchanged.
-    if (!this.options.allSupportLatest() || !this.legacyChunks(job).length) return;
+    if (!this.options.allSupportProtocolVersion() || !this.legacyChunks(job).length) return;
     this.markDirty(job, 0, job.spec.tasks);
     job.storedCount = 0;
   }
@@ -112,7 +112,7 @@
    * that layout.
    */
   private moveDirtyToExplicit(job: Job): void {
-    if (job.spec.tasks <= this.tasksPerChunk || !this.options.allSupportLatest()) return;
+    if (job.spec.tasks <= this.tasksPerChunk || !this.options.allSupportProtocolVersion()) return;
     for (const name of [...job.dirtyChunks]) {
       if (isExplicit(name)) continue;
       job.dirtyChunks.delete(name);
@@ -123,7 +123,7 @@
 
   /** Deletes the chunks in the legacy layout once all of their tasks are stored in the explicit layout. */
   private async deleteLegacy(job: Job): Promise<void> {
-    if (!this.options.allSupportLatest()) return;
+    if (!this.options.allSupportProtocolVersion()) return;
     const legacy = this.legacyChunks(job);
     if (legacy.length === 0 || ![...job.chunkVersions.keys()].some(isExplicit)) return;
     for (let i = 0; i < job.spec.tasks; i++)
--- a/src/jobs/job.ts
+++ b/src/jobs/job.ts
@@ -50,7 +50,7 @@
   /** Names of the chunks that have changed since they were last stored. */
   dirtyChunks: Set<string>;
   /** Key prefix of the parts of the description if it is too long for one value; otherwise null. */
-  partsUnder: string | null;
+  partsPrefix: string | null;
   /** Jobs that must be done before any task of this job starts, and that are not known to be done yet. */
   pendingDependencies: Set<string>;
   /** A dependency of the job was cancelled. The job is cancelled as well, as soon as that can be stored. */
@@ -123,7 +123,7 @@
    * Key prefix of the parts of an unfinished job's description; present in place of `after` if the description
    * is stored in parts.
    */
-  partsUnder?: string;
+  partsPrefix?: string;
 }
 
 /** Whether tasks of a job may run on machines of this type, zone and price model. */
@@ -167,7 +167,7 @@
     unacknowledgedExits: [],
     chunkVersions: new Map(),
     dirtyChunks: new Set(),
-    partsUnder: null,
+    partsPrefix: null,
     pendingDependencies: new Set(),
     cancelledByDependency: false,
     cancelRequested: false,
--- a/src/jobs/jobacceptance.ts
+++ b/src/jobs/jobacceptance.ts
@@ -3,16 +3,16 @@
 import type { Write } from '../wire/state.js';
 import type { JobSpec } from '../wire/users.js';
 import type { JobEntry, JobRecord } from './job.js';
-import { type OwnerWrites, type OwnerWritesOptions, valueBytes } from './ownerwrites.js';
+import { maxValueBytes, type OwnerWrites, type OwnerWritesOptions } from './ownerwrites.js';
 import { findJob, readActive } from './storedjob.js';
 
 /** Result of accepting a job. */
 export type AcceptResult =
   /**
-   * The job is stored at this version. `partsUnder` is the key prefix of its description's parts; null without
+   * The job is stored at this version. `partsPrefix` is the key prefix of its description's parts; null without
    * parts.
    */
-  | { readonly kind: 'accepted'; readonly version: number; readonly partsUnder: string | null }
+  | { readonly kind: 'accepted'; readonly version: number; readonly partsPrefix: string | null }
   /** A job with this id was accepted before. */
   | { readonly kind: 'known'; readonly entry: JobEntry };
 
@@ -22,7 +22,7 @@
 /** Value of a job's record, and the key prefix of the description's parts. */
 interface AcceptanceValue {
   readonly value: object;
-  readonly partsUnder: string | null;
+  readonly partsPrefix: string | null;
 }
 
 /** Stores the jobs that one shard accepts. */
@@ -41,7 +41,7 @@
   async accept(record: JobRecord, tag: string): Promise<AcceptResult> {
     const id = record.spec.id;
     const key = KEYS.activeJob(id);
-    const { value, partsUnder } = await this.prepare(record, tag);
+    const { value, partsPrefix } = await this.prepare(record, tag);
     try {
       const result = await this.writes.write(
         [
@@ -50,7 +50,7 @@
         ],
         [{ put: key, value }],
       );
-      if (result.ok) return { kind: 'accepted', version: result.revision, partsUnder };
+      if (result.ok) return { kind: 'accepted', version: result.revision, partsPrefix };
     } catch (error) {
       // A write without a response may or may not have been applied; only reading it back decides.
       if (!(error instanceof StateStoreError) || !error.mayHaveApplied) throw error;
@@ -58,29 +58,29 @@
     const { store } = this.options;
     const stored = await store.get(key);
     if (stored && readActive(stored.value)?.tag === tag)
-      return { kind: 'accepted', version: stored.version, partsUnder };
+      return { kind: 'accepted', version: stored.version, partsPrefix };
     const entry = await findJob((k) => store.get(k), id);
     if (!entry) throw new StateStoreError(`acceptance of ${id} is not decided`, true);
-    if (partsUnder !== null) void this.writes.deleteParts(partsUnder);
+    if (partsPrefix !== null) void this.writes.deleteParts(partsPrefix);
     return { kind: 'known', entry };
   }
 
   /** Returns the value to store; stores the description separately if it is too long for the value. */
   private async prepare(record: JobRecord, tag: string): Promise<AcceptanceValue> {
-    const { shard, limits, allSupportLatest } = this.options;
+    const { shard, limits, allSupportProtocolVersion } = this.options;
     const { id } = record.spec;
     const whole = { ...record, shard, tag };
-    if (jsonBytes(whole) > valueBytes(limits.valueKb)) {
-      if (allSupportLatest()) {
+    if (jsonBytes(whole) > maxValueBytes(limits.valueKb)) {
+      if (allSupportProtocolVersion()) {
         const parts = await this.storeParts(record.spec, tag);
         const value = { accepted: record.accepted, deadline: record.deadline, shard, tag, parts };
-        return { value, partsUnder: KEYS.specParts(id, tag) };
+        return { value, partsPrefix: KEYS.specParts(id, tag) };
       }
       // The description is stored in parts once all nodes run this version.
-      if (jsonBytes(whole) > valueBytes(limits.layoutKb))
+      if (jsonBytes(whole) > maxValueBytes(limits.layoutKb))
         throw new StateStoreError(`the description of ${id} is too long for now`, false);
     }
-    return { value: whole, partsUnder: null };
+    return { value: whole, partsPrefix: null };
   }
 
   /**
@@ -90,7 +90,7 @@
   private async storeParts(spec: JobSpec, tag: string): Promise<number> {
     const { limits } = this.options;
     const bytes = Buffer.from(JSON.stringify(spec));
-    const partBytes = Math.max(30, Math.floor((valueBytes(limits.valueKb) / 4) * 3) - 6);
+    const partBytes = Math.max(30, Math.floor((maxValueBytes(limits.valueKb) / 4) * 3) - 6);
     const writes: Write[] = [];
     for (let from = 0; from < bytes.length; from += partBytes) {
       const value = bytes.subarray(from, from + partBytes).toString('base64');
--- a/src/jobs/jobend.ts
+++ b/src/jobs/jobend.ts
@@ -64,6 +64,6 @@
   private deleteRemaining(job: Job, writes: readonly Write[]): void {
     const { txnOps } = this.options.limits;
     if (writes.length > txnOps) void this.writes.deleteUnconditionally(writes.slice(txnOps));
-    if (job.partsUnder !== null) void this.writes.deleteParts(job.partsUnder);
+    if (job.partsPrefix !== null) void this.writes.deleteParts(job.partsPrefix);
   }
 }
--- a/src/jobs/jobstatus.ts
+++ b/src/jobs/jobstatus.ts
@@ -9,7 +9,7 @@
 
 /** Whether an unfinished job has dependencies, as far as its record shows without further reads. */
 export function hasDependencies(entry: JobEntry): boolean {
-  return entry.partsUnder !== undefined || (entry.after?.length ?? 0) > 0;
+  return entry.partsPrefix !== undefined || (entry.after?.length ?? 0) > 0;
 }
 
 /** Status of a job according to the key-value store. */
@@ -33,8 +33,8 @@
     if (current === id && entry.final) return entry.final;
     if (entry.final === 'cancelled') return 'unsure';
     let after = entry.after ?? [];
-    if (entry.partsUnder !== undefined) {
-      const spec = await readParts(store, entry.partsUnder, null);
+    if (entry.partsPrefix !== undefined) {
+      const spec = await readParts(store, entry.partsPrefix, null);
       if (!spec) return 'unsure';
       after = spec.after;
     }
--- a/src/jobs/ownerwrites.ts
+++ b/src/jobs/ownerwrites.ts
@@ -21,7 +21,7 @@
   readonly term: number;
   readonly limits: RecordLimits;
   /** Whether all nodes can read formats that the first version did not support. */
-  readonly allSupportLatest: () => boolean;
+  readonly allSupportProtocolVersion: () => boolean;
   /** Called when a job record has been changed. */
   readonly onChanged: () => void;
 }
@@ -78,6 +78,6 @@
  * Returns the maximum number of bytes in a value, with a reserve for overhead that the key-value store counts
  * as well.
  */
-export function valueBytes(valueKb: number): number {
+export function maxValueBytes(valueKb: number): number {
   return valueKb * 1000;
 }
--- a/src/jobs/records.ts
+++ b/src/jobs/records.ts
@@ -7,7 +7,7 @@
 import { OwnerWrites, type OwnerWritesOptions, type RecordLimits } from './ownerwrites.js';
 import { findJob, type LoadedJob, loadJobs, type StoredChunk } from './storedjob.js';
 
-export { valueBytes } from './ownerwrites.js';
+export { maxValueBytes } from './ownerwrites.js';
 export {
   findJob,
   type LoadedJob,
@@ -36,11 +36,18 @@
     term: number,
     limits: RecordLimits,
     /** Whether all nodes can read formats that the first version did not support. */
-    allSupportLatest: () => boolean,
+    allSupportProtocolVersion: () => boolean,
     /** Called when a job record has been changed. */
     onChanged: () => void = () => undefined,
   ) {
-    const options: OwnerWritesOptions = { store, shard, term, limits, allSupportLatest, onChanged };
+    const options: OwnerWritesOptions = {
+      store,
+      shard,
+      term,
+      limits,
+      allSupportProtocolVersion,
+      onChanged,
+    };
     const writes = new OwnerWrites(options);
     this.acceptance = new JobAcceptance(writes, options);
     this.completions = new CompletionChunks(writes, options);
--- a/src/jobs/storedjob.ts
+++ b/src/jobs/storedjob.ts
@@ -78,7 +78,7 @@
   readonly version: number;
   chunks: StoredChunk[];
   /** Key prefix of the description's parts; null if the description is stored in one value. */
-  readonly partsUnder: string | null;
+  readonly partsPrefix: string | null;
 }
 
 /** Validates the entry of a job; returns null if it is invalid. */
@@ -118,7 +118,7 @@
   const active = await read(KEYS.activeJob(id));
   const found = active && readActive(active.value);
   if (found) {
-    if (found.parts !== undefined) return { shard: found.shard, partsUnder: KEYS.specParts(id, found.tag) };
+    if (found.parts !== undefined) return { shard: found.shard, partsPrefix: KEYS.specParts(id, found.tag) };
     return { shard: found.shard, after: found.spec?.after ?? [] };
   }
   const ended = await read(KEYS.job(id));
@@ -132,13 +132,20 @@
   entry: Entry,
 ): Promise<LoadedJob | null> {
   const single = v.safeParse(singleValue, entry.value);
-  if (single.success) return { record: single.output, version: entry.version, chunks: [], partsUnder: null };
+  if (single.success) return { record: single.output, version: entry.version, chunks: [], partsPrefix: null };
   const inParts = v.safeParse(inPartsValue, entry.value);
   if (!inParts.success) return null;
   const { accepted, deadline, tag, parts } = inParts.output;
-  const partsUnder = KEYS.specParts(id, tag);
-  const spec = await readParts(store, partsUnder, parts);
-  return spec && { record: { spec, accepted, deadline }, version: entry.version, chunks: [], partsUnder };
+  const partsPrefix = KEYS.specParts(id, tag);
+  const spec = await readParts(store, partsPrefix, parts);
+  return (
+    spec && {
+      record: { spec, accepted, deadline },
+      version: entry.version,
+      chunks: [],
+      partsPrefix,
+    }
+  );
 }
 
 /** Reads a chunk of done tasks in either layout; returns null if it cannot be read. */
--- a/src/jobs/taskset.ts
+++ b/src/jobs/taskset.ts
@@ -37,7 +37,7 @@
 }
 
 /** Returns the number of tasks per chunk for which the encoded chunk fits into a value; a multiple of eight. */
-export function chunkTasks(valueKb: number): number {
+export function tasksPerChunk(valueKb: number): number {
   const textBytes = Math.max(64, Math.min(48 * 1024, valueKb * 1024 - 128));
   return Math.floor(textBytes / 4) * 3 * 8;
 }
--- a/src/load/history.ts
+++ b/src/load/history.ts
@@ -12,7 +12,7 @@
    * request was sent may have crossed with it; this event must not be older than those that arrived before. If
    * omitted, all events before this one count as arrived before the request.
    */
-  asked?: number;
+  eventsBeforeRequest?: number;
   /** Reason why the job should have been refused although it was accepted. */
   unfit?: string;
 }
--- a/src/load/loadrun.ts
+++ b/src/load/loadrun.ts
@@ -6,7 +6,7 @@
 import type { Platform } from '../emulator/platform.js';
 import { Random } from '../emulator/random.js';
 import { HttpClient } from '../http/client.js';
-import { type JobSpec, KINDS, PRIORITIES } from '../wire/users.js';
+import { type JobSpec, KINDS_BY_SHAPE, PRIORITIES_BY_URGENCY } from '../wire/users.js';
 import { checkHistory } from './checkhistory.js';
 import type { UserEvent } from './history.js';
 import { type ClassReport, type LoadReport, lostTasks, startsPeak } from './loadreport.js';
@@ -62,7 +62,7 @@
   ) {
     this.clock = cluster.clock;
     this.random = new Random(scenario.seed);
-    this.http = new HttpClient(this.clock, { maxSockets: 2000, bodyBytes: 1024 * 1024 });
+    this.http = new HttpClient(this.clock, { maxSockets: 2000, maxBodyBytes: 1024 * 1024 });
     this.client = new SpartrayClient(this.clock, this.http, {
       servers: [cluster.users],
       depot: cluster.depot,
@@ -182,8 +182,8 @@
       id: `wk-load-${this.scenario.seed}-${String(jobNumber).padStart(6, '0')}`,
       class: jobClass.name,
       team: jobClass.team === ANY_TEAM ? this.random.pick(this.platform.teams).name : jobClass.team,
-      kind: KINDS[jobClass.shape],
-      priority: PRIORITIES[jobClass.urgency],
+      kind: KINDS_BY_SHAPE[jobClass.shape],
+      priority: PRIORITIES_BY_URGENCY[jobClass.urgency],
       tasks: this.random.pick(jobClass.pieces),
       cpus: jobClass.cpus,
       gpus: jobClass.gpus,
@@ -225,12 +225,12 @@
     if (fault.what === 'kill_all') for (const i of controllers.keys()) this.cluster.kill(i);
     if (fault.what === 'state_down') {
       state.down = true;
-      scheduleEnd(() => state.restore());
+      scheduleEnd(() => state.endOutage());
     }
     if (fault.what === 'state_refuses' || fault.what === 'refuse_oldest') {
       const node = controllers[controllerIndex]?.node ?? '';
-      state.refusing.add(node);
-      scheduleEnd(() => state.refusing.delete(node));
+      state.refusedCallers.add(node);
+      scheduleEnd(() => state.refusedCallers.delete(node));
     }
     if (fault.what === 'cloud_down') {
       cloud.down = true;
@@ -247,10 +247,10 @@
     }
     const { network } = this.cluster;
     if (fault.what === 'cut_rack')
-      scheduleEnd(network.cut({ kind: 'rack', zone: fault.zone, rack: fault.rack }));
-    if (fault.what === 'cut_zone') scheduleEnd(network.cut({ kind: 'zone', zone: fault.zone }));
-    if (fault.what === 'cut_regions') scheduleEnd(network.cut({ kind: 'regions' }));
-    if (fault.what === 'die') for (const id of affectedMachines) market.take(id);
+      scheduleEnd(network.startPartition({ kind: 'rack', zone: fault.zone, rack: fault.rack }));
+    if (fault.what === 'cut_zone') scheduleEnd(network.startPartition({ kind: 'zone', zone: fault.zone }));
+    if (fault.what === 'cut_regions') scheduleEnd(network.startPartition({ kind: 'regions' }));
+    if (fault.what === 'die') for (const id of affectedMachines) market.remove(id);
     if (fault.what === 'faulty') for (const id of affectedMachines) tasks.faulty.add(id);
     if (fault.what === 'reclaim')
       for (const m of [...market.machines.values()].filter((x) => x.spot).slice(0, fault.count))
@@ -311,7 +311,7 @@
       durationS,
       classes,
       served: sharesOf(classes),
-      twice: this.cluster.tasks.twice,
+      twice: this.cluster.tasks.duplicateCompletions,
       violations: violations.map((violation) => ({
         ...violation,
         at: Math.round((violation.at - this.startedAt) / 100) / 10,
--- a/src/load/scale.ts
+++ b/src/load/scale.ts
@@ -4,7 +4,7 @@
 import { SettingsError } from '../config/settings.js';
 import { STATE_FILE } from '../emulator/local.js';
 import type { Platform } from '../emulator/platform.js';
-import { MOST_CONTROLLERS, WORKER_PORT_COUNT } from '../emulator/ports.js';
+import { MAX_CONTROLLERS, WORKER_PORT_COUNT } from '../emulator/ports.js';
 import type { Scenario } from './scenario.js';
 
 /** Sizes of a run. */
@@ -34,7 +34,7 @@
 export function checkSizes(sizes: Sizes, memoryBytes = totalmem()): void {
   const bounds: [keyof Sizes, number, string][] = [
     ['workers', WORKER_PORT_COUNT, 'ports'],
-    ['controllers', MOST_CONTROLLERS, 'ports'],
+    ['controllers', MAX_CONTROLLERS, 'ports'],
     ['teams', MAX_TEAMS, 'teams'],
     ['startsPerSecond', MAX_STARTS_PER_SECOND, 'what one process of hollow workers carries'],
   ];
--- a/src/load/scalerun.ts
+++ b/src/load/scalerun.ts
@@ -57,7 +57,7 @@
   /** Plays the scenario to its end and returns the results. */
   async run(name: string, options: ScaleRunOptions): Promise<ScaleReport> {
     const { clock } = this.cluster;
-    const http = new HttpClient(clock, { maxSockets: 200, bodyBytes: 64 * 1024 });
+    const http = new HttpClient(clock, { maxSockets: 200, maxBodyBytes: 64 * 1024 });
     const propagation = new Propagation(clock, http, this.cluster, () => this.excluded());
     this.measurement.start();
     const firstPhaseS = Math.min(...this.scenario.phases.map((p) => p.from_s), this.scenario.duration_s);
--- a/src/load/singleworker.ts
+++ b/src/load/singleworker.ts
@@ -44,9 +44,9 @@
   const controller = new SingleWorkerController();
   const server = new HttpServer(systemClock, (r) => controller.answer(r.body), {
     maxConnections: 16,
-    bodyBytes: 256 * 1024,
-    requestMs: 30_000,
-    idleMs: 120_000,
+    maxBodyBytes: 256 * 1024,
+    requestTimeoutMs: 30_000,
+    idleTimeoutMs: 120_000,
     onError: (error) => process.stderr.write(`spartray: ${error}\n`),
   });
   await server.listen(HOST, port);
--- a/src/load/userrules.ts
+++ b/src/load/userrules.ts
@@ -17,7 +17,7 @@
   const cancelRequested = new Set<string>();
   for (const [i, event] of userEvents.entries()) {
     const spec = jobs.get(event.job);
-    const requestIndex = event.asked ?? i;
+    const requestIndex = event.eventsBeforeRequest ?? i;
     if (event.unfit !== undefined)
       report('accepted_unfit', event.at, `${event.job} was accepted: ${event.unfit}`);
     if (event.kind === 'cancel asked') cancelRequested.add(event.job);
--- a/src/modelcheck/lending.ts
+++ b/src/modelcheck/lending.ts
@@ -14,19 +14,19 @@
   | 'mayRunHome'
   | 'lend'
   | 'renew'
-  | 'takeBack'
-  | 'takeReturned'
-  | 'takeDone'
-  | 'doneHome'
+  | 'reclaimExpired'
+  | 'acceptReturn'
+  | 'acceptCompletion'
+  | 'completeAtHome'
   | 'cancel'
-  | 'borrow'
+  | 'acceptLoan'
   | 'extend'
   | 'start'
   | 'mayRunBorrowed'
   | 'mustStop'
-  | 'doneBorrowed'
-  | 'giveBack'
-  | 'drop'
+  | 'completeAtPartner'
+  | 'handleRecall'
+  | 'handleStop'
 >;
 /** Transitions of production. */
 export const PRODUCTION: Transitions = lending;
@@ -78,7 +78,7 @@
    * The answer given to the user, and its time, from which the maximum running time after a cancellation is
    * measured.
    */
-  answered: lending.Final | null;
+  answered: lending.JobOutcome | null;
   answeredAt: number;
   /** Whether the user received an answer that differs from an earlier one. */
   answerChanged: boolean;
@@ -107,7 +107,7 @@
     if (message && state.messages.length < bounds.messages)
       state.messages.push({ to: from === 'home' ? 'partner' : 'home', message });
   };
-  const answerUser = (state: State, final: lending.Final | null) => {
+  const answerUser = (state: State, final: lending.JobOutcome | null) => {
     if (final === null) return;
     if (state.answered !== null && state.answered !== final) state.answerChanged = true;
     if (state.answered === null) state.answeredAt = state.t;
@@ -176,7 +176,7 @@
       done.finished.push(state.home.epoch);
       yield {
         action: 'home completes the job',
-        state: write(done, 'home', transitions.doneHome(state.home)),
+        state: write(done, 'home', transitions.completeAtHome(state.home)),
       };
       if (!transitions.mayRunHome(state.home))
         yield { action: 'home stops', state: { ...copy(state), runsHome: false } };
@@ -196,7 +196,7 @@
         };
       yield {
         action: `home takes back at ${now}`,
-        state: write(state, 'home', transitions.takeBack(state.home, now, limits)),
+        state: write(state, 'home', transitions.reclaimExpired(state.home, now, limits)),
       };
     }
     if (state.home.lent && state.home.final === null) {
@@ -233,7 +233,7 @@
       done.finished.push(record.epoch);
       yield {
         action: 'partner completes the job',
-        state: write(done, 'partner', transitions.doneBorrowed(record)),
+        state: write(done, 'partner', transitions.completeAtPartner(record)),
       };
     }
     if (record.state === 'started' || record.state === 'held') {
@@ -265,7 +265,7 @@
             state: write(
               state,
               'partner',
-              transitions.borrow(record, message.epoch, message.until, now, limits),
+              transitions.acceptLoan(record, message.epoch, message.until, now, limits),
             ),
           };
       if (!record) return;
@@ -275,9 +275,15 @@
           state: write(state, 'partner', transitions.extend(record, message.epoch, message.until)),
         };
       if (message.kind === 'recall')
-        yield { action: label, state: write(state, 'partner', transitions.giveBack(record, message.epoch)) };
+        yield {
+          action: label,
+          state: write(state, 'partner', transitions.handleRecall(record, message.epoch)),
+        };
       if (message.kind === 'stop')
-        yield { action: label, state: write(state, 'partner', transitions.drop(record, message.epoch)) };
+        yield {
+          action: label,
+          state: write(state, 'partner', transitions.handleStop(record, message.epoch)),
+        };
       return;
     }
     if (message.kind === 'renew')
@@ -289,10 +295,13 @@
     if (message.kind === 'returned')
       yield {
         action: label,
-        state: write(state, 'home', transitions.takeReturned(state.home, message.epoch)),
+        state: write(state, 'home', transitions.acceptReturn(state.home, message.epoch)),
       };
     if (message.kind === 'done')
-      yield { action: label, state: write(state, 'home', transitions.takeDone(state.home, message.epoch)) };
+      yield {
+        action: label,
+        state: write(state, 'home', transitions.acceptCompletion(state.home, message.epoch)),
+      };
   }
 
   /**
--- a/src/modelcheck/standbylease.ts
+++ b/src/modelcheck/standbylease.ts
@@ -17,7 +17,7 @@
   | 'mayClaim'
   | 'onClaim'
 > &
-  Pick<typeof takeoverChecks, 'surelyNotRunning'> &
+  Pick<typeof takeoverChecks, 'isConfirmedNotRunning'> &
   Pick<typeof machine, 'classifyHeartbeat'>;
 /** Transitions of production. */
 export const PRODUCTION: Transitions = {
@@ -216,9 +216,9 @@
       yield { action: 'machine sees the new token', state: copy(state, { tokenSeen: true }) };
     const announcedMachines = new Set(state.knowsStart ? ['m'] : []);
     const snapshot = { machinesOf: () => (state.inSync ? announcedMachines : null) } as unknown as Parameters<
-      Transitions['surelyNotRunning']
+      Transitions['isConfirmedNotRunning']
     >[1];
-    const notRunning = transitions.surelyNotRunning(
+    const notRunning = transitions.isConfirmedNotRunning(
       { fresh: false, id: 'j' },
       snapshot,
       state.reportedUnderToken,
--- a/src/peer/frames.ts
+++ b/src/peer/frames.ts
@@ -31,7 +31,7 @@
 export class FrameReader {
   private buffer: Buffer = Buffer.alloc(0);
   /** Size in bytes of the frame that `feed` decoded last, including its length prefix. */
-  lastBytes = 0;
+  lastFrameBytes = 0;
 
   /** Limits frames to `maxBytes` until `allowFullSize` is called. */
   constructor(private maxBytes = MAX_FRAME_BYTES) {}
@@ -53,7 +53,7 @@
       if (this.buffer.length < 4 + length) break;
       const value: unknown = packr.unpack(this.buffer.subarray(4, 4 + length));
       this.buffer = this.buffer.subarray(4 + length);
-      this.lastBytes = 4 + length;
+      this.lastFrameBytes = 4 + length;
       if (typeof value !== 'object' || value === null) throw new ProtocolViolationError('not a message');
       yield value as PeerMessage;
     }
--- a/src/plan/arrayplacement.ts
+++ b/src/plan/arrayplacement.ts
@@ -38,7 +38,7 @@
    */
   reserve(job: PlanJob, zone: number | null): number | null {
     const { table } = this;
-    const spread: ZoneSpread = { perZone: new Map(job.present), maxPerZone: Math.ceil(job.total / 2) };
+    const spread: ZoneSpread = { perZone: new Map(job.placedByZone), maxPerZone: Math.ceil(job.total / 2) };
     const tasks = tasksToReserve(job, zone, spread);
     const team = table.teams.get(job.team);
     const first = table.earliestStart(job);
--- a/src/plan/model.ts
+++ b/src/plan/model.ts
@@ -78,7 +78,7 @@
   /** Indices of the unstarted tasks to be placed. */
   tasks: number[];
   /** Number of tasks on machines now, by zone. */
-  present: ReadonlyMap<number, number>;
+  placedByZone: ReadonlyMap<number, number>;
 }
 
 /** Planned run of one task, given by its index in the job, on a machine from `start` until `end`. */
--- a/src/plan/plan.ts
+++ b/src/plan/plan.ts
@@ -57,7 +57,7 @@
   reserve(job: PlanJob): number | null {
     if (job.kind === 'gang') return this.gangs.reserve(job);
     if (!job.oneZone) return this.arrays.reserve(job, job.zone);
-    const occupied = [...job.present.keys()];
+    const occupied = [...job.placedByZone.keys()];
     if (occupied.length > 0) return this.arrays.reserve(job, occupied[0]!);
     let best: { zone: number; finish: number } | null = null;
     for (const zone of this.table.zonesOf(job)) {
--- a/src/program/compose.ts
+++ b/src/program/compose.ts
@@ -59,7 +59,7 @@
       team: options.condorTeam ?? null,
       depot: options.depot ?? null,
     });
-    api.mounts.set('/condor/', (request) => service.handle(request));
+    api.handlersByPrefix.set('/condor/', (request) => service.handle(request));
     service.start();
   }
   const onError = (error: unknown) =>
@@ -70,9 +70,9 @@
   const server = new HttpServer(clock, (request) => api.handle(request), {
     maxConnections: allocateSockets(settings.limits.maxSockets).incoming,
     classify: classifyRequest,
-    bodyBytes: MAX_REQUEST_BYTES,
-    requestMs: REQUEST_TIMEOUT_MS,
-    idleMs: IDLE_TIMEOUT_MS,
+    maxBodyBytes: MAX_REQUEST_BYTES,
+    requestTimeoutMs: REQUEST_TIMEOUT_MS,
+    idleTimeoutMs: IDLE_TIMEOUT_MS,
     onError,
     onOverload: (counts, open) =>
       log.warn(
@@ -93,12 +93,12 @@
     // A slow cloud must not occupy all sockets, because lease renewals at the key-value store need them too.
     maxSocketsPerAddress: (addr) =>
       addr === settings.cloud ? Math.ceil(sockets.services / 4) : sockets.services,
-    bodyBytes: MAX_SERVICE_RESPONSE_BYTES,
+    maxBodyBytes: MAX_SERVICE_RESPONSE_BYTES,
   });
   const workers = new HttpClient(clock, {
     maxSockets: sockets.workers,
     maxSocketsPerAddress: () => SOCKETS_PER_WORKER,
-    bodyBytes: MAX_WORKER_RESPONSE_BYTES,
+    maxBodyBytes: MAX_WORKER_RESPONSE_BYTES,
   });
   const names = new NameTables();
   for (const team of settings.teams) names.teams.index(team.name);
--- a/src/scheduler/admission.ts
+++ b/src/scheduler/admission.ts
@@ -5,7 +5,7 @@
 import type { Plan } from '../plan/plan.js';
 import type { DependencyTracker } from './dependencytracker.js';
 import type { JobTable } from './jobtable.js';
-import { type PlanInput, type PlanOnMachines, reserveAsBefore } from './planinput.js';
+import { type PlanInput, type PlanOnMachines, reserveAtPreviousPlacement } from './planinput.js';
 import { MAX_PLAN_PROBES, pauseAfterPlanMs } from './planningbudget.js';
 import type { RuntimeEstimates } from './runtimeestimates.js';
 import { planJobOf, type SchedulingOrder } from './schedulingorder.js';
@@ -70,7 +70,11 @@
   private reserveByDefaultDeadline(plan: Plan, job: Job, planJob: PlanJob, now: number): number {
     const { context, estimates } = this.parts;
     const finish = plan.earliestFinish(planJob);
-    const dueS = defaultDueS(context, finish === null ? null : finish - now / 1000, estimates.runS(job.spec));
+    const dueS = defaultDeadlineS(
+      context,
+      finish === null ? null : finish - now / 1000,
+      estimates.runS(job.spec),
+    );
     plan.reserve({ ...planJob, deadline: now / 1000 + dueS });
     return dueS;
   }
@@ -83,8 +87,8 @@
     const cached = this.plans.get(priority);
     if (cached && now - cached.at < ADMISSION_PLAN_VALID_MS) return cached.plan;
     const { context, planInput, autoscaler, lastPlan } = this.parts;
-    const { machines, refs } = planInput.machines(now);
-    const previous = planInput.previousPlacements(lastPlan(), refs);
+    const { machines, shardMachines } = planInput.machines(now);
+    const previous = planInput.previousPlacements(lastPlan(), shardMachines);
     for (const option of autoscaler.rentOptions(now)) {
       for (let i = 0; i < ASSUMED_RENTALS_PER_KIND; i++)
         machines.push(planInput.virtualMachine(option, (now + option.bootS * 1100) / 1000));
@@ -93,7 +97,7 @@
     for (const entry of this.parts.order.entries()) {
       if (entry.priority < priority) break;
       const p = entry.job.notBefore > now ? null : planJobOf(entry, planInput, now);
-      if (p && plan.probes < MAX_PLAN_PROBES) reserveAsBefore(plan, p, previous.get(p.id));
+      if (p && plan.probes < MAX_PLAN_PROBES) reserveAtPreviousPlacement(plan, p, previous.get(p.id));
     }
     this.reserveDependents(plan, priority, now);
     // A plan that took long to compute is reused for longer.
@@ -127,8 +131,8 @@
  * Returns the deadline of a job that was submitted without one, in seconds from now. It derives from the earliest
  * finish in the plan, if there is one.
  */
-export function defaultDueS(context: ControllerContext, finishS: number | null, runS: number): number {
+export function defaultDeadlineS(context: ControllerContext, finishS: number | null, runS: number): number {
   // Without a planned finish, assumes the worst case, in which a machine has to be rented and booted first.
-  const worstCaseS = Math.max(60, ...context.catalog.all().map(([, t]) => t.bootS)) * 2 + runS;
+  const worstCaseS = Math.max(60, ...context.catalog.offeredTypes().map(([, t]) => t.bootS)) * 2 + runS;
   return DEFAULT_DEADLINE_FACTOR * (finishS ?? worstCaseS);
 }
--- a/src/scheduler/completionstore.ts
+++ b/src/scheduler/completionstore.ts
@@ -18,9 +18,9 @@
 /** Callbacks by which `CompletionStore` queries and notifies its shard. */
 export interface CompletionStoreHooks {
   /** Returns whether this node no longer owns the shard. */
-  stopped(): boolean;
+  isStopped(): boolean;
   /** Stops the shard after its ownership was lost; returns the error to throw. */
-  lostOwnership(): Error;
+  onOwnershipLost(): Error;
   /** Called when the end of a job has been stored. */
   onStoredEnd(job: Job, status: 'done' | 'cancelled'): void;
   /** Called when the completion of an attempt is durable and nothing about the attempt remains to be stored. */
@@ -51,7 +51,7 @@
     const { context, jobTable, log, hooks } = this.parts;
     const { clock } = context;
     const hasUnfinishedTasks = () =>
-      !hooks.stopped() && job.state === 'active' && job.done.count < job.spec.tasks;
+      !hooks.isStopped() && job.state === 'active' && job.done.count < job.spec.tasks;
     try {
       while (hasUnfinishedTasks() && clock.now() < job.storeAfter) await pause(clock, STORE_POLL_MS);
       await jobTable.exclusive(job.spec.id, () => this.storeOnce(job));
@@ -67,12 +67,12 @@
 
   private async storeOnce(job: Job): Promise<void> {
     const { context, records, log, hooks } = this.parts;
-    if (hooks.stopped() || job.state !== 'active' || job.storedCount >= job.done.count) return;
+    if (hooks.isStopped() || job.state !== 'active' || job.storedCount >= job.done.count) return;
     try {
       if (job.done.count === job.spec.tasks) hooks.onStoredEnd(job, await records.finish(job, 'done'));
       else await records.storeDone(job);
     } catch (error) {
-      if (error instanceof NotOwnerError) throw hooks.lostOwnership();
+      if (error instanceof NotOwnerError) throw hooks.onOwnershipLost();
       log.debug({ job: job.spec.id, err: error }, 'storing task completions failed');
       await pause(context.clock, STORE_RETRY_MS);
     }
@@ -81,7 +81,7 @@
   private acknowledgeExits(job: Job): void {
     // After the shard is lost, completions not yet stored are left to its next owner; retrying them here would
     // never end.
-    if (this.parts.hooks.stopped()) return;
+    if (this.parts.hooks.isStopped()) return;
     if (job.storedCount < job.done.count && job.state === 'active') {
       void this.store(job);
       return;
--- a/src/scheduler/dependencypoller.ts
+++ b/src/scheduler/dependencypoller.ts
@@ -43,7 +43,7 @@
    */
   jobStatusFromStore(id: string): Promise<'active' | 'done' | 'cancelled' | 'unsure'>;
   /** Loads a job of this shard that is stored but not in the memory of this owner. */
-  recall(id: string): Promise<unknown>;
+  loadIfMissing(id: string): Promise<unknown>;
   /**
    * Requests the status of jobs from the owner of another shard; the request carries the claims of their
    * dependents.
@@ -171,7 +171,7 @@
   private loadFromOwnShard(id: string, dependency: Dependency): void {
     const { hooks, jobs } = this.parts;
     this.startRead(dependency, async () => {
-      await hooks.recall(id);
+      await hooks.loadIfMissing(id);
       const final = hooks.endedStatus(id);
       const state = final ?? (jobs.has(id) ? 'active' : await hooks.jobStatusFromStore(id));
       if (state === 'done' || state === 'cancelled') hooks.onEnded(id, state);
--- a/src/scheduler/jobrequests.ts
+++ b/src/scheduler/jobrequests.ts
@@ -8,7 +8,12 @@
 import type { Admission } from './admission.js';
 import type { DependencyTracker } from './dependencytracker.js';
 import type { JobTable } from './jobtable.js';
-import { NOT_READY, OwnerUnavailableError, type StatusAnswer, type SubmitAnswer } from './responses.js';
+import {
+  type JobStatusResponse,
+  NOT_READY,
+  OwnerUnavailableError,
+  type SubmitResponse,
+} from './responses.js';
 import { RetryAfterPacer } from './retryafterpacer.js';
 import type { TaskProgress } from './taskprogress.js';
 
@@ -30,11 +35,11 @@
 /** Callbacks by which `JobRequests` queries and notifies its shard. */
 export interface JobRequestsHooks {
   /** Returns whether the shard is loaded and its owner may act. */
-  ready(): boolean;
+  isReady(): boolean;
   /** Returns whether this node is certain to own the shard, checked against the clock at the time of the call. */
   mayAct(): boolean;
   /** Stops the shard, which another node owns by now. */
-  lostOwnership(): Error;
+  onOwnershipLost(): Error;
   requestPlan(): void;
 }
 
@@ -63,11 +68,11 @@
 
   /** Throws `OwnerUnavailableError` unless the shard is loaded and its owner may act. */
   requireReady(): void {
-    if (!this.parts.hooks.ready()) throw new OwnerUnavailableError(NOT_READY);
+    if (!this.parts.hooks.isReady()) throw new OwnerUnavailableError(NOT_READY);
   }
 
   /** Accepts a job or refuses it. Throws `UnavailableError` when the outcome is not known at present. */
-  async submit(spec: JobSpec): Promise<SubmitAnswer> {
+  async submit(spec: JobSpec): Promise<SubmitResponse> {
     this.requireReady();
     const { store } = this.parts.context;
     // A known job is answered at once: if the answer waited for a write in flight, another node might own the shard
@@ -89,7 +94,7 @@
    * Checks a job against the plan and stores it. The caller holds the job's mutex, so that no other acceptance,
    * completion or cancellation of the job runs at the same time.
    */
-  private async accept(spec: JobSpec): Promise<SubmitAnswer> {
+  private async accept(spec: JobSpec): Promise<SubmitResponse> {
     const { context, jobTable, records, admission, dependencies } = this.parts;
     // The previous holder of the mutex may have taken seconds: another node may own the shard by now, and may have
     // given answers that are not known here.
@@ -100,7 +105,7 @@
     if (check.kind === 'neverAccepted') return { kind: 'never', needs: check.id };
     this.requireReady();
     const wall = context.clock.wall();
-    const job = jobTable.make(spec, wall, 0, true, 0);
+    const job = jobTable.createJob(spec, wall, 0, true, 0);
     // A job that depends on a cancelled one is accepted and cancelled.
     const dueS = check.anyCancelled ? 0 : admission.admit(job, check.unfinished);
     if (dueS === null) return this.answerRefused(spec.id);
@@ -115,7 +120,7 @@
     const alreadyLoaded = this.knownAnswer(spec.id);
     if (alreadyLoaded) return alreadyLoaded;
     job.version = accepted.version;
-    job.partsUnder = accepted.partsUnder;
+    job.partsPrefix = accepted.partsPrefix;
     this.addAccepted(job, deadline, dueS);
     if (!check.anyCancelled) return { kind: 'accepted' };
     await this.storeCancellation(job);
@@ -140,7 +145,7 @@
    * Answers a submission that the plan has no capacity for: the job may have been accepted before, else it is
    * refused.
    */
-  private async answerRefused(id: string): Promise<SubmitAnswer> {
+  private async answerRefused(id: string): Promise<SubmitResponse> {
     const entry = await this.parts.records.entry(id);
     if (entry) return this.answerRepeated(id, entry);
     return { kind: 'refused', retryS: REFUSED_RETRY_S };
@@ -153,12 +158,12 @@
   }
 
   /** Returns the answer to a repeated submission of a job; null when the job is not in memory. */
-  private knownAnswer(id: string): SubmitAnswer | null {
+  private knownAnswer(id: string): SubmitResponse | null {
     const answer = this.parts.jobTable.statusOf(id);
     return answer && { kind: 'known', status: this.requireReportable(id, answer).status };
   }
 
-  private async answerRepeated(id: string, entry: JobEntry): Promise<SubmitAnswer> {
+  private async answerRepeated(id: string, entry: JobEntry): Promise<SubmitResponse> {
     if (entry.final) return { kind: 'known', status: entry.final };
     if (entry.shard !== this.parts.index) {
       // Only the owner of that shard knows whether the job is about to be cancelled because of one of its
@@ -166,7 +171,7 @@
       if (hasDependencies(entry)) throw new UnavailableError('the job is in another shard');
       return { kind: 'known', status: 'queued' };
     }
-    const status = await this.recall(id);
+    const status = await this.loadIfMissing(id);
     if (!status) throw new UnavailableError('job not found in its shard');
     return { kind: 'known', status: this.requireReportable(id, status).status };
   }
@@ -175,7 +180,7 @@
    * Loads a job that is not in memory: a job whose acceptance was applied late is stored, although this owner does
    * not have it.
    */
-  async recall(id: string): Promise<StatusAnswer | null> {
+  async loadIfMissing(id: string): Promise<JobStatusResponse | null> {
     const known = this.parts.jobTable.statusOf(id);
     if (known) return known;
     const loaded = await this.parts.records.loadOne(id);
@@ -192,7 +197,7 @@
       return await write;
     } catch (error) {
       if (error instanceof NotOwnerError) {
-        this.parts.hooks.lostOwnership();
+        this.parts.hooks.onOwnershipLost();
         throw new UnavailableError('the shard has moved');
       }
       throw error;
@@ -203,9 +208,9 @@
    * Returns the status of a job; null when the shard has no job of that id. Throws `UnavailableError` when the
    * status is not known at present.
    */
-  async status(id: string): Promise<StatusAnswer | null> {
+  async status(id: string): Promise<JobStatusResponse | null> {
     this.requireReady();
-    const answer = this.parts.jobTable.statusOf(id) ?? (await this.recall(id));
+    const answer = this.parts.jobTable.statusOf(id) ?? (await this.loadIfMissing(id));
     this.requireReady();
     return answer && this.requireReportable(id, answer);
   }
@@ -234,7 +239,7 @@
    * store is reported instead. It may be wrong when the job may have to be cancelled because of one of its
    * dependencies, or when its end may already be stored, so that another node may have reported it.
    */
-  private requireReportable(id: string, answer: StatusAnswer): StatusAnswer {
+  private requireReportable(id: string, answer: JobStatusResponse): JobStatusResponse {
     const job = this.parts.jobTable.jobs.get(id);
     if (job?.endWriteSent) throw new UnavailableError('whether the job is over is not known now');
     if (job && !this.parts.dependencies.mayReportStatus(job))
@@ -247,7 +252,7 @@
    */
   async cancel(id: string): Promise<'done' | 'cancelled' | null> {
     this.requireReady();
-    if (!this.parts.jobTable.statusOf(id)) await this.recall(id);
+    if (!this.parts.jobTable.statusOf(id)) await this.loadIfMissing(id);
     const job = this.parts.jobTable.jobs.get(id);
     if (!job) return this.parts.jobTable.endedStatus(id);
     this.parts.taskProgress.requestCancellation(job);
--- a/src/scheduler/jobtable.ts
+++ b/src/scheduler/jobtable.ts
@@ -4,7 +4,7 @@
 import type { Amounts } from '../plan/capacityprofile.js';
 import type { JobSpec } from '../wire/users.js';
 import type { TaskAttempt } from '../workers/machine.js';
-import type { StatusAnswer } from './responses.js';
+import type { JobStatusResponse } from './responses.js';
 
 /** The information kept in memory about a job that has ended. */
 interface EndedJob {
@@ -37,7 +37,7 @@
    * Creates a job without adding it to the table. `accepted` and `deadline` are on the wall clock, in milliseconds;
    * `fresh` says whether the job was accepted under the present term, `version` is the version of its record.
    */
-  make(spec: JobSpec, accepted: number, deadline: number, fresh: boolean, version: number): Job {
+  createJob(spec: JobSpec, accepted: number, deadline: number, fresh: boolean, version: number): Job {
     const names = this.context.names;
     this.taskSizeByClass.set(spec.class, { cpus: spec.cpus, gpus: spec.gpus, memoryGb: spec.memoryGb });
     return makeJob(
@@ -81,7 +81,7 @@
   }
 
   /** Returns the status of a job; null when it is not in memory. */
-  statusOf(id: string): StatusAnswer | null {
+  statusOf(id: string): JobStatusResponse | null {
     const job = this.jobs.get(id);
     if (job) return jobStatus(job);
     const ended = this.ended.get(id);
@@ -89,7 +89,7 @@
   }
 
   /** Moves a job from the unfinished to the ended jobs. */
-  end(job: Job, status: 'done' | 'cancelled'): void {
+  markEnded(job: Job, status: 'done' | 'cancelled'): void {
     job.state = status;
     job.storedCount = job.done.count;
     const id = job.spec.id;
@@ -118,6 +118,6 @@
   }
 }
 
-function endedStatus(status: 'done' | 'cancelled', tasks: number): StatusAnswer {
+function endedStatus(status: 'done' | 'cancelled', tasks: number): JobStatusResponse {
   return { status, done: status === 'done' ? tasks : 0, running: 0 };
 }
--- a/src/scheduler/machinerecords.ts
+++ b/src/scheduler/machinerecords.ts
@@ -104,14 +104,15 @@
    * not be written.
    */
   transferReserved(id: string, to: number): Promise<boolean> {
-    return this.transfer(id, to, isEmpty);
+    return this.transfer(id, to, isInServiceAndEmpty);
   }
 
   private async transfer(id: string, to: number, isAvailable: (m: Machine) => boolean): Promise<boolean> {
     const { registry, autoscaler, log, hooks } = this.parts;
     const machine = registry.machines.get(id);
-    if (!machine || !hooks.isReady() || autoscaler.moving.has(id) || !isAvailable(machine)) return false;
-    autoscaler.moving.add(id);
+    if (!machine || !hooks.isReady() || autoscaler.movingMachines.has(id) || !isAvailable(machine))
+      return false;
+    autoscaler.movingMachines.add(id);
     try {
       await autoscaler.writeRecord(machine, { shard: to });
       registry.remove(machine);
@@ -122,7 +123,7 @@
       if (!(error instanceof StateStoreError) || error.mayHaveApplied) await autoscaler.settleRecord(machine);
       return false;
     } finally {
-      autoscaler.moving.delete(id);
+      autoscaler.movingMachines.delete(id);
     }
   }
 }
@@ -139,7 +140,7 @@
 }
 
 /** Returns whether a machine is in service and certain to hold no task. */
-export function isEmpty(machine: Machine): boolean {
+export function isInServiceAndEmpty(machine: Machine): boolean {
   return (
     machine.reconciled &&
     !machine.decommissioning &&
--- a/src/scheduler/machinetransfers.ts
+++ b/src/scheduler/machinetransfers.ts
@@ -24,7 +24,7 @@
 /** Callbacks by which `MachineTransfers` queries and notifies its shard. */
 export interface MachineTransfersHooks {
   /** Returns whether the shard is loaded and its owner may act. */
-  ready(): boolean;
+  isReady(): boolean;
   /** Returns whether a machine is being transferred to another shard or returned to the cloud. */
   isMoving(id: string): boolean;
   /** Transfers a machine that has become empty to the shard that it was reserved for. */
@@ -55,7 +55,7 @@
   ) {}
 
   /** Returns whether a machine has a pending transfer to another shard. */
-  isReserved(id: string): boolean {
+  hasPendingTransfer(id: string): boolean {
     return this.transfers.has(id);
   }
 
@@ -65,7 +65,12 @@
    */
   evictForTransfer(id: string, to: number, priority: number): boolean {
     const machine = this.registry.machines.get(id);
-    if (!machine || !this.hooks.ready() || this.isReserved(id) || !this.isPreemptibleFor(machine, priority))
+    if (
+      !machine ||
+      !this.hooks.isReady() ||
+      this.hasPendingTransfer(id) ||
+      !this.isPreemptibleFor(machine, priority)
+    )
       return false;
     const now = this.context.clock.now();
     this.transfers.set(id, { to, until: now + TRANSFER_TIMEOUT_MS, kind: 'evicting' });
@@ -91,7 +96,7 @@
     zone: string,
     endOf: (attempt: TaskAttempt) => number,
   ): boolean {
-    if (!this.hooks.ready()) return false;
+    if (!this.hooks.isReady()) return false;
     const now = this.context.clock.now();
     let reserved = 0;
     for (const t of this.transfers.values()) if (t.kind === 'reserved') reserved++;
@@ -101,7 +106,7 @@
     for (const machine of this.registry.machines.values()) {
       if (!this.isFitting(machine, need, now)) continue;
       fitting++;
-      if (this.isReserved(machine.id) || this.hooks.isMoving(machine.id)) continue;
+      if (this.hasPendingTransfer(machine.id) || this.hooks.isMoving(machine.id)) continue;
       let end = now;
       for (const attempt of machine.attempts.values())
         if (attempt.state !== 'exited') end = Math.max(end, endOf(attempt));
--- a/src/scheduler/planinput.ts
+++ b/src/scheduler/planinput.ts
@@ -31,7 +31,7 @@
  */
 export interface PlanOnMachines {
   readonly plan: Plan;
-  readonly refs: readonly (Machine | null)[];
+  readonly shardMachines: readonly (Machine | null)[];
 }
 
 /**
@@ -40,7 +40,7 @@
  */
 export interface PlanMachines {
   readonly machines: PlanMachine[];
-  readonly refs: readonly (Machine | null)[];
+  readonly shardMachines: readonly (Machine | null)[];
 }
 
 /** Callbacks into the shard that `PlanInput` needs. */
@@ -84,7 +84,7 @@
         refs.push(null);
       }
     }
-    return { machines, refs };
+    return { machines, shardMachines: refs };
   }
 
   /** Converts a machine for the plan; returns null when the machine is not to be planned on. */
@@ -215,7 +215,7 @@
       ...(earliestStartMs === null ? {} : { earliestStart: earliestStartMs / 1000 }),
       total: job.spec.tasks,
       tasks,
-      present,
+      placedByZone: present,
     };
   }
 
@@ -243,7 +243,7 @@
       if (machine) indexByMachine.set(machine, i);
     });
     for (const reservation of last?.plan.reservations ?? []) {
-      const previousMachine = last!.refs[reservation.machine];
+      const previousMachine = last!.shardMachines[reservation.machine];
       const machine = previousMachine ? indexByMachine.get(previousMachine) : undefined;
       if (machine === undefined) continue;
       let tasks = placements.get(reservation.job.id);
@@ -261,7 +261,7 @@
  * Reserves capacity for a job where the last plan had it, as far as it still fits there, and elsewhere for
  * the remaining tasks. Returns false when a task cannot be placed.
  */
-export function reserveAsBefore(
+export function reserveAtPreviousPlacement(
   plan: Plan,
   job: PlanJob,
   previous: ReadonlyMap<number, PreviousPlacement> | undefined,
--- a/src/scheduler/planner.ts
+++ b/src/scheduler/planner.ts
@@ -1,7 +1,7 @@
 import type { ControllerContext } from '../context/context.js';
 import type { Job } from '../jobs/job.js';
 import type { Plan } from '../plan/plan.js';
-import { type PlanInput, type PlanOnMachines, reserveAsBefore } from './planinput.js';
+import { type PlanInput, type PlanOnMachines, reserveAtPreviousPlacement } from './planinput.js';
 import { MAX_PLAN_PROBES } from './planningbudget.js';
 import type { Preemption } from './preemption.js';
 import type { ResourceDemandTracker } from './resourcedemand.js';
@@ -87,21 +87,21 @@
    */
   schedule(now: number): void {
     const { planInput, dispatcher, preemption, resourceDemand } = this.parts;
-    const { machines, refs } = planInput.machines(now);
+    const { machines, shardMachines } = planInput.machines(now);
     const round: PlanningRound = {
       plan: planInput.plan(now, machines),
       jobsByPlanId: new Map(),
       unplaced: new Set(),
     };
     const { plan, jobsByPlanId, unplaced } = round;
-    this.reserveAll(round, refs, now);
-    this.latest = { plan, refs };
+    this.reserveAll(round, shardMachines, now);
+    this.latest = { plan, shardMachines: shardMachines };
     this.reservedMachines.clear();
     for (const r of plan.reservations) {
-      const m = refs[r.machine];
+      const m = shardMachines[r.machine];
       if (m) this.reservedMachines.add(m.id);
     }
-    dispatcher.dispatch(plan, refs, jobsByPlanId, now);
+    dispatcher.dispatch(plan, shardMachines, jobsByPlanId, now);
     preemption.preemptFor(waitingJobs(round, now), now);
     resourceDemand.assess(plan, unplaced, jobsByPlanId, now);
   }
@@ -111,7 +111,7 @@
    * that they move into capacity that has become free; in between only the first jobs are, and the others
    * keep their placements.
    */
-  private reserveAll(round: PlanningRound, refs: PlanOnMachines['refs'], now: number): void {
+  private reserveAll(round: PlanningRound, refs: PlanOnMachines['shardMachines'], now: number): void {
     const { context, planInput, order } = this.parts;
     const { plan, jobsByPlanId, unplaced } = round;
     const replanAll = now >= this.replanAllAt;
@@ -126,7 +126,7 @@
         jobsByPlanId.size > MAX_JOBS_REPLANNED ? previous?.get(planJob.id) : undefined;
       const reserved =
         plan.probes < MAX_PLAN_PROBES
-          ? reserveAsBefore(plan, planJob, previousPlacement)
+          ? reserveAtPreviousPlacement(plan, planJob, previousPlacement)
           : plan.reserveNow(planJob) === planJob.tasks.length;
       if (!reserved) unplaced.add(job);
     }
--- a/src/scheduler/preemption.ts
+++ b/src/scheduler/preemption.ts
@@ -23,13 +23,13 @@
 /** Callbacks into the shard that `Preemption` needs. */
 export interface PreemptionHooks {
   /** Returns whether tasks of a job without a known placement are certain to run on no machine. */
-  isKnownNotRunning(job: Job): boolean;
+  isConfirmedNotRunning(job: Job): boolean;
   /** Returns the resources in use by each team, by team index. */
   teamUsage(): Map<number, Amounts>;
   /** Returns the free resources of a machine. */
   freeCapacity(m: Machine): Amounts;
   /** Returns whether a machine is being drained for another shard. */
-  isReserved(machine: string): boolean;
+  hasPendingTransfer(machine: string): boolean;
 }
 
 /** Stops lower-priority tasks in favour of more urgent jobs of the shard. */
@@ -73,7 +73,7 @@
     const hasLowPriority = this.hasLowPriorityTasks();
     return [...waiting]
       .filter((job) => job.priority > PRIORITY.normal || (hasLowPriority && job.priority > PRIORITY.low))
-      .filter((job) => this.hooks.isKnownNotRunning(job))
+      .filter((job) => this.hooks.isConfirmedNotRunning(job))
       .filter(
         (job) => now - (this.preemptedAt.get(job.spec.id) ?? Number.NEGATIVE_INFINITY) >= PREEMPT_PAUSE_MS,
       )
@@ -133,7 +133,7 @@
         machine.leaseExpired ||
         machine.decommissioning ||
         machine.reclaimAt !== null ||
-        this.hooks.isReserved(machine.id)
+        this.hooks.hasPendingTransfer(machine.id)
       )
         continue;
       if (!kindAllowed(job, machine.type, machine.zone, machine.spot)) continue;
--- a/src/scheduler/resourcedemand.ts
+++ b/src/scheduler/resourcedemand.ts
@@ -32,7 +32,7 @@
   /** Returns the resources in use by each team, by team index. */
   teamUsage(): Map<number, Amounts>;
   /** Returns whether tasks of a job without a known placement are certain to run on no machine. */
-  isKnownNotRunning(job: Job): boolean;
+  isConfirmedNotRunning(job: Job): boolean;
   /** Returns whether a job is within its team's guarantee. */
   isGuaranteed(job: Job): boolean;
 }
@@ -163,7 +163,7 @@
       const late = Math.min(tasks.late, teamAllowance - (tasks.count - tasks.late));
       // Tasks that an earlier owner may have started, and that may still run, need no machine until that is
       // known.
-      if (!this.parts.hooks.isKnownNotRunning(job)) continue;
+      if (!this.parts.hooks.isConfirmedNotRunning(job)) continue;
       if (late <= 0 || now - since < RENT_AFTER_MS) continue;
       const { types, match, need } = job;
       for (const { zone, count: n } of this.splitByZone(job, late))
@@ -195,7 +195,7 @@
   private zonesOf(job: Job): number[] {
     const { names, settings, catalog } = this.parts.context;
     const zones = new Set<string>();
-    for (const [type, t] of catalog.all())
+    for (const [type, t] of catalog.offeredTypes())
       if ((!job.types || job.types.has(type)) && fitCount(t, job.need, 1) > 0)
         for (const z of t.zones) zones.add(z);
     return [...zones]
@@ -225,15 +225,16 @@
   private kindsOf(job: Job): string[] {
     const { zones } = this.parts.context.names;
     const kinds: string[] = [];
-    for (const { type, of, zone, spot } of this.parts.context.catalog.kinds())
-      if (kindAllowed(job, type, zones.index(zone), spot)) kinds.push(machineKindName(of.name, zone, spot));
+    for (const { type, machineType, zone, spot } of this.parts.context.catalog.kinds())
+      if (kindAllowed(job, type, zones.index(zone), spot))
+        kinds.push(machineKindName(machineType.name, zone, spot));
     return kinds;
   }
 
   /** Returns the shortest boot time among the machine types that may run a job, in seconds. */
   private shortestBoot(job: Job): number {
     let best = 1e9;
-    for (const [type, t] of this.parts.context.catalog.all()) {
+    for (const [type, t] of this.parts.context.catalog.offeredTypes()) {
       if (job.types && !job.types.has(type)) continue;
       if (fitCount(this.parts.context.catalog.size(type), job.need, 1) > 0) best = Math.min(best, t.bootS);
     }
--- a/src/scheduler/responses.ts
+++ b/src/scheduler/responses.ts
@@ -12,14 +12,14 @@
 export class OwnerUnavailableError extends UnavailableError {}
 
 /** Status of a job, with the number of its completed tasks and of its tasks on machines. */
-export interface StatusAnswer {
+export interface JobStatusResponse {
   status: JobStatus;
   done: number;
   running: number;
 }
 
 /** Response to a submission. */
-export type SubmitAnswer =
+export type SubmitResponse =
   /** Accepted; cancelled at once when the job depends on a cancelled job. */
   | { kind: 'accepted'; cancelled?: boolean }
   /** The job had already been accepted. */
@@ -34,7 +34,7 @@
 /** Requests of a shard to the other shards. */
 export interface PeerShards {
   /** Returns whether every node supports the features that the first protocol version lacked. */
-  allSupportLatest(): boolean;
+  allSupportProtocolVersion(): boolean;
   /** Returns the location of a job, or how it ended; null when it was never accepted. */
   locate(id: string): Promise<JobEntry | null>;
   /** Reads the status of a job, and of all jobs it depends on, from the key-value store alone. */
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -18,7 +18,7 @@
 import type { MachineRegistry } from '../workers/machineregistry.js';
 import type { DependencyStatus, DependentClaim } from './dependencymessages.js';
 import { pauseAfterPlanMs } from './planningbudget.js';
-import type { StatusAnswer, SubmitAnswer } from './responses.js';
+import type { JobStatusResponse, SubmitResponse } from './responses.js';
 import { ShardComponents } from './shardcomponents.js';
 import { type ShardOptions, TICK_INTERVAL_MS } from './shardoptions.js';
 
@@ -63,7 +63,7 @@
       isReady: () => this.ready,
       mayAct: () => this.mayAct,
       requestPlan: () => this.requestPlan(),
-      lostOwnership: () => this.lostOwnership(),
+      onOwnershipLost: () => this.onOwnershipLost(),
     };
     this.components = new ShardComponents(options, lifecycle, this.log, this.claimedAt);
     this.registry = this.components.registry;
@@ -95,7 +95,7 @@
     this.options.replicator?.stop();
   }
 
-  private lostOwnership(): Error {
+  private onOwnershipLost(): Error {
     this.stop();
     this.options.onOwnershipLost();
     return new NotOwnerError();
@@ -206,7 +206,7 @@
       spotDraining.drain(now);
       this.registry.sendStops();
       transfers.completeTransfers(now);
-      autoscaler.returnIdle(now);
+      autoscaler.returnUnneeded(now);
       if (this.components.statusLog.logIfDue(now)) this.components.failures.sweep();
       this.requestPlan();
     });
@@ -321,7 +321,7 @@
   }
 
   /** Accepts a job or refuses it. Throws `UnavailableError` when this cannot be decided now. */
-  submit(spec: JobSpec): Promise<SubmitAnswer> {
+  submit(spec: JobSpec): Promise<SubmitResponse> {
     return this.components.jobRequests.submit(spec);
   }
 
@@ -329,7 +329,7 @@
    * Returns the status of a job; null when the shard has no job of that id. Throws `UnavailableError` when it
    * is not known now.
    */
-  status(id: string): Promise<StatusAnswer | null> {
+  status(id: string): Promise<JobStatusResponse | null> {
     return this.components.jobRequests.status(id);
   }
 
--- a/src/scheduler/shardcomponents.ts
+++ b/src/scheduler/shardcomponents.ts
@@ -8,7 +8,7 @@
 import { FailureTracker } from './failuretracker.js';
 import { JobRequests } from './jobrequests.js';
 import { JobTable } from './jobtable.js';
-import { isEmpty, MachineRecords } from './machinerecords.js';
+import { isInServiceAndEmpty, MachineRecords } from './machinerecords.js';
 import { MachineTransfers } from './machinetransfers.js';
 import { PlanInput } from './planinput.js';
 import { Planner } from './planner.js';
@@ -99,12 +99,14 @@
 
   /** Returns whether a machine runs no tasks and is neither planned on nor reserved for another shard. */
   isIdle(m: Machine): boolean {
-    return isEmpty(m) && !this.planner.hasReservation(m.id) && !this.transfers.isReserved(m.id);
+    return (
+      isInServiceAndEmpty(m) && !this.planner.hasReservation(m.id) && !this.transfers.hasPendingTransfer(m.id)
+    );
   }
 
   /** Returns whether a machine is being transferred to another shard or returned to the cloud. */
   private isReservedForTransfer(machine: string): boolean {
-    return this.autoscaler.moving.has(machine) || this.transfers.isReserved(machine);
+    return this.autoscaler.movingMachines.has(machine) || this.transfers.hasPendingTransfer(machine);
   }
 
   private createRecords(): JobRecords {
@@ -115,7 +117,7 @@
       index,
       term,
       { ...stateLimits, layoutKb },
-      () => peers.allSupportLatest(),
+      () => peers.allSupportProtocolVersion(),
       () => replicator?.recordsChanged(),
     );
   }
@@ -141,7 +143,7 @@
       endedStatus: (id) => this.jobTable.endedStatus(id),
       locate: (id) => peers.locate(id),
       jobStatusFromStore: (id) => peers.jobStatusFromStore(id),
-      recall: (id) => this.jobRequests.recall(id),
+      loadIfMissing: (id) => this.jobRequests.loadIfMissing(id),
       requestStatus: (shard, claims) => peers.requestDependencyStatus(shard, index, claims),
       notifyEnded: (shard, id, status) => peers.notifyDependencyEnded(shard, id, status),
       onReleased: () => this.lifecycle.requestPlan(),
@@ -163,9 +165,9 @@
       failures,
       log,
       hooks: {
-        stopped: () => this.lifecycle.isStopped(),
+        isStopped: () => this.lifecycle.isStopped(),
         requestPlan: () => this.lifecycle.requestPlan(),
-        lostOwnership: () => this.lifecycle.lostOwnership(),
+        onOwnershipLost: () => this.lifecycle.onOwnershipLost(),
         onAttemptLeft: (job, h) => this.replicationSource?.onAttemptLeft(job, h),
         onRunning: (h) => this.replicationSource?.onRunning(h),
         onImageCached: (m) => this.replicationSource?.onMachineChanged(m),
@@ -186,16 +188,16 @@
     return new TaskDispatcher(context, term, this.registry, this.jobTable.jobs, this.log, {
       usageOf: (h) => this.jobTable.usageOf(h),
       unreconciledCapacity: () => this.unreconciled.capacity(),
-      surelyNotRunning: (job) => this.unreconciled.isKnownNotRunning(job),
+      isConfirmedNotRunning: (job) => this.unreconciled.isConfirmedNotRunning(job),
       isReservedForTransfer: (id) => this.isReservedForTransfer(id),
-      lostOwnership: () => this.lifecycle.lostOwnership(),
+      onOwnershipLost: () => this.lifecycle.onOwnershipLost(),
     });
   }
 
   private createTransfers(): MachineTransfers {
     return new MachineTransfers(this.options.context, this.registry, this.jobTable.jobs, this.log, {
-      ready: () => this.lifecycle.isReady(),
-      isMoving: (id) => this.autoscaler.moving.has(id),
+      isReady: () => this.lifecycle.isReady(),
+      isMoving: (id) => this.autoscaler.movingMachines.has(id),
       transferMachine: (id, to) => this.machineRecords.transferReserved(id, to),
       requestPlan: () => this.lifecycle.requestPlan(),
     });
@@ -203,10 +205,10 @@
 
   private createPreemption(): Preemption {
     return new Preemption(this.options.context, this.registry, this.jobTable.jobs, this.log, {
-      isKnownNotRunning: (job) => this.unreconciled.isKnownNotRunning(job),
+      isConfirmedNotRunning: (job) => this.unreconciled.isConfirmedNotRunning(job),
       teamUsage: () => this.dispatcher.teamUsage(),
       freeCapacity: (m) => this.dispatcher.freeCapacity(m, new Map()),
-      isReserved: (machine) => this.transfers.isReserved(machine),
+      hasPendingTransfer: (machine) => this.transfers.hasPendingTransfer(machine),
     });
   }
 
@@ -219,13 +221,13 @@
       registry: this.registry,
       log: this.log,
       hooks: {
-        stopped: () => this.lifecycle.isStopped(),
+        isStopped: () => this.lifecycle.isStopped(),
         isIdle: (m) => this.isIdle(m),
-        recorded: (id, entry) => this.machineRecords.apply(id, entry),
-        lostOwnership: () => this.lifecycle.lostOwnership(),
+        onRecorded: (id, entry) => this.machineRecords.apply(id, entry),
+        onOwnershipLost: () => this.lifecycle.onOwnershipLost(),
         uniqueName: (kind) => this.jobTable.uniqueName(kind),
         taskSizeOf: (jobClass) => this.jobTable.taskSizeByClass.get(jobClass) ?? null,
-        hasSeenNoJob: () => this.jobTable.taskSizeByClass.size === 0,
+        hasHadNoJob: () => this.jobTable.taskSizeByClass.size === 0,
         requestPlan: () => this.lifecycle.requestPlan(),
       },
     });
@@ -270,7 +272,7 @@
       autoscaler,
       hooks: {
         teamUsage: () => this.dispatcher.teamUsage(),
-        isKnownNotRunning: (job) => this.unreconciled.isKnownNotRunning(job),
+        isConfirmedNotRunning: (job) => this.unreconciled.isConfirmedNotRunning(job),
         isGuaranteed: (job) => this.order.isGuaranteed(job),
       },
     });
@@ -326,9 +328,9 @@
       dependencies,
       log,
       hooks: {
-        ready: () => this.lifecycle.isReady(),
+        isReady: () => this.lifecycle.isReady(),
         mayAct: () => this.lifecycle.mayAct(),
-        lostOwnership: () => this.lifecycle.lostOwnership(),
+        onOwnershipLost: () => this.lifecycle.onOwnershipLost(),
         requestPlan: () => this.lifecycle.requestPlan(),
       },
     });
@@ -343,7 +345,7 @@
       this.jobTable.jobs,
       this.estimates,
       replicator,
-      { placementsKnown: (job) => this.unreconciled.isKnownNotRunning(job) },
+      { placementsKnown: (job) => this.unreconciled.isConfirmedNotRunning(job) },
     );
   }
 }
--- a/src/scheduler/shardoptions.ts
+++ b/src/scheduler/shardoptions.ts
@@ -40,5 +40,5 @@
   /** Schedules a plan soon. */
   requestPlan(): void;
   /** Stops the shard, which another node owns by now; returns the error to throw. */
-  lostOwnership(): Error;
+  onOwnershipLost(): Error;
 }
--- a/src/scheduler/shardstatusreport.ts
+++ b/src/scheduler/shardstatusreport.ts
@@ -59,7 +59,7 @@
     for (const machine of this.parts.registry.machines.values()) {
       if (
         !this.parts.isIdle(machine) ||
-        this.parts.autoscaler.moving.has(machine.id) ||
+        this.parts.autoscaler.movingMachines.has(machine.id) ||
         machine.quarantinedUntil > now
       )
         continue;
@@ -81,8 +81,8 @@
     const preemptible: PreemptibleMachine[] = [];
     for (const machine of registry.machines.values()) {
       if (
-        transfers.isReserved(machine.id) ||
-        autoscaler.moving.has(machine.id) ||
+        transfers.hasPendingTransfer(machine.id) ||
+        autoscaler.movingMachines.has(machine.id) ||
         !transfers.isPreemptibleFor(machine, PRIORITY.production + 1)
       )
         continue;
--- a/src/scheduler/taskdispatcher.ts
+++ b/src/scheduler/taskdispatcher.ts
@@ -30,11 +30,11 @@
   /** Returns the resources that machines which have not reported to this owner may hold. */
   unreconciledCapacity(): Amounts;
   /** Returns whether tasks of a job without a known placement are certain to run on no machine. */
-  surelyNotRunning(job: Job): boolean;
+  isConfirmedNotRunning(job: Job): boolean;
   /** Returns whether a machine is being transferred to another shard or returned to the cloud. */
   isReservedForTransfer(id: string): boolean;
   /** Stops the shard; returns the error to throw. */
-  lostOwnership(): Error;
+  onOwnershipLost(): Error;
 }
 
 /** Task, given by its index in its job, and the machine to start it on. */
@@ -79,12 +79,12 @@
 
   /**
    * Starts the tasks that the plan has for now, where the machines are actually free and the rules are
-   * certain to hold. `refs` are the machines behind the plan's machine indices, `jobsByPlanId` the jobs of
+   * certain to hold. `shardMachines` are the machines behind the plan's machine indices, `jobsByPlanId` the jobs of
    * the plan; `now` in milliseconds on the monotonic clock.
    */
   dispatch(
     plan: Plan,
-    refs: readonly (Machine | null)[],
+    shardMachines: readonly (Machine | null)[],
     jobsByPlanId: ReadonlyMap<number, Job>,
     now: number,
   ): void {
@@ -94,10 +94,10 @@
     const gangs = new Map<Job, TaskOnMachine[]>();
     const singles: { job: Job; task: TaskOnMachine }[] = [];
     for (const reservation of plan.reservations) {
-      const machine = refs[reservation.machine];
+      const machine = shardMachines[reservation.machine];
       const job = jobsByPlanId.get(reservation.job.id);
       if (!machine || !job || reservation.start > now / 1000 + START_TOLERANCE_S) continue;
-      if (!this.isKnownNotRunning(job)) continue;
+      if (!this.isConfirmedNotRunning(job)) continue;
       const task = { machine, index: reservation.task };
       if (job.spec.kind !== 'gang') {
         singles.push({ job, task });
@@ -147,10 +147,10 @@
     }
   }
 
-  private isKnownNotRunning(job: Job): boolean {
+  private isConfirmedNotRunning(job: Job): boolean {
     let isNotRunning = this.notRunningCache.get(job);
     if (isNotRunning === undefined) {
-      isNotRunning = this.hooks.surelyNotRunning(job);
+      isNotRunning = this.hooks.isConfirmedNotRunning(job);
       this.notRunningCache.set(job, isNotRunning);
     }
     return isNotRunning;
@@ -232,7 +232,7 @@
 
   private nextAttempt(): number {
     // Terms are revisions of the key-value store, so no two owners ever use the same attempt number.
-    if (this.attempts >= ATTEMPTS_PER_TERM - 1) throw this.hooks.lostOwnership();
+    if (this.attempts >= ATTEMPTS_PER_TERM - 1) throw this.hooks.onOwnershipLost();
     return this.term * ATTEMPTS_PER_TERM + ++this.attempts;
   }
 
--- a/src/scheduler/taskprogress.ts
+++ b/src/scheduler/taskprogress.ts
@@ -2,7 +2,7 @@
 import type { ControllerContext } from '../context/context.js';
 import type { Job } from '../jobs/job.js';
 import type { JobRecords, LoadedJob } from '../jobs/records.js';
-import { type Machine, noteImage, type TaskAttempt } from '../workers/machine.js';
+import { type Machine, recordImage, type TaskAttempt } from '../workers/machine.js';
 import type { MachineRegistry } from '../workers/machineregistry.js';
 import type { GoneReason } from '../workers/registryhooks.js';
 import { CompletionStore } from './completionstore.js';
@@ -18,10 +18,10 @@
 /** Callbacks into the shard that `TaskProgress` needs, and the events that it reports. */
 export interface TaskProgressHooks {
   /** Returns whether this node no longer owns the shard. */
-  stopped(): boolean;
+  isStopped(): boolean;
   requestPlan(): void;
   /** Stops the shard; returns the error to throw. */
-  lostOwnership(): Error;
+  onOwnershipLost(): Error;
   /** Called when an attempt is known to have left its machine, and nothing of it remains to be stored. */
   onAttemptLeft(job: Job, attempt: TaskAttempt): void;
   /** Called when a task has started to run. */
@@ -65,8 +65,8 @@
       records,
       log,
       hooks: {
-        stopped: () => hooks.stopped(),
-        lostOwnership: () => hooks.lostOwnership(),
+        isStopped: () => hooks.isStopped(),
+        onOwnershipLost: () => hooks.onOwnershipLost(),
         onStoredEnd: (job, status) => this.endJob(job, status),
         onAttemptLeft: (job, attempt) => hooks.onAttemptLeft(job, attempt),
       },
@@ -108,7 +108,7 @@
     if (attempt.state === 'fetching') return;
     const cacheGb = this.parts.context.catalog.get(attempt.machine.type)?.cacheGb ?? 0;
     const wasCached = attempt.machine.images.has(job.image);
-    noteImage(attempt.machine, job.image, job.spec.imageGb, cacheGb);
+    recordImage(attempt.machine, job.image, job.spec.imageGb, cacheGb);
     if (!wasCached) this.parts.hooks.onImageCached(attempt.machine);
   }
 
@@ -230,14 +230,14 @@
     const id = loaded.record.spec.id;
     const known = this.parts.jobTable.jobs.get(id);
     if (known) return known;
-    const job = this.parts.jobTable.make(
+    const job = this.parts.jobTable.createJob(
       loaded.record.spec,
       loaded.record.accepted,
       loaded.record.deadline,
       false,
       loaded.version,
     );
-    job.partsUnder = loaded.partsUnder;
+    job.partsPrefix = loaded.partsPrefix;
     this.parts.records.restore(job, loaded.chunks);
     this.parts.jobTable.jobs.set(id, job);
     if (job.done.count === job.spec.tasks || job.storedCount < job.done.count)
@@ -264,7 +264,7 @@
    */
   endJob(job: Job, status: 'done' | 'cancelled'): void {
     const id = job.spec.id;
-    this.parts.jobTable.end(job, status);
+    this.parts.jobTable.markEnded(job, status);
     for (const machine of this.parts.registry.machines.values()) {
       for (const attempt of machine.attempts.values()) {
         if (attempt.job !== id) continue;
--- a/src/scheduler/unreconciledmachines.ts
+++ b/src/scheduler/unreconciledmachines.ts
@@ -3,7 +3,7 @@
 import type { Job } from '../jobs/job.js';
 import type { Amounts } from '../plan/capacityprofile.js';
 import type { ReplicaSnapshot } from '../standby/shardreplica.js';
-import { surelyNotRunning } from '../standby/takeoverchecks.js';
+import { isConfirmedNotRunning } from '../standby/takeoverchecks.js';
 import type { MachineRegistry } from '../workers/machineregistry.js';
 
 /** Reachable machines answer the first request of a new owner within this time. */
@@ -51,9 +51,9 @@
   }
 
   /** Returns whether tasks of a job without a known placement are certain to run on no machine. */
-  isKnownNotRunning(job: Job): boolean {
+  isConfirmedNotRunning(job: Job): boolean {
     const jobInfo = { fresh: job.acceptedUnderThisTerm, id: job.spec.id };
-    return surelyNotRunning(jobInfo, this.snapshot, this.allReconciled, (id) => this.isUnreconciled(id));
+    return isConfirmedNotRunning(jobInfo, this.snapshot, this.allReconciled, (id) => this.isUnreconciled(id));
   }
 
   private isUnreconciled(machine: string): boolean {
@@ -66,7 +66,7 @@
    * takeover may not do so before their leases expire.
    */
   blockedUntil(job: Job, now: number): number | null {
-    if (this.isKnownNotRunning(job) || this.loadedAt === null || now - this.loadedAt < RECONCILE_GRACE_MS)
+    if (this.isConfirmedNotRunning(job) || this.loadedAt === null || now - this.loadedAt < RECONCILE_GRACE_MS)
       return null;
     let until = now;
     const machineIds = this.snapshot?.machinesOf(job.spec.id) ?? null;
--- a/src/scheduler/warmstart.ts
+++ b/src/scheduler/warmstart.ts
@@ -2,7 +2,7 @@
 import type { Job } from '../jobs/job.js';
 import type { ReplicaSnapshot } from '../standby/shardreplica.js';
 import type { Machine, TaskAttempt } from '../workers/machine.js';
-import { noteImage } from '../workers/machine.js';
+import { recordImage } from '../workers/machine.js';
 import type { RuntimeEstimates } from './runtimeestimates.js';
 
 /**
@@ -20,11 +20,11 @@
   apply(jobs: readonly Job[], machines: Iterable<Machine>, estimates: RuntimeEstimates): void {
     if (!this.snapshot) return;
     const { clock, names, catalog } = this.context;
-    estimates.restore(this.snapshot.classes());
+    estimates.restore(this.snapshot.runtimeEstimates());
     for (const machine of machines) {
       const cacheGb = catalog.get(machine.type)?.cacheGb ?? 0;
       for (const { image, gb } of this.snapshot.machine(machine.id)?.images ?? [])
-        noteImage(machine, names.images.index(image), gb, cacheGb);
+        recordImage(machine, names.images.index(image), gb, cacheGb);
     }
     for (const job of jobs) {
       const quarantine = this.snapshot.quarantine(job.spec.id);
--- a/src/standby/shardreplica.ts
+++ b/src/standby/shardreplica.ts
@@ -47,7 +47,7 @@
    */
   machine(id: string): ReplicatedMachine | null;
   /** Returns the run-time ratios of the job classes. */
-  classes(): Iterable<[string, ReplicatedEstimate]>;
+  runtimeEstimates(): Iterable<[string, ReplicatedEstimate]>;
   /** Returns the quarantine of a job, or null if it is not quarantined. */
   quarantine(job: string): ReplicatedQuarantine | null;
 }
@@ -200,7 +200,7 @@
     return this.machines.get(id) ?? null;
   }
 
-  classes(): Iterable<[string, ReplicatedEstimate]> {
+  runtimeEstimates(): Iterable<[string, ReplicatedEstimate]> {
     return this.estimates;
   }
 
--- a/src/standby/standbyreplicas.ts
+++ b/src/standby/standbyreplicas.ts
@@ -39,7 +39,7 @@
    */
   mayTakeOver(): boolean;
   /** Whether connections to a node are refused. */
-  refused(node: string): boolean;
+  connectionsRefused(node: string): boolean;
   /**
    * Returns the versions of a shard's owner key and standby key in this node's cache, and the revision of the
    * cache.
@@ -215,7 +215,7 @@
     }
     if (!mayClaim(replicated.state, now)) return;
     const silentMs = now - replicated.state.answeredAt;
-    const refused = this.hooks.refused(replicated.owner);
+    const refused = this.hooks.connectionsRefused(replicated.owner);
     if (!replicated.state.released && !refused && silentMs < OWNER_SILENT_MS) return;
     this.log.info(
       { shard, owner: replicated.owner, silentMs: Math.round(silentMs), refused },
--- a/src/standby/standbyreplicator.ts
+++ b/src/standby/standbyreplicator.ts
@@ -52,7 +52,7 @@
    */
   holdsLease(): boolean;
   /** Returns the id of that lease, or null once it is no longer held. */
-  lease(): number | null;
+  leaseId(): number | null;
   /** Selects the standby node; returns null if no node is eligible. */
   chooseStandby(): string | null;
   /** Returns the home node of a shard that is not at home, if that node can stand by. */
@@ -267,7 +267,7 @@
   private async nameStandby(node: string): Promise<void> {
     const { context, hooks, log } = this.options;
     const presence = hooks.presenceOf(node);
-    const lease = hooks.lease();
+    const lease = hooks.leaseId();
     if (!presence || lease === null) return;
     const revision = await this.naming.name(node, presence, lease);
     if (revision === null || this.stopped || !this.source) return;
--- a/src/standby/takeoverchecks.ts
+++ b/src/standby/takeoverchecks.ts
@@ -88,7 +88,7 @@
  * must have reported under the new token or must have certainly lost its lease; without announcements, this
  * applies to every machine of the shard.
  */
-export function surelyNotRunning(
+export function isConfirmedNotRunning(
   job: { fresh: boolean; id: string },
   snapshot: ReplicaSnapshot | null,
   allReconciled: boolean,
--- a/src/state/statestore.ts
+++ b/src/state/statestore.ts
@@ -2,7 +2,7 @@
 
 import { type Clock, pause } from '../clock/clock.js';
 import { RemoteServiceError } from '../errors/errors.js';
-import { type HttpAnswer, HttpRequestError, type Requester } from '../http/client.js';
+import { HttpRequestError, type HttpResponse, type Requester } from '../http/client.js';
 import {
   type Change,
   type Condition,
@@ -269,7 +269,7 @@
   }
 
   /** Sends a request, and retries it for up to `MAX_REJECTED_MS` while it is rejected for its rate. */
-  private async send(request: StateRequest): Promise<HttpAnswer> {
+  private async send(request: StateRequest): Promise<HttpResponse> {
     const { path, changes = 0 } = request;
     const startedAt = this.clock.now();
     for (;;) {
@@ -288,7 +288,7 @@
     }
   }
 
-  private async sendOnce(request: StateRequest): Promise<HttpAnswer> {
+  private async sendOnce(request: StateRequest): Promise<HttpResponse> {
     const { method, path, body = null, changes = 0, urgent = false, timeoutMs = TIMEOUT_MS } = request;
     try {
       await this.requests.acquire(1, { urgent, maxWaitMs: MAX_RATE_WAIT_MS });
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -74,9 +74,9 @@
 const MAX_DEPENDENCIES = 16_384;
 const amount = v.pipe(v.number(), v.finite(), v.minValue(0), v.maxValue(1e9));
 /** Job kinds by the values of `shape`. */
-export const KINDS = { sweep: 'array', ensemble: 'gang', standing: 'service' } as const;
+export const KINDS_BY_SHAPE = { sweep: 'array', ensemble: 'gang', standing: 'service' } as const;
 /** Priorities by the values of `urgency`. */
-export const PRIORITIES = {
+export const PRIORITIES_BY_URGENCY = {
   production: PRIORITY.production,
   urgent: PRIORITY.high,
   standard: PRIORITY.normal,
@@ -119,8 +119,8 @@
     id: submission.id,
     class: submission.jobClass,
     team: submission.owner,
-    kind: KINDS[submission.shape],
-    priority: PRIORITIES[submission.urgency],
+    kind: KINDS_BY_SHAPE[submission.shape],
+    priority: PRIORITIES_BY_URGENCY[submission.urgency],
     tasks: submission.pieces,
     cpus: submission.cpus,
     gpus: submission.cards,
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -213,14 +213,14 @@
 /** Decodes what `writeHeartbeatResponse` and `writeCommands` encode; returns null if it is malformed. */
 export function readCommands(
   body: unknown,
-): { token: number | null; session: number | null; orders: WorkerCommand[] } | null {
+): { token: number | null; incarnation: number | null; commands: WorkerCommand[] } | null {
   const parsed = v.safeParse(ordersBody, body);
   if (!parsed.success) return null;
   const { baton, shift, orders } = parsed.output;
   return {
     token: baton ?? null,
-    session: shift ?? null,
-    orders: orders.map((command): WorkerCommand => {
+    incarnation: shift ?? null,
+    commands: orders.map((command): WorkerCommand => {
       const slash = command.piece.lastIndexOf('/');
       const base = {
         job: command.piece.slice(0, slash),
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -124,7 +124,7 @@
 /**
  * Records that the machine has an image, and evicts the least recently used ones beyond its cache size; sizes in GB.
  */
-export function noteImage(machine: Machine, image: number, gb: number, cacheGb: number): void {
+export function recordImage(machine: Machine, image: number, gb: number, cacheGb: number): void {
   machine.images.delete(image);
   machine.images.set(image, gb);
   let totalGb = 0;
--- a/src/workers/machineregistry.ts
+++ b/src/workers/machineregistry.ts
@@ -97,7 +97,7 @@
    * machine reports here or answers a request it is given no new tasks: it may not be receiving responses, which is a
    * fault in its own right.
    */
-  onHeartbeatElsewhere(id: string): void {
+  onRedirectedHeartbeat(id: string): void {
     const machine = this.machines.get(id);
     if (
       !machine?.reconciled ||
--- a/tests/api/submission.test.ts
+++ b/tests/api/submission.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { busy, NODES, status } from '../support/busy.js';
+import { jobStatus, NODES, startBusyCluster } from '../support/busy.js';
 import { FakeCluster, job } from '../support/cluster.js';
 
 const TEXT = ['id', 'jobClass', 'owner', 'shape', 'urgency', 'bundle'];
@@ -21,11 +21,13 @@
 }
 
 test('every node rejects a submission with a missing or invalid field and stores nothing', async () => {
-  const { c } = await busy(1);
+  const { cluster } = await startBusyCluster(1);
   const post = async (node: string, text: string) =>
     (
-      await c.answered(
-        c.nodes.get(node)!.api.handle({ ...c.request('POST', '/api/jobs'), body: Buffer.from(text) }),
+      await cluster.answered(
+        cluster.nodes
+          .get(node)!
+          .api.handle({ ...cluster.request('POST', '/api/jobs'), body: Buffer.from(text) }),
       )
     ).status;
   const valid = job('wk-9', { waitsOn: null }) as Record<string, unknown>;
@@ -44,10 +46,10 @@
   }
   for (const text of ['', 'x', '[]', 'null', '7', '{', JSON.stringify([valid])])
     assert.equal(await post(node(), text), 400, text);
-  assert.equal(await status(c, 'n0', 'wk-9'), 404, 'no job was created');
+  assert.equal(await jobStatus(cluster, 'n0', 'wk-9'), 404, 'no job was created');
   // A malformed submission with the id of an accepted job does not change that job.
   assert.equal(await post('n0', JSON.stringify({ ...valid, id: 'wk-1', pieces: 'many' })), 400);
-  for (const n of NODES) assert.equal(await status(c, n, 'wk-1'), 'running');
+  for (const n of NODES) assert.equal(await jobStatus(cluster, n, 'wk-1'), 'running');
   // Nullable fields may also be omitted.
   const { flavors: _f, yard: _y, dueS: _d, waitsOn: _w, ...minimal } = valid;
   assert.equal(await post('n1', JSON.stringify(minimal)), 201);
@@ -57,7 +59,7 @@
   const cluster = new FakeCluster(NODES);
   cluster.teams = [{ name: 'red', cpus: 16, cpusMax: 32, gpus: 0, gpusMax: 2 }];
   for (let i = 0; i < 3; i++) cluster.addWorker('c8', 'a');
-  cluster.moreTypes.push(['c64', 64, 0]);
+  cluster.additionalTypes.push(['c64', 64, 0]);
   for (const n of NODES) cluster.startNode(n);
   await cluster.clock.advance(8000);
   for (const [reason, change] of [
@@ -81,7 +83,7 @@
         422,
         `${reason}, at ${n}`,
       );
-      assert.equal(await status(cluster, n, 'wk-bad'), 404);
+      assert.equal(await jobStatus(cluster, n, 'wk-bad'), 404);
     }
   // An array is accepted even if all of its tasks together exceed the team's limit.
   assert.equal(
@@ -94,7 +96,7 @@
   assert.equal((await cluster.call('n1', 'POST', '/api/jobs', cancelled)).status, 201);
   assert.equal((await cluster.call('n2', 'POST', '/api/jobs/wk-3/abort')).status, 200);
   // After the nodes have learned that the machine type was withdrawn, accepted jobs are still known.
-  cluster.moreTypes.pop();
+  cluster.additionalTypes.pop();
   await cluster.clock.advance(40_000);
   assert.equal((await cluster.call('n0', 'POST', '/api/jobs', { ...large, id: 'wk-4' })).status, 422);
   for (const n of NODES) {
@@ -109,23 +111,23 @@
 });
 
 test('a done job stays done despite repeated cancellations at every node', async () => {
-  const { c, k } = await busy(1);
+  const { cluster, shard } = await startBusyCluster(1);
   const abort = async (n: string) => {
-    const response = await c.call(n, 'POST', '/api/jobs/wk-1/abort');
+    const response = await cluster.call(n, 'POST', '/api/jobs/wk-1/abort');
     return [response.status, (response.body as { status?: string }).status];
   };
-  for (const w of c.workers) for (const a of [...w.attempts]) w.end(a.task, 'done');
-  assert.ok(await c.clock.until(() => c.state.value('job/wk-1') !== undefined, 10_000));
+  for (const w of cluster.workers) for (const a of [...w.attempts]) w.endTask(a.task, 'done');
+  assert.ok(await cluster.clock.until(() => cluster.state.value('job/wk-1') !== undefined, 10_000));
   for (const n of [...NODES, ...NODES]) assert.deepEqual(await abort(n), [200, 'done']);
   // Nodes that know the job only from its stored record, after its owner was killed, answer the same.
-  const oldOwner = c.owner(k)!;
-  c.killNode(oldOwner);
+  const oldOwner = cluster.owner(shard)!;
+  cluster.killNode(oldOwner);
   for (const n of NODES.filter((x) => x !== oldOwner)) assert.deepEqual(await abort(n), [200, 'done']);
-  c.startNode(oldOwner);
-  await c.clock.advance(9000);
+  cluster.startNode(oldOwner);
+  await cluster.clock.advance(9000);
   for (const n of NODES) {
     assert.deepEqual(await abort(n), [200, 'done']);
-    assert.equal(await status(c, n, 'wk-1'), 'done');
+    assert.equal(await jobStatus(cluster, n, 'wk-1'), 'done');
   }
-  assert.equal((await c.call('n0', 'POST', '/api/jobs/wk-none/abort')).status, 404);
+  assert.equal((await cluster.call('n0', 'POST', '/api/jobs/wk-none/abort')).status, 404);
 });
--- a/tests/changefeed/changefeed.test.ts
+++ b/tests/changefeed/changefeed.test.ts
@@ -20,7 +20,7 @@
 
 async function startCluster(nodes: string[], regionOf?: (node: string) => string): Promise<FeedCluster> {
   const cluster = new FeedCluster(nodes, regionOf);
-  cluster.change('c/first');
+  cluster.writeRecord('c/first');
   await cluster.clock.advance(3000);
   cluster.requests.clear();
   return cluster;
@@ -34,9 +34,9 @@
   except: string[] = [],
 ): Promise<void> {
   for (let i = 0; i < times; i++) {
-    const version = cluster.change(`c/record/${i % 3}`);
+    const version = cluster.writeRecord(`c/record/${i % 3}`);
     assert.ok(
-      await cluster.knownWithin(`c/record/${i % 3}`, version, MAX_PROPAGATION_MS, except),
+      await cluster.isKnownWithin(`c/record/${i % 3}`, version, MAX_PROPAGATION_MS, except),
       `change ${i} is not known: ${[...cluster.nodes].filter(([, n]) => n.stateCache.entries.get(`c/record/${i % 3}`)?.version !== version).map(([name, n]) => `${name} by ${n.feed.source}`)}`,
     );
     await cluster.clock.advance(everyMs);
@@ -48,11 +48,11 @@
   await assertChangesReachAll(cluster, 40, 500);
   for (const name of ['n0', 'n1', 'n5', 'n6']) {
     assert.equal(cluster.nodes.get(name)!.feed.source, null, name);
-    assert.ok(cluster.watches(name) > 0, name);
+    assert.ok(cluster.watchCount(name) > 0, name);
   }
   for (const name of ['n2', 'n3', 'n4']) assert.equal(cluster.nodes.get(name)!.feed.source, 'n0');
   for (const name of ['n7', 'n8']) assert.equal(cluster.nodes.get(name)!.feed.source, 'n5');
-  for (const name of ['n2', 'n3', 'n4', 'n7', 'n8']) assert.equal(cluster.watches(name), 0, name);
+  for (const name of ['n2', 'n3', 'n4', 'n7', 'n8']) assert.equal(cluster.watchCount(name), 0, name);
 });
 
 test('followers replace a source that dies during a stream at once, without listing the store again', async () => {
@@ -71,8 +71,8 @@
   const cluster = await startCluster(names(6));
   await assertChangesReachAll(cluster, 3, 100);
   cluster.nodes.get('n0')!.down = true;
-  const version = cluster.change('c/late');
-  assert.ok(await cluster.knownWithin('c/late', version, 1500));
+  const version = cluster.writeRecord('c/late');
+  assert.ok(await cluster.isKnownWithin('c/late', version, 1500));
   await assertChangesReachAll(cluster, 10, 200);
 });
 
@@ -80,11 +80,11 @@
   test(`a source that the key-value store refuses is left within a second and becomes a follower (regions: ${regions})`, async () => {
     const cluster = await startCluster(names(8), (n) => `${Number(n.slice(1)) % regions}`);
     await assertChangesReachAll(cluster, 3, 300);
-    cluster.state.refusing.add('n0');
+    cluster.state.refusedCallers.add('n0');
     await assertChangesReachAll(cluster, 12, 300);
     assert.notEqual(cluster.nodes.get('n0')!.feed.source, null);
-    for (const name of ['n4', 'n5', 'n6', 'n7']) assert.equal(cluster.watches(name), 0, name);
-    cluster.state.refusing.delete('n0');
+    for (const name of ['n4', 'n5', 'n6', 'n7']) assert.equal(cluster.watchCount(name), 0, name);
+    cluster.state.refusedCallers.delete('n0');
     await cluster.clock.advance(15_000);
     await assertChangesReachAll(cluster, 5, 300);
     assert.equal(cluster.nodes.get('n0')!.feed.source, null, 'the former source watches again');
@@ -95,8 +95,8 @@
   const cluster = await startCluster(names(6));
   await assertChangesReachAll(cluster, 3, 300);
   for (const name of ['n0', 'n1']) {
-    cluster.state.refusing.add(name);
-    cluster.nodes.get(name)!.served = false;
+    cluster.state.refusedCallers.add(name);
+    cluster.nodes.get(name)!.stateStoreReachable = false;
   }
   await cluster.clock.advance(1500);
   await assertChangesReachAll(cluster, 10, 300);
@@ -106,11 +106,11 @@
 
 test('a source whose watches fail follows the other source, and watches again once its watches succeed', async () => {
   const cluster = await startCluster(names(5));
-  cluster.net.fate = (from, _addr, _method, path) =>
+  cluster.net.outcomeOf = (from, _addr, _method, path) =>
     from === 'n0' && path.startsWith('/watch') ? 'refuse' : 'deliver';
   await assertChangesReachAll(cluster, 20, 150);
   assert.equal(cluster.nodes.get('n0')!.feed.source, 'n1');
-  cluster.net.fate = () => 'deliver';
+  cluster.net.outcomeOf = () => 'deliver';
   await cluster.clock.advance(12_000);
   await assertChangesReachAll(cluster, 3, 150);
   assert.equal(cluster.nodes.get('n0')!.feed.source, null);
@@ -151,24 +151,24 @@
   await assertChangesReachAll(cluster, 10, 100);
   assert.equal(cluster.nodes.get('n3')!.feed.source, 'n1');
   for (const other of ['n1', 'n2', 'n4', 'n5']) cluster.cut.add(`${other}>n3`);
-  const version = cluster.change('c/alone');
-  assert.ok(await cluster.knownWithin('c/alone', version, MAX_PROPAGATION_MS + 500));
+  const version = cluster.writeRecord('c/alone');
+  assert.ok(await cluster.isKnownWithin('c/alone', version, MAX_PROPAGATION_MS + 500));
   await assertChangesReachAll(cluster, 5, 600);
   assert.equal(cluster.nodes.get('n3')!.feed.source, null);
   // A follower without a source has its own rate limit: it never watches as often as a first source does.
   cluster.requests.clear();
   for (let i = 0; i < 100; i++) {
-    cluster.change('c/quick');
+    cluster.writeRecord('c/quick');
     await cluster.clock.advance(50);
   }
-  assert.ok(cluster.watches('n3') <= 15, `${cluster.watches('n3')} watches in 5 s`);
-  assert.ok(cluster.watches('n3') >= 8);
+  assert.ok(cluster.watchCount('n3') <= 15, `${cluster.watchCount('n3')} watches in 5 s`);
+  assert.ok(cluster.watchCount('n3') >= 8);
 });
 
 test('drops an answer that does not follow the known revision, and reads changes a source lacks elsewhere', async () => {
   const cluster = await startCluster(names(5));
   // From now on the first source's answers to n2 omit a change: they follow a later revision.
-  cluster.tamper = (answer, from, to) => {
+  cluster.alterAnswer = (answer, from, to) => {
     const batch = answer as { since?: number; changes?: unknown[] };
     if (from !== 'n2' || to !== 'n0' || !batch.changes) return answer;
     return { ...batch, since: batch.since! + 1, changes: batch.changes.slice(1) };
@@ -178,20 +178,20 @@
     assert.equal(cluster.nodes.get('n2')!.stateCache.entries.get(key)?.version, item.version);
   // Neither source keeps the changes that n3 lacks: one watch of the key-value store returns them all, without a
   // list.
-  cluster.tamper = (answer, from) =>
+  cluster.alterAnswer = (answer, from) =>
     from === 'n3' && 'changes' in (answer as object) ? { refused: 'gap' } : answer;
   await assertChangesReachAll(cluster, 3, 700);
-  assert.ok(cluster.watches('n3') > 0);
+  assert.ok(cluster.watchCount('n3') > 0);
   assert.equal(cluster.requests.get('n3 list') ?? 0, 0);
 });
 
 test('nodes never follow each other in a circle, even if their views of the order differ', async () => {
   const cluster = await startCluster(names(4));
   // Each node considers the two nodes after it to be the sources.
-  cluster.seenBy.set('n0', ['n1', 'n2', 'n0', 'n3']);
-  cluster.seenBy.set('n1', ['n2', 'n3', 'n1', 'n0']);
-  cluster.seenBy.set('n2', ['n3', 'n0', 'n2', 'n1']);
-  cluster.seenBy.set('n3', ['n0', 'n1', 'n3', 'n2']);
+  cluster.presenceSeenBy.set('n0', ['n1', 'n2', 'n0', 'n3']);
+  cluster.presenceSeenBy.set('n1', ['n2', 'n3', 'n1', 'n0']);
+  cluster.presenceSeenBy.set('n2', ['n3', 'n0', 'n2', 'n1']);
+  cluster.presenceSeenBy.set('n3', ['n0', 'n1', 'n3', 'n2']);
   await cluster.clock.advance(1500);
   await assertChangesReachAll(cluster, 20, 400);
   for (const [name, node] of cluster.nodes) {
@@ -209,31 +209,31 @@
     for (const other of cluster.nodes.keys()) cluster.cut.add(`${lost}>${other}`);
   }
   cluster.requests.clear();
-  const version = cluster.change('c/after');
-  assert.ok(await cluster.knownWithin('c/after', version, MAX_PROPAGATION_MS));
+  const version = cluster.writeRecord('c/after');
+  assert.ok(await cluster.isKnownWithin('c/after', version, MAX_PROPAGATION_MS));
   await assertChangesReachAll(cluster, 5, 200);
   const watching = [...cluster.nodes]
-    .filter(([name, n]) => !n.down && cluster.watches(name) > 0)
+    .filter(([name, n]) => !n.down && cluster.watchCount(name) > 0)
     .map(([name]) => name);
   assert.deepEqual(watching, ['n2']);
 });
 
 test('a node that missed more changes than the store keeps lists the keys again, without effect on others', async () => {
   const cluster = await startCluster(names(4));
-  const gone = cluster.change('c/gone');
-  assert.ok(await cluster.knownWithin('c/gone', gone, MAX_PROPAGATION_MS));
+  const gone = cluster.writeRecord('c/gone');
+  assert.ok(await cluster.isKnownWithin('c/gone', gone, MAX_PROPAGATION_MS));
   cluster.nodes.get('n3')!.down = true;
-  cluster.drop('c/gone');
+  cluster.deleteRecord('c/gone');
   for (let i = 0; i < 11_500; i++) {
-    cluster.change(`c/many/${i % 50}`);
+    cluster.writeRecord(`c/many/${i % 50}`);
     if (i % 100 === 0) await cluster.clock.advance(300);
   }
   await cluster.clock.advance(1000);
   const node = cluster.nodes.get('n3')!;
   node.down = false;
   void node.stateCache.run();
-  const version = cluster.change('c/last');
-  assert.ok(await cluster.knownWithin('c/last', version, 5000));
+  const version = cluster.writeRecord('c/last');
+  assert.ok(await cluster.isKnownWithin('c/last', version, 5000));
   assert.ok(!node.stateCache.entries.has('c/gone'));
   assert.equal(cluster.requests.get('n3 list'), 1);
   for (const name of ['n0', 'n1', 'n2']) assert.equal(cluster.requests.get(`${name} list`) ?? 0, 0);
@@ -244,10 +244,10 @@
   const n3 = cluster.nodes.get('n3')!;
   // Answers from n0 to n3 take two seconds, so that n3 has switched to n1 long before they arrive.
   cluster.answerMs = (from, to, op) => (from === 'n3' && to === 'n0' && op === 'changes' ? 2000 : 0);
-  const old = cluster.change('c/deleted');
-  assert.ok(await cluster.knownWithin('c/deleted', old, 2000));
+  const old = cluster.writeRecord('c/deleted');
+  assert.ok(await cluster.isKnownWithin('c/deleted', old, 2000));
   assert.equal(n3.feed.source, 'n1');
-  const dropped = cluster.drop('c/deleted');
+  const dropped = cluster.deleteRecord('c/deleted');
   assert.ok(await cluster.clock.until(() => !n3.stateCache.entries.has('c/deleted'), MAX_PROPAGATION_MS));
   assert.ok(n3.stateCache.revision >= dropped);
   for (let i = 0; i < 40; i++) {
@@ -262,12 +262,12 @@
   await assertChangesReachAll(cluster, 3, 100);
   cluster.requests.clear();
   for (const source of ['n0', 'n1']) cluster.cut.add(`${source}>n4`);
-  const missed = [cluster.change('c/one'), cluster.change('c/two')];
+  const missed = [cluster.writeRecord('c/one'), cluster.writeRecord('c/two')];
   await cluster.clock.advance(100);
   cluster.cut.clear();
-  assert.ok(await cluster.knownWithin('c/two', missed[1]!, MAX_PROPAGATION_MS));
+  assert.ok(await cluster.isKnownWithin('c/two', missed[1]!, MAX_PROPAGATION_MS));
   assert.equal(cluster.nodes.get('n4')!.stateCache.entries.get('c/one')?.version, missed[0]);
-  assert.equal(cluster.watches('n4') + (cluster.requests.get('n4 list') ?? 0), 0);
+  assert.equal(cluster.watchCount('n4') + (cluster.requests.get('n4 list') ?? 0), 0);
 });
 
 test('only the order of presence determines the sources: restarted nodes come last, regions have their own', () => {
@@ -360,7 +360,7 @@
     assert.ok(source !== null, 'n4 follows');
     const behind = nodes.findIndex((n) => cluster.owner(nodes.indexOf(n)) === source);
     const unfreeze = fault === 'frozen' ? cluster.freeze(source) : null;
-    if (fault === 'refused') cluster.state.refusing.add(source);
+    if (fault === 'refused') cluster.state.refusedCallers.add(source);
     const ids: string[] = [];
     const otherNodes = nodes.filter((n) => n !== source);
     for (let i = 0; i < 15; i++) {
@@ -377,10 +377,10 @@
     }
     assert.notEqual(cluster.owner(behind), source, 'another node has taken over its shard');
     unfreeze?.();
-    cluster.state.refusing.clear();
+    cluster.state.refusedCallers.clear();
     await cluster.clock.advance(30_000);
     for (const id of ids) {
-      const starts = cluster.workers.flatMap((w) => w.started).filter((task) => task === `${id}/0`);
+      const starts = cluster.workers.flatMap((w) => w.executedStarts).filter((task) => task === `${id}/0`);
       assert.equal(starts.length, 1, `${id} after the fault of its source: ${fault}`);
     }
     const leaderVersion = cluster.state.items.get('c/lead')!.version;
@@ -396,11 +396,11 @@
 test('changes reach nodes of the production version too, and these are never sent requests they do not know', async () => {
   const nodes = names(6);
   const cluster = new FakeCluster(nodes);
-  for (const n of ['n0', 'n2']) cluster.former.add(n);
+  for (const n of ['n0', 'n2']) cluster.previousVersionNodes.add(n);
   for (let i = 0; i < 6; i++) cluster.addWorker('c8', 'a');
   for (const n of nodes) cluster.startNode(n);
   await cluster.clock.advance(15_000);
-  cluster.sent.length = 0;
+  cluster.sentMessages.length = 0;
   for (let i = 0; i < 6; i++) {
     assert.ok(await cluster.submit(nodes[i]!, job(`wk-${i}`)), nodes[i]);
     void cluster.state.serve('POST', '/txn', { when: [], writes: [{ set: 'c/record', value: i }] });
@@ -409,18 +409,18 @@
       assert.equal(cluster.nodes.get(n)!.node.membership.stateCache.entries.get('c/record')?.value, i, n);
   }
   const currentNodes = ['n1', 'n3', 'n4', 'n5'];
-  const requests = cluster.sent.filter(
+  const requests = cluster.sentMessages.filter(
     (m) => ['changes', 'changesHead', 'rates'].includes(m.op) && currentNodes.includes(m.from),
   );
   assert.ok(requests.some((m) => m.op === 'changes'));
   assert.deepEqual(
-    [...new Set(requests.map((m) => m.to))].filter((to) => cluster.former.has(to)),
+    [...new Set(requests.map((m) => m.to))].filter((to) => cluster.previousVersionNodes.has(to)),
     [],
   );
   // The remaining nodes of the production version are replaced, so that all nodes run this version.
   for (const n of ['n0', 'n2']) {
     cluster.killNode(n);
-    cluster.former.delete(n);
+    cluster.previousVersionNodes.delete(n);
     await cluster.clock.advance(2000);
     cluster.startNode(n);
     await cluster.clock.advance(15_000);
--- a/tests/cli/scale.test.ts
+++ b/tests/cli/scale.test.ts
@@ -14,7 +14,7 @@
 import { loadScenario } from '../../src/load/scenario.js';
 import { measureSingleWorker } from '../../src/load/singleworker.js';
 import { encodeFrame, FrameReader } from '../../src/peer/frames.js';
-import { run } from '../support/process.js';
+import { runNode } from '../support/process.js';
 
 const MAIN = 'target/main.js';
 const PLATFORM = 'examples/scale/platform.toml';
@@ -38,15 +38,15 @@
   assertRejected({ startsPerSecond: 5000 }, /startsPerSecond: 5000 is above 1000/);
   assertRejected({}, /controllers: 4.0 GiB needed, 2.0 GiB allowed/, 4 * GIB);
   const startedAt = performance.now();
-  const invalidSize = await run(MAIN, ['scale', SCENARIO, '--machines', PLATFORM, '--workers', '0']);
+  const invalidSize = await runNode(MAIN, ['scale', SCENARIO, '--machines', PLATFORM, '--workers', '0']);
   assert.equal(invalidSize.code, 2);
   assert.match(invalidSize.err, /workers: 0 is below 1/);
-  const invalidControllers = await run(MAIN, ['scale', 'examples/morning.toml', '--controllers', '99']);
+  const invalidControllers = await runNode(MAIN, ['scale', 'examples/morning.toml', '--controllers', '99']);
   assert.equal(invalidControllers.code, 2);
   assert.match(invalidControllers.err, /controllers/);
   const data = mkdtempSync(join(tmpdir(), 'spartray-used-'));
   writeFileSync(join(data, 'state.msgpack'), '');
-  const usedDirectory = await run(MAIN, ['scale', SCENARIO, '--machines', PLATFORM, '--data', data]);
+  const usedDirectory = await runNode(MAIN, ['scale', SCENARIO, '--machines', PLATFORM, '--data', data]);
   rmSync(data, { recursive: true });
   assert.equal(usedDirectory.code, 2);
   assert.match(usedDirectory.err, /holds the state of another run/);
@@ -83,26 +83,28 @@
     [0.5, 1.5, 12],
   );
   const machine = network.inRack('one-a', 7);
-  const healRack = network.cut({ kind: 'rack', zone: 'one-a', rack: 2 });
-  assert.ok(network.apart(machine, zoneA) && !network.apart(network.inRack('one-a', 8), zoneA));
+  const healRack = network.startPartition({ kind: 'rack', zone: 'one-a', rack: 2 });
+  assert.ok(network.isSeparated(machine, zoneA) && !network.isSeparated(network.inRack('one-a', 8), zoneA));
   assert.ok(
-    !network.apart(machine, network.inRack('one-a', 12)),
+    !network.isSeparated(machine, network.inRack('one-a', 12)),
     'machines of one rack still reach each other',
   );
   healRack();
-  const healZone = network.cut({ kind: 'zone', zone: 'one-a' });
+  const healZone = network.startPartition({ kind: 'zone', zone: 'one-a' });
   assert.ok(
-    network.apart(machine, zoneB) && network.apart(zoneA, network.services) && !network.apart(machine, zoneA),
+    network.isSeparated(machine, zoneB) &&
+      network.isSeparated(zoneA, network.services) &&
+      !network.isSeparated(machine, zoneA),
   );
   healZone();
-  const healRegions = network.cut({ kind: 'regions' });
+  const healRegions = network.startPartition({ kind: 'regions' });
   assert.ok(
-    network.apart(zoneA, otherRegion) &&
-      !network.apart(zoneA, zoneB) &&
-      network.apart(otherRegion, network.services),
+    network.isSeparated(zoneA, otherRegion) &&
+      !network.isSeparated(zoneA, zoneB) &&
+      network.isSeparated(otherRegion, network.services),
   );
   healRegions();
-  assert.ok(!network.apart(zoneA, otherRegion));
+  assert.ok(!network.isSeparated(zoneA, otherRegion));
 });
 
 test('relay delays controller messages, counts them by kind, and holds them in order during a partition', async () => {
@@ -142,7 +144,7 @@
   const flows = ratesBetween(before, traffic.snapshot(), 1);
   assert.equal(flows['peer status']?.messages, 1);
   assert.equal(flows['peer status answer']?.bytes, encodeFrame({ r: 1, a: 'yes' }).length);
-  const heal = network.cut({ kind: 'regions' });
+  const heal = network.startPartition({ kind: 'regions' });
   for (const n of [2, 3, 4]) caller.write(encodeFrame({ op: 'sent', a: n }));
   await pause(systemClock, 200);
   assert.equal(received.length, 2, 'no message passes during the partition');
@@ -166,7 +168,7 @@
 test('a short run at a small size measures all roles, violates no rule and exits on its own', async () => {
   const sizes = ['--workers', '40', '--controllers', '3', '--teams', '4', '--starts', '10'];
   const flags = ['--machines', PLATFORM, '--speed', '10', '--port', String(FIRST_PORT), '--json'];
-  const result = await run(MAIN, ['scale', 'examples/scale/short.toml', ...sizes, ...flags]);
+  const result = await runNode(MAIN, ['scale', 'examples/scale/short.toml', ...sizes, ...flags]);
   assert.equal(result.code, 0, result.err);
   const report = JSON.parse(result.out) as ScaleReport;
   assert.deepEqual(report.load.violations, []);
--- a/tests/compatibility/encoders.test.ts
+++ b/tests/compatibility/encoders.test.ts
@@ -117,12 +117,12 @@
   'GET /show 200': rewriteHeartbeat,
   'POST /do 200': rewriteHeartbeat,
   'POST /v1/report 200': (body) => {
-    const { token, orders } = assertReadable(workers.readCommands(body));
-    return workers.writeHeartbeatResponse(token!, orders);
+    const { token, commands } = assertReadable(workers.readCommands(body));
+    return workers.writeHeartbeatResponse(token!, commands);
   },
   'POST /do request': (body) => {
-    const { token, session, orders } = assertReadable(workers.readCommands(body));
-    return workers.writeCommands(token!, session!, orders);
+    const { token, incarnation, commands } = assertReadable(workers.readCommands(body));
+    return workers.writeCommands(token!, incarnation!, commands);
   },
   'POST /v1/report 421': (body) => workers.writeRedirect(workers.readRedirect(body)),
   'GET /flavors 200': (body) => cloud.writeTypes(assertReadable(cloud.readTypes(body))),
@@ -220,7 +220,7 @@
   'c/types': (value: cloud.MachineType[]) => {
     const catalog = new MachineTypeCatalog(new NameTables());
     catalog.set(value);
-    return catalog.all().map(([, type]) => type);
+    return catalog.offeredTypes().map(([, type]) => type);
   },
   'job/ID': readsEveryMember(readJobEntry),
   'act/ID/N': rewriteChunk('0'),
@@ -272,7 +272,7 @@
   for (const [key, kind] of Object.entries(kinds)) {
     for (const text of examples[kind]!) {
       await store.compareAndSwap([], [{ put: key, value: JSON.parse(text) }]);
-      const [loaded] = await records.all(kind === 'condor/over/N');
+      const [loaded] = await records.listClusters(kind === 'condor/over/N');
       assert.equal(JSON.stringify(loaded!.record), text);
     }
   }
@@ -373,7 +373,7 @@
   assert.equal(replica.machinesOf('wk-2'), null);
   assert.equal(replica.runningSince('wk-1/3', 7), 1_700_000_000_000);
   assert.deepEqual(replica.machine('m-1'), { incarnation: 2, images: [{ image: 'img', gb: 1.5 }] });
-  assert.deepEqual([...replica.classes()], [['train', { log: 0.25, count: 3 }]]);
+  assert.deepEqual([...replica.runtimeEstimates()], [['train', { log: 0.25, count: 3 }]]);
   const only = records.filter((r) => ['snapshotBegin', 'quarantined', 'inSync'].includes(r.kind));
   const quarantining = new ShardReplica();
   quarantining.applyBatch(0, only);
--- a/tests/condor/beside.ts
+++ b/tests/condor/beside.ts
@@ -61,12 +61,13 @@
     onError,
   });
   await cluster.start();
-  const http = new HttpClient(cluster.clock, { maxSockets: 8, bodyBytes: 1e6 });
+  const http = new HttpClient(cluster.clock, { maxSockets: 8, maxBodyBytes: 1e6 });
   const client = new SpartrayClient(cluster.clock, http, { servers: [cluster.users], depot: cluster.depot });
   if (variant === 'expanding')
     await new CondorClient(client).submit(submitFile('Memory > 1000000000'), {}, 'beside');
   if (variant === 'beside') await new CondorClient(client).submit(submitFile('true'), {}, 'beside');
-  if (variant === 'native') for (const o of readJobFile(ARRAY, 'json')) await client.submit(o.spec, o.upload);
+  if (variant === 'native')
+    for (const o of readJobFile(ARRAY, 'json')) await client.submit(o.spec, o.emulation);
   const scenario = {
     ...loadScenario('examples/morning.toml'),
     seed,
--- a/tests/condor/check.ts
+++ b/tests/condor/check.ts
@@ -11,7 +11,7 @@
 import { Ad } from '../../src/classad/ast.js';
 import { evaluate } from '../../src/classad/evaluate.js';
 import { parseExpr } from '../../src/classad/parser.js';
-import { readRows } from '../../src/cli/condor.js';
+import { readItemRows } from '../../src/cli/condor.js';
 import { SpartrayClient } from '../../src/client/client.js';
 import { CondorClient } from '../../src/client/condor.js';
 import { pause, systemClock } from '../../src/clock/clock.js';
@@ -64,7 +64,7 @@
     flags: ['--condor', '--depot', `127.0.0.1:${port + 1}`],
     onError: (what) => console.error(what),
   });
-  const http = new HttpClient(cluster.clock, { maxSockets: 32, bodyBytes: 1e6 });
+  const http = new HttpClient(cluster.clock, { maxSockets: 32, maxBodyBytes: 1e6 });
   try {
     await cluster.start();
     const client = new SpartrayClient(cluster.clock, http, {
@@ -72,7 +72,10 @@
       depot: cluster.depot,
     });
     const until = cluster.clock.now() + 60_000;
-    while ([...cluster.machines.values()].some((m) => m.worker.token === 0) && cluster.clock.now() < until)
+    while (
+      [...cluster.machines.values()].some((m) => m.worker.fencingToken === 0) &&
+      cluster.clock.now() < until
+    )
       await pause(cluster.clock, 500);
     const ids = await work(cluster, client);
     const views = await Promise.all(ids.map((id) => client.wait(id, JOB_TIMEOUT_S)));
@@ -149,7 +152,7 @@
 
 async function check(file: string, port: number): Promise<string[]> {
   const text = readFileSync(join(DIR, file), 'utf8');
-  const rows = readRows(parseSubmit(text), DIR);
+  const rows = readItemRows(parseSubmit(text), DIR);
   const plan = new ClusterPlan(
     { text, rows, user: 'check', at: 0 },
     { teams: ['red', 'blue', 'guests'], team: null, neverRunsReason: () => null },
