--- a/tests/condor/condor.test.ts
+++ b/tests/condor/condor.test.ts
@@ -12,7 +12,14 @@
 import { NameTables } from '../../src/context/nametables.js';
 import { Plan } from '../../src/plan/plan.js';
 import { FakeCluster, job } from '../support/cluster.js';
-import { ask, condorCluster, expandThroughCrashes, finisher, HEAD, submission } from '../support/condor.js';
+import {
+  completeRunningTasks,
+  condorCluster,
+  expandThroughCrashes,
+  requestWithRetry,
+  SUBMIT_FILE_HEAD,
+  submission,
+} from '../support/condor.js';
 import { planJob, machine as planMachine, size } from '../support/plan.js';
 
 const OPTIONS = { teams: ['red', 'blue'], team: null, neverRunsReason: () => null };
@@ -31,37 +38,42 @@
 };
 
 test('expands a submit file into the processes that it describes', () => {
-  assert.deepEqual(args(`${HEAD}arguments = $(Cluster).$(Process) $(x:none)\nqueue 2\nx = 5\nqueue`), [
-    '7.0 none',
-    '7.1 none',
-    '7.2 5',
-  ]);
   assert.deepEqual(
-    args(`${HEAD}arguments = $(a)|$(b)|$(Step)\nqueue 2 a, b from (\n one two three\n "x y", z\n)`),
+    args(`${SUBMIT_FILE_HEAD}arguments = $(Cluster).$(Process) $(x:none)\nqueue 2\nx = 5\nqueue`),
+    ['7.0 none', '7.1 none', '7.2 5'],
+  );
+  assert.deepEqual(
+    args(
+      `${SUBMIT_FILE_HEAD}arguments = $(a)|$(b)|$(Step)\nqueue 2 a, b from (\n one two three\n "x y", z\n)`,
+    ),
     ['one|two three|0', 'one|two three|1', 'x y|z|0', 'x y|z|1'],
   );
   assert.deepEqual(
-    args(`${HEAD}arguments = $Fnx(f) $INT(n) $CHOICE(1, p, q)\nn = 3.7\nqueue f from list`, {
+    args(`${SUBMIT_FILE_HEAD}arguments = $Fnx(f) $INT(n) $CHOICE(1, p, q)\nn = 3.7\nqueue f from list`, {
       0: ['d/a.txt'],
     }),
     ['a.txt 3 q'],
   );
-  assert.deepEqual(args(`${HEAD}arguments = $(Item)\nqueue in [-2:] (a b c)`), ['b', 'c']);
+  assert.deepEqual(args(`${SUBMIT_FILE_HEAD}arguments = $(Item)\nqueue in [-2:] (a b c)`), ['b', 'c']);
   assert.deepEqual(
-    args(`${HEAD}a = 1\na = $(a)2\narguments = $(a) \\\n  more\nif $(a) > 3\nqueue\nelse\nqueue 9\nendif`),
+    args(
+      `${SUBMIT_FILE_HEAD}a = 1\na = $(a)2\narguments = $(a) \\\n  more\nif $(a) > 3\nqueue\nelse\nqueue 9\nendif`,
+    ),
     ['12   more'],
   );
   const [s] = specs(
-    `${HEAD}request_memory = 1.5 GB\nrequest_cpus = 1 + 1\nrequest_gpus = 1\nnice_user = true\nqueue`,
+    `${SUBMIT_FILE_HEAD}request_memory = 1.5 GB\nrequest_cpus = 1 + 1\nrequest_gpus = 1\nnice_user = true\nqueue`,
   );
   assert.deepEqual(
     [s!.memoryGb, s!.cpus, s!.gpus, s!.priority, s!.team, s!.match],
     [1.5, 2, 1, 0, 'red', undefined],
   );
-  const [gang] = specs(`${HEAD}universe = parallel\nmachine_count = 3\naccounting_group = blue.x.y\nqueue`);
+  const [gang] = specs(
+    `${SUBMIT_FILE_HEAD}universe = parallel\nmachine_count = 3\naccounting_group = blue.x.y\nqueue`,
+  );
   assert.deepEqual([gang!.kind, gang!.tasks, gang!.oneZone, gang!.team], ['gang', 3, true, 'blue']);
   const [asks] = specs(
-    `${HEAD}request_memory = 2G\nrequirements = Memory >= RequestMemory && ProcId == 0\nrank = Cpus * 2\nqueue`,
+    `${SUBMIT_FILE_HEAD}request_memory = 2G\nrequirements = Memory >= RequestMemory && ProcId == 0\nrank = Cpus * 2\nqueue`,
   );
   assert.deepEqual(asks!.match, { requirements: 'TARGET.Memory >= 2048', rank: 'TARGET.Cpus * 2' });
 });
@@ -70,25 +82,25 @@
   const invalidFiles: [string, number, number, RegExp][] = [
     ['executable = a\nqueue 2 x', 2, 1, /"in", "from" or "matching"/],
     ['executable = a', 1, 1, /"queue" was expected/],
-    [`${HEAD}requirements = Memory >\nqueue`, 3, 24, /value/],
-    [`${HEAD}requirements = (Memory > 3\nqueue`, 3, 27, /expected/],
-    [`${HEAD}what is this\nqueue`, 3, 1, /name = value/],
-    [`${HEAD}if defined x\nqueue`, 3, 1, /endif/],
-    [`${HEAD}include : other\nqueue`, 3, 1, /include/],
-    [`${HEAD}arguments = a $$(Memory)\nqueue`, 3, 15, /machine/],
-    [`${HEAD}arguments = $(a)\na = $(b)\nb = $(a)\nqueue`, 4, 5, /need each other/],
-    [`${HEAD}arguments = $(a\nqueue`, 3, 13, /closing bracket/],
-    [`${HEAD}request_cpus = -1\nqueue`, 3, 16, /RequestCpus/],
-    [`${HEAD}request_cpus = "many"\nqueue`, 3, 16, /RequestCpus/],
+    [`${SUBMIT_FILE_HEAD}requirements = Memory >\nqueue`, 3, 24, /value/],
+    [`${SUBMIT_FILE_HEAD}requirements = (Memory > 3\nqueue`, 3, 27, /expected/],
+    [`${SUBMIT_FILE_HEAD}what is this\nqueue`, 3, 1, /name = value/],
+    [`${SUBMIT_FILE_HEAD}if defined x\nqueue`, 3, 1, /endif/],
+    [`${SUBMIT_FILE_HEAD}include : other\nqueue`, 3, 1, /include/],
+    [`${SUBMIT_FILE_HEAD}arguments = a $$(Memory)\nqueue`, 3, 15, /machine/],
+    [`${SUBMIT_FILE_HEAD}arguments = $(a)\na = $(b)\nb = $(a)\nqueue`, 4, 5, /need each other/],
+    [`${SUBMIT_FILE_HEAD}arguments = $(a\nqueue`, 3, 13, /closing bracket/],
+    [`${SUBMIT_FILE_HEAD}request_cpus = -1\nqueue`, 3, 16, /RequestCpus/],
+    [`${SUBMIT_FILE_HEAD}request_cpus = "many"\nqueue`, 3, 16, /RequestCpus/],
     ['executable = a\naccounting_group = green\nqueue', 2, 20, /red, blue/],
     ['accounting_group = red\nqueue', 2, 1, /executable/],
-    [`${HEAD}cron_hour = 3\nqueue`, 3, 1, /calendar/],
-    [`${HEAD}on_exit_remove = ExitCode != 0\nqueue`, 3, 18, /for ever/],
-    [`${HEAD}queue x in (a b`, 3, 1, /"\)"/],
-    [`${HEAD}queue 200000`, 3, 1, /100000 processes/],
-    [`${HEAD}queue 0`, 3, 1, /no process/],
-    [`${HEAD}x = ${'y'.repeat(66_000)}\nqueue`, 1, 1, /64 KiB/],
-    [`${HEAD}requirements = ${'('.repeat(3000)}\nqueue`, 3, 116, /nested/],
+    [`${SUBMIT_FILE_HEAD}cron_hour = 3\nqueue`, 3, 1, /calendar/],
+    [`${SUBMIT_FILE_HEAD}on_exit_remove = ExitCode != 0\nqueue`, 3, 18, /for ever/],
+    [`${SUBMIT_FILE_HEAD}queue x in (a b`, 3, 1, /"\)"/],
+    [`${SUBMIT_FILE_HEAD}queue 200000`, 3, 1, /100000 processes/],
+    [`${SUBMIT_FILE_HEAD}queue 0`, 3, 1, /no process/],
+    [`${SUBMIT_FILE_HEAD}x = ${'y'.repeat(66_000)}\nqueue`, 1, 1, /64 KiB/],
+    [`${SUBMIT_FILE_HEAD}requirements = ${'('.repeat(3000)}\nqueue`, 3, 116, /nested/],
   ];
   for (const [text, line, column, message] of invalidFiles) {
     assert.throws(
@@ -101,14 +113,16 @@
       },
     );
   }
-  const doubling = `${HEAD}a0 = xxxxxxxxxx\n${Array.from({ length: 30 }, (_, i) => `a${i + 1} = $(a${i})$(a${i})`).join('\n')}\narguments = $(a30)\nqueue`;
+  const doubling = `${SUBMIT_FILE_HEAD}a0 = xxxxxxxxxx\n${Array.from({ length: 30 }, (_, i) => `a${i + 1} = $(a${i})$(a${i})`).join('\n')}\narguments = $(a30)\nqueue`;
   assert.throws(() => plan(doubling).check(), /too much text/);
-  const planWithWarnings = plan(`${HEAD}log = x\noutput = y\nfroboz = 1\ncount = 2\nqueue $(count)`);
+  const planWithWarnings = plan(
+    `${SUBMIT_FILE_HEAD}log = x\noutput = y\nfroboz = 1\ncount = 2\nqueue $(count)`,
+  );
   assert.deepEqual(
     planWithWarnings.warnings.map((w) => w.split(' ').slice(0, 3).join(' ')),
     ['line 3: log', 'line 4: output', 'line 5: froboz'],
   );
-  assert.equal(rowsOf(parseSubmit(`${HEAD}queue Item in (a,b , c)`)[0]!).length, 3);
+  assert.equal(rowsOf(parseSubmit(`${SUBMIT_FILE_HEAD}queue Item in (a,b , c)`)[0]!).length, 3);
 });
 
 // Guards against a parser that throws another error than SubmitError: it would be answered with 503 and retried
@@ -243,11 +257,11 @@
 test('explains clause by clause why no kind matches', () => {
   const { catalog } = catalogWithMatcher();
   const offers = catalog
-    .all()
+    .offeredTypes()
     .flatMap(([, t]) =>
       t.zones.map((zone) => ({ type: t.name, zone, spot: false, ad: kindAd(t, zone, false) })),
     );
-  const my = plan(`${HEAD}queue`).proc(1, 0).ad;
+  const my = plan(`${SUBMIT_FILE_HEAD}queue`).proc(1, 0).ad;
   const analysis = analyze(parseExpr('Memory > 512000 && Zone == "a"'), my, offers);
   assert.deepEqual([analysis.kinds, analysis.matches], [3, 0]);
   assert.equal(analysis.reason, 'Memory > 512000: largest is 262144 on 1 type; the other clauses match 2');
@@ -272,15 +286,16 @@
   const numbers = [];
   for (const n of [1, 1, 2])
     numbers.push(
-      (await ask(cluster, `n${n % 2}`, 'POST', '/condor/clusters', submission('queue', n))).body.cluster,
+      (await requestWithRetry(cluster, `n${n % 2}`, 'POST', '/condor/clusters', submission('queue', n))).body
+        .cluster,
     );
   assert.deepEqual(numbers, [1, 1, 2]);
-  const finished = finisher(cluster);
+  const finished = completeRunningTasks(cluster);
   assert.ok(await cluster.clock.until(() => finished.done.size === 2, 60_000));
   for (const n of ['n0', 'n1']) cluster.killNode(n);
   for (const n of ['n0', 'n1']) cluster.startNode(n);
   assert.equal(
-    (await ask(cluster, 'n0', 'POST', '/condor/clusters', submission('queue', 3))).body.cluster,
+    (await requestWithRetry(cluster, 'n0', 'POST', '/condor/clusters', submission('queue', 3))).body.cluster,
     3,
   );
 });
@@ -288,7 +303,7 @@
 test('rejects an invalid submit file as a whole, with the position of the error', async () => {
   const cluster = condorCluster(['n0']);
   const send = async (body: object) =>
-    (await ask(cluster, 'n0', 'POST', '/condor/clusters', body)) as {
+    (await requestWithRetry(cluster, 'n0', 'POST', '/condor/clusters', body)) as {
       status: number;
       body: { error: string; line?: number };
     };
@@ -306,7 +321,7 @@
   const cluster = condorCluster(['n0']);
   // More processes than a shard reports to the leader and than the team is guaranteed: neither may delay a
   // native job.
-  await ask(
+  await requestWithRetry(
     cluster,
     'n0',
     'POST',
@@ -315,40 +330,44 @@
   );
   await cluster.clock.advance(10_000);
   assert.ok(await cluster.submit('n0', job('wk-native')));
-  assert.ok(await cluster.clock.until(() => cluster.workers.some((w) => w.on('wk-native/0')), 20_000));
+  assert.ok(await cluster.clock.until(() => cluster.workers.some((w) => w.isActive('wk-native/0')), 20_000));
   await cluster.clock.advance(20_000);
-  const page = await ask(cluster, 'n0', 'GET', '/condor/clusters/1/procs?from=0');
+  const page = await requestWithRetry(cluster, 'n0', 'GET', '/condor/clusters/1/procs?from=0');
   assert.deepEqual(
     page.body.procs.slice(0, 2).map((p: { state: string; reason: string }) => [p.state, p.reason]),
     [0, 1].map(() => ['idle', 'Memory > 60000: largest is 32768 on 2 types; the other clauses match 8']),
   );
   assert.equal(
-    cluster.workers.some((w) => w.started.some((t) => t.startsWith('wk-condor'))),
+    cluster.workers.some((w) => w.executedStarts.some((t) => t.startsWith('wk-condor'))),
     false,
   );
-  cluster.moreTypes.push(['c64', 64, 0]);
+  cluster.additionalTypes.push(['c64', 64, 0]);
   cluster.addWorker('c64', 'a');
-  assert.ok(await cluster.clock.until(() => cluster.workers.at(-1)!.on('wk-condor-1-1/0'), 60_000));
+  assert.ok(await cluster.clock.until(() => cluster.workers.at(-1)!.isActive('wk-condor-1-1/0'), 60_000));
 });
 
 test('hold stops running tasks, release restarts them, and a cluster removed during expansion leaves nothing behind', async () => {
   const cluster = condorCluster(['n0', 'n1']);
-  await ask(
+  await requestWithRetry(
     cluster,
     'n0',
     'POST',
     '/condor/clusters',
     submission('request_cpus = 1\n+Small = ProcId < 1\nqueue 3'),
   );
-  assert.ok(await cluster.clock.until(() => cluster.workers.some((w) => w.on('wk-condor-1-0/0')), 30_000));
-  const held = await ask(cluster, 'n1', 'POST', '/condor/clusters/1/hold', {
+  assert.ok(
+    await cluster.clock.until(() => cluster.workers.some((w) => w.isActive('wk-condor-1-0/0')), 30_000),
+  );
+  const held = await requestWithRetry(cluster, 'n1', 'POST', '/condor/clusters/1/hold', {
     constraint: 'Small',
     reason: 'look first',
   });
   assert.deepEqual(held, { status: 200, body: { changed: 1 } });
-  assert.ok(await cluster.clock.until(() => !cluster.workers.some((w) => w.on('wk-condor-1-0/0')), 15_000));
+  assert.ok(
+    await cluster.clock.until(() => !cluster.workers.some((w) => w.isActive('wk-condor-1-0/0')), 15_000),
+  );
   const states = async () =>
-    (await ask(cluster, 'n0', 'GET', '/condor/clusters/1/procs?from=0')).body.procs.map(
+    (await requestWithRetry(cluster, 'n0', 'GET', '/condor/clusters/1/procs?from=0')).body.procs.map(
       (p: { state: string }) => p.state,
     );
   assert.equal((await states())[0], 'held');
@@ -357,21 +376,30 @@
   cluster.startNode('n0');
   await cluster.clock.advance(20_000);
   assert.equal(
-    cluster.workers.some((w) => w.on('wk-condor-1-0/0')),
+    cluster.workers.some((w) => w.isActive('wk-condor-1-0/0')),
     false,
   );
   assert.equal((await states())[0], 'held');
   assert.equal(
-    (await ask(cluster, 'n0', 'POST', '/condor/clusters/1/release', { procs: [0] })).body.changed,
+    (await requestWithRetry(cluster, 'n0', 'POST', '/condor/clusters/1/release', { procs: [0] })).body
+      .changed,
     1,
   );
-  assert.ok(await cluster.clock.until(() => cluster.workers.some((w) => w.on('wk-condor-1-0-r1/0')), 30_000));
+  assert.ok(
+    await cluster.clock.until(() => cluster.workers.some((w) => w.isActive('wk-condor-1-0-r1/0')), 30_000),
+  );
 
-  await ask(cluster, 'n0', 'POST', '/condor/clusters', submission('request_cpus = 1\nqueue 3000', 1));
+  await requestWithRetry(
+    cluster,
+    'n0',
+    'POST',
+    '/condor/clusters',
+    submission('request_cpus = 1\nqueue 3000', 1),
+  );
   const accepted = () =>
     [...cluster.state.items.keys()].filter((k) => k.startsWith('act/wk-condor-2-')).length;
   assert.ok(await cluster.clock.until(() => accepted() > 70, 60_000));
-  assert.equal((await ask(cluster, 'n1', 'POST', '/condor/clusters/2/remove', {})).status, 200);
+  assert.equal((await requestWithRetry(cluster, 'n1', 'POST', '/condor/clusters/2/remove', {})).status, 200);
   cluster.killNode('n0');
   cluster.startNode('n0');
   const over = () => cluster.state.value('condor/over/00000002') !== undefined;
@@ -407,7 +435,7 @@
   assert.ok(await cluster.submit('n0', job('wk-keeps', { shape: 'standing', cpus: 1 })));
   const idle = '(JobStatus == 1) && (CurrentTime - QDate > 30)';
   const never = 'requirements = Memory > 60000\n';
-  await ask(
+  await requestWithRetry(
     cluster,
     'n0',
     'POST',
@@ -415,17 +443,23 @@
     submission(`${never}periodic_remove = ${idle}\nqueue 3`),
   );
   const text = `request_cpus = 1\nperiodic_hold = NumJobStarts == 0 && ${idle.replace('1', '2')}\nperiodic_hold_reason = "looked at"\nperiodic_release = CurrentTime - EnteredCurrentStatus > 50\nqueue`;
-  await ask(cluster, 'n0', 'POST', '/condor/clusters', submission(text, 1));
-  await ask(
+  await requestWithRetry(cluster, 'n0', 'POST', '/condor/clusters', submission(text, 1));
+  await requestWithRetry(
     cluster,
     'n0',
     'POST',
     '/condor/clusters',
     submission(`${never}max_materialize = 4\nqueue 50`, 2),
   );
-  await ask(cluster, 'n0', 'POST', '/condor/clusters', submission(`${never}max_idle = 2\nqueue 50`, 3));
+  await requestWithRetry(
+    cluster,
+    'n0',
+    'POST',
+    '/condor/clusters',
+    submission(`${never}max_idle = 2\nqueue 50`, 3),
+  );
   const first = async () =>
-    (await ask(cluster, 'n0', 'GET', '/condor/clusters/2/procs?from=0')).body.procs[0];
+    (await requestWithRetry(cluster, 'n0', 'GET', '/condor/clusters/2/procs?from=0')).body.procs[0];
   let held = false;
   for (let i = 0; i < 60 && !held; i++) {
     await cluster.clock.advance(2000);
@@ -433,8 +467,8 @@
   }
   assert.ok(held);
   assert.equal((await first()).reason, 'looked at');
-  assert.ok(await cluster.clock.until(() => !cluster.workers[0]!.on('wk-condor-2-0/0'), 10_000));
-  assert.ok(await cluster.clock.until(() => cluster.workers[0]!.on('wk-condor-2-0-r1/0'), 120_000));
+  assert.ok(await cluster.clock.until(() => !cluster.workers[0]!.isActive('wk-condor-2-0/0'), 10_000));
+  assert.ok(await cluster.clock.until(() => cluster.workers[0]!.isActive('wk-condor-2-0-r1/0'), 120_000));
   assert.equal((cluster.state.value('condor/over/00000001') as { removed: number }).removed, 3);
   const jobs = (n: number) =>
     [...cluster.state.items.keys()].filter((k) => k.startsWith(`act/wk-condor-${n}-`)).length;
--- a/tests/condor/matching.ts
+++ b/tests/condor/matching.ts
@@ -111,7 +111,7 @@
         deadline: 1000,
         total: 2,
         tasks: [0, 1],
-        present: new Map(),
+        placedByZone: new Map(),
       };
       plan.reserve(job);
     }
--- a/tests/controller/cluster.test.ts
+++ b/tests/controller/cluster.test.ts
@@ -6,7 +6,7 @@
 const status = (body: unknown) => (body as { status: string }).status;
 
 async function started(cluster: FakeCluster, task: string, withinMs = 10_000): Promise<boolean> {
-  return cluster.clock.until(() => cluster.workers.some((w) => w.on(task)), withinMs);
+  return cluster.clock.until(() => cluster.workers.some((w) => w.isActive(task)), withinMs);
 }
 
 test('a job is accepted, runs, and remains done after all controllers have restarted', async () => {
@@ -17,7 +17,7 @@
   assert.ok(await cluster.submit('n1', job('wk-1')));
   assert.ok(await started(cluster, 'wk-1/0'));
   assert.equal(status((await cluster.call('n0', 'GET', '/api/jobs/wk-1')).body), 'running');
-  worker.end('wk-1/0', 'done');
+  worker.endTask('wk-1/0', 'done');
   assert.ok(
     await cluster.clock.until(() => worker.attempts.length === 0, 5000),
     'attempt cleared once its end is durable',
@@ -33,7 +33,7 @@
   assert.equal(repeat.status, 200);
   assert.equal(status(repeat.body), 'done');
   assert.equal((await cluster.call('n0', 'GET', '/api/jobs/wk-2')).status, 404);
-  assert.equal(worker.started.length, 1);
+  assert.equal(worker.executedStarts.length, 1);
 });
 
 test('an acceptance whose answer was lost is read back, neither dropped nor repeated', async () => {
@@ -42,7 +42,7 @@
   cluster.startNode('n0');
   assert.ok(await cluster.submit('n0', job('wk-0')));
   let lostAnswers = 0;
-  cluster.net.fate = (_from, _addr, _method, path, body) => {
+  cluster.net.outcomeOf = (_from, _addr, _method, path, body) => {
     if (path === '/txn' && lostAnswers === 0 && JSON.stringify(body).includes('"set":"act/wk-1"')) {
       lostAnswers++;
       return 'lost-answer';
@@ -60,7 +60,7 @@
   cluster.addWorker('c8', 'a');
   cluster.startNode('n0');
   assert.ok(await cluster.submit('n0', job('wk-0')));
-  cluster.net.fate = (_f, _a, _m, path, body) =>
+  cluster.net.outcomeOf = (_f, _a, _m, path, body) =>
     path === '/txn' && JSON.stringify(body).includes('"set":"act/wk-1"') && cluster.net.held.length === 0
       ? 'hold'
       : 'deliver';
@@ -77,15 +77,15 @@
   cluster.startNode('n1');
   await cluster.clock.advance(4000);
   // The network delays the start order and cuts the machine off.
-  cluster.net.fate = (_f, addr, _m, path, body) =>
-    addr === first.place.addr
+  cluster.net.outcomeOf = (_f, addr, _m, path, body) =>
+    addr === first.identity.addr
       ? path === '/do' && JSON.stringify(body).includes('wk-1')
         ? 'hold'
         : 'silent'
       : 'deliver';
   assert.ok(await cluster.submit('n0', job('wk-1')));
   assert.ok(await cluster.clock.until(() => cluster.net.held.length === 1, 5000));
-  cluster.silent.add(first);
+  cluster.notReporting.add(first);
   const second = cluster.addWorker('c8', 'a');
   const owner = [...cluster.nodes].find(([, r]) => r.node.membership.owner(0)?.node === 'n0') ? 'n0' : 'n1';
   cluster.killNode(owner);
@@ -93,15 +93,15 @@
   cluster.startNode(owner);
   await cluster.clock.advance(9000);
   assert.equal(
-    second.started.length,
+    second.executedStarts.length,
     0,
     'not before the first machine’s lease is guaranteed to have expired',
   );
   await cluster.net.release();
-  assert.ok(first.on('wk-1/0'), 'the delayed order was executed');
+  assert.ok(first.isActive('wk-1/0'), 'the delayed order was executed');
   await cluster.clock.advance(cutAt + LEASE_S * 1000 - 500 - cluster.clock.now());
-  assert.equal(second.started.length, 0);
-  assert.ok(await cluster.clock.until(() => second.on('wk-1/0'), 15_000));
+  assert.equal(second.executedStarts.length, 0);
+  assert.ok(await cluster.clock.until(() => second.isActive('wk-1/0'), 15_000));
 });
 
 // Guards against a lease that is counted only from the last answered heartbeat. An overloaded controller answered so
@@ -113,9 +113,9 @@
   const worker = cluster.addWorker('c8', 'a');
   cluster.startNode('n0');
   await cluster.clock.advance(6000);
-  assert.ok(worker.token > 0);
-  cluster.silent.add(worker);
-  const lastHeartbeatAt = worker.lastSent;
+  assert.ok(worker.fencingToken > 0);
+  cluster.notReporting.add(worker);
+  const lastHeartbeatAt = worker.lastHeartbeatSentAt;
   await cluster.clock.advance(15_000);
   // The controller answers this heartbeat, but too late for the machine.
   const lateReply = await cluster.call('n0', 'POST', '/v1/report', worker.report());
@@ -123,15 +123,15 @@
   await cluster.clock.advance(lastHeartbeatAt + LEASE_S * 1000 + 1000 - cluster.clock.now());
   assert.ok(await cluster.submit('n0', job('wk-1', { cpus: 8 })));
   assert.ok(await started(cluster, 'wk-1/0', 2000), 'started in the next session');
-  assert.equal(worker.session, 2);
+  assert.equal(worker.incarnation, 2);
   const other = cluster.addWorker('c8', 'a');
   // Half a second after a lease counted from the last answered heartbeat would have expired, and before the session's
   // own lease expires.
   await cluster.clock.advance(lastHeartbeatAt + (15 + LEASE_S + 2) * 1000 - cluster.clock.now());
-  assert.ok(worker.on('wk-1/0'), 'its lease is still valid');
-  assert.equal(other.started.length, 0, 'not started elsewhere while the lease is valid');
+  assert.ok(worker.isActive('wk-1/0'), 'its lease is still valid');
+  assert.equal(other.executedStarts.length, 0, 'not started elsewhere while the lease is valid');
   assert.ok(
-    await cluster.clock.until(() => other.on('wk-1/0'), 30_000),
+    await cluster.clock.until(() => other.isActive('wk-1/0'), 30_000),
     'restarted once the lease is guaranteed to have expired',
   );
 });
@@ -144,7 +144,7 @@
   cluster.startNode('n0');
   assert.ok(await cluster.submit('n0', job('wk-0')));
   await cluster.clock.advance(2000);
-  cluster.net.fate = (_f, _a, _m, path, body) =>
+  cluster.net.outcomeOf = (_f, _a, _m, path, body) =>
     path === '/txn' && JSON.stringify(body).includes('"set":"act/wk-1"') ? 'lost-answer' : 'deliver';
   const accepted = cluster.call('n0', 'POST', '/api/jobs', job('wk-1'));
   await cluster.clock.advance(500);
@@ -152,7 +152,7 @@
   assert.ok(await started(cluster, 'wk-1/0', 2000));
   assert.ok([200, 201].includes((await accepted).status));
   await cluster.clock.advance(10_000);
-  const starts = [...first.started, ...second.started].filter((p) => p === 'wk-1/0');
+  const starts = [...first.executedStarts, ...second.executedStarts].filter((p) => p === 'wk-1/0');
   assert.equal(starts.length, 1);
 });
 
@@ -169,7 +169,7 @@
   const record = () => cluster.state.value(`c/m/${worker.id}`) as { shard: number };
   const from = record().shard;
   const name = owner(from);
-  cluster.net.fate = (_f, _a, _m, path, body) =>
+  cluster.net.outcomeOf = (_f, _a, _m, path, body) =>
     path === '/txn' &&
     JSON.stringify(body).includes(`"set":"c/m/${worker.id}"`) &&
     cluster.net.held.length === 0
@@ -179,7 +179,7 @@
     .get(name)!
     .node.serve('give', { shard: from, machine: worker.id, to: 1 - from });
   assert.ok(await cluster.submit(name, job('wk-1')));
-  assert.equal(worker.started.length, 0, 'not while the write may still be applied');
+  assert.equal(worker.executedStarts.length, 0, 'not while the write may still be applied');
   assert.ok(await cluster.clock.until(() => cluster.net.held.length === 1, 1000));
   await cluster.clock.advance(4000);
   assert.equal(await transferred, false);
@@ -187,8 +187,8 @@
   await cluster.net.release();
   assert.deepEqual(record(), before, 'the late write has no effect');
   await cluster.clock.advance(6000);
-  assert.equal(worker.started.length, 1);
-  assert.ok(worker.on('wk-1/0'));
+  assert.equal(worker.executedStarts.length, 1);
+  assert.ok(worker.isActive('wk-1/0'));
 });
 
 // Guards against an owner that is cut off only from the workers: it keeps renewing its own lease during the
@@ -199,34 +199,37 @@
   for (const n of ['n0', 'n1', 'n2']) cluster.startNode(n);
   await cluster.clock.advance(6000);
   assert.ok(await cluster.submit('n1', job('wk-1', { pieces: 4, cpus: 8 })));
-  assert.ok(await cluster.clock.until(() => machines.every((w) => w.started.length === 1), 15_000));
+  assert.ok(await cluster.clock.until(() => machines.every((w) => w.executedStarts.length === 1), 15_000));
   const shard = (cluster.state.value(`c/m/${machines[0]!.id}`) as { shard: number }).shard;
   const owner = () => (cluster.state.value(`c/own/${shard}`) as { node: string } | undefined)?.node;
   const cutNode = owner()!;
-  cluster.cutFromWorkers.add(cutNode);
-  cluster.net.fate = (from, addr) => (from === cutNode && addr.startsWith('10.1.') ? 'silent' : 'deliver');
+  cluster.nodesCutFromWorkers.add(cutNode);
+  cluster.net.outcomeOf = (from, addr) =>
+    from === cutNode && addr.startsWith('10.1.') ? 'silent' : 'deliver';
   assert.ok(
     await cluster.clock.until(() => owner() !== undefined && owner() !== cutNode, 12_000),
     'handed over',
   );
   const newWorker = cluster.addWorker('c8', 'a');
   const next = [...cluster.nodes.keys()].find((n) => n !== cutNode)!;
-  machines[0]!.end('wk-1/0', 'done');
+  machines[0]!.endTask('wk-1/0', 'done');
   assert.ok(await cluster.submit(next, job('wk-2', { cpus: 8 })));
   assert.ok(await started(cluster, 'wk-2/0', 15_000));
   await cluster.clock.advance(30_000);
   assert.notEqual(owner(), cutNode, 'not returned while the partition lasts');
-  cluster.cutFromWorkers.clear();
-  cluster.net.fate = () => 'deliver';
+  cluster.nodesCutFromWorkers.clear();
+  cluster.net.outcomeOf = () => 'deliver';
   assert.ok(
     await cluster.clock.until(() => owner() === cutNode, 60_000),
     'returned to its home node afterwards',
   );
   await cluster.clock.advance(5000);
   assert.ok(
-    machines.every((w) => w.session === 1 && w.started.filter((p) => p.startsWith('wk-1')).length === 1),
+    machines.every(
+      (w) => w.incarnation === 1 && w.executedStarts.filter((p) => p.startsWith('wk-1')).length === 1,
+    ),
   );
-  assert.ok(machines.some((w) => w.on('wk-2/0')) || newWorker.on('wk-2/0'));
+  assert.ok(machines.some((w) => w.isActive('wk-2/0')) || newWorker.isActive('wk-2/0'));
 });
 
 test('an owner keeps its shard when the machines themselves are faulty', async () => {
@@ -236,9 +239,9 @@
   cluster.startNode('n1');
   await cluster.clock.advance(8000);
   const before = [0, 1].map((k) => JSON.stringify(cluster.state.value(`c/own/${k}`)));
-  for (const worker of machines.slice(1)) cluster.silent.add(worker);
-  cluster.net.fate = (_f, addr) =>
-    machines.slice(1).some((w) => w.place.addr === addr) ? 'silent' : 'deliver';
+  for (const worker of machines.slice(1)) cluster.notReporting.add(worker);
+  cluster.net.outcomeOf = (_f, addr) =>
+    machines.slice(1).some((w) => w.identity.addr === addr) ? 'silent' : 'deliver';
   await cluster.clock.advance(30_000);
   assert.deepEqual(
     [0, 1].map((k) => JSON.stringify(cluster.state.value(`c/own/${k}`))),
@@ -285,7 +288,7 @@
 // for tasks that wait for their team's limit: every plan rented again until the cloud had no capacity left.
 test('rents no more machines than tasks can use, regardless of their boot time', async () => {
   const cluster = new FakeCluster(['n0']);
-  cluster.capacity = true;
+  cluster.cloudHasCapacity = true;
   cluster.startNode('n0');
   await cluster.clock.advance(6000);
   // The team's limit allows four of the 20 tasks at once, and each task is as large as a machine.
@@ -319,12 +322,13 @@
   for (let i = 0; i < 12; i++) {
     await cluster.clock.advance(2000);
     for (const [n, worker] of cluster.workers.entries())
-      for (const p of worker.attempts) if (p.state === 'running' && n % 12 === i) worker.end(p.task, 'done');
+      for (const p of worker.attempts)
+        if (p.state === 'running' && n % 12 === i) worker.endTask(p.task, 'done');
   }
   assert.ok(redMachines().length > before + 5, `${before} machines, then ${redMachines().length}`);
   const causes = new Set(cluster.workers.flatMap((w) => w.attempts.map((p) => p.cause ?? 'done')));
   assert.deepEqual([...causes], ['done']);
-  assert.ok(cluster.workers.every((w) => w.session === 1));
+  assert.ok(cluster.workers.every((w) => w.incarnation === 1));
 });
 
 // Guards against a controller that, after a pause of its process, acts on decisions or reads from before the pause.
@@ -348,7 +352,7 @@
     await cluster.clock.until(() => owner() !== undefined && owner() !== formerOwner, 15_000),
     'shard taken over',
   );
-  assert.ok(await cluster.clock.until(() => machines.some((w) => w.on('wk-2/0')), 10_000));
+  assert.ok(await cluster.clock.until(() => machines.some((w) => w.isActive('wk-2/0')), 10_000));
   const cancelled = await cluster.call(other, 'POST', '/api/jobs/wk-1/abort');
   assert.equal(status(cancelled.body), 'aborted');
   await cluster.clock.advance(10_000);
@@ -356,10 +360,10 @@
     .get(formerOwner)!
     .api.handle(cluster.request('POST', '/v1/report', machines[0]!.report()));
   const statusRequest = cluster.nodes.get(formerOwner)!.api.handle(cluster.request('GET', '/api/jobs/wk-1'));
-  const started = () => machines.flatMap((w) => w.started).sort();
+  const started = () => machines.flatMap((w) => w.executedStarts).sort();
   const before = started();
   const requests: string[] = [];
-  cluster.net.fate = (from, addr, _m, path, body) => {
+  cluster.net.outcomeOf = (from, addr, _m, path, body) => {
     if (from === formerOwner && addr.startsWith('10.1.')) requests.push(path);
     if (from === formerOwner && path === '/txn' && JSON.stringify(body).includes('act/')) requests.push(path);
     return 'deliver';
@@ -373,7 +377,7 @@
   await cluster.clock.advance(20_000);
   assert.deepEqual(started(), before);
   assert.equal(owner(), formerOwner, 'its shard is returned to it, once');
-  assert.ok(machines.every((w) => w.session === 1));
+  assert.ok(machines.every((w) => w.incarnation === 1));
   assert.equal(status((await cluster.call(formerOwner, 'GET', '/api/jobs/wk-1')).body), 'aborted');
 });
 
@@ -388,10 +392,10 @@
   const second = cluster.addWorker('c8', 'a');
   await cluster.clock.advance(4000);
   // The second machine runs the task as well, and no stop order reaches it.
-  const answer = second.answer.bind(second);
-  second.answer = (body, sent) => answer({ ...(body as object), orders: [] }, sent);
-  cluster.net.fate = (_f, addr, _m, path) =>
-    addr === second.place.addr && path === '/do' ? 'silent' : 'deliver';
+  const answer = second.handleHeartbeatResponse.bind(second);
+  second.handleHeartbeatResponse = (body, sent) => answer({ ...(body as object), orders: [] }, sent);
+  cluster.net.outcomeOf = (_f, addr, _m, path) =>
+    addr === second.identity.addr && path === '/do' ? 'silent' : 'deliver';
   second.attempts.push({
     task: 'wk-1/0',
     job: 'wk-1',
@@ -404,16 +408,18 @@
   await cluster.clock.advance(3000);
   const third = cluster.addWorker('c8', 'a');
   await cluster.clock.advance(4000);
-  first.end('wk-1/0', 'error');
+  first.endTask('wk-1/0', 'error');
   await cluster.clock.advance(10_000);
-  assert.ok(second.on('wk-1/0'));
+  assert.ok(second.isActive('wk-1/0'));
   assert.deepEqual(
-    [first.started.length, third.started.length],
+    [first.executedStarts.length, third.executedStarts.length],
     [1, 0],
     'not started while the second attempt exists',
   );
-  second.end('wk-1/0', 'stopped');
-  assert.ok(await cluster.clock.until(() => first.started.length + third.started.length === 2, 20_000));
+  second.endTask('wk-1/0', 'stopped');
+  assert.ok(
+    await cluster.clock.until(() => first.executedStarts.length + third.executedStarts.length === 2, 20_000),
+  );
 });
 
 test('a delayed order has no effect once the machine has a newer fencing token', async () => {
@@ -421,17 +427,17 @@
   const worker = cluster.addWorker('c8', 'a');
   cluster.startNode('n0');
   await cluster.clock.advance(4000);
-  cluster.net.fate = (_f, _a, _m, path, body) =>
+  cluster.net.outcomeOf = (_f, _a, _m, path, body) =>
     path === '/do' && JSON.stringify(body).includes('wk-1') && cluster.net.held.length === 0
       ? 'hold'
       : 'deliver';
   assert.ok(await cluster.submit('n0', job('wk-1')));
   assert.ok(await cluster.clock.until(() => cluster.net.held.length === 1, 3000));
-  const before = worker.token;
+  const before = worker.fencingToken;
   assert.ok(await started(cluster, 'wk-1/0', 10_000));
-  assert.ok(worker.token > before, 'the start was repeated only under a newer token');
+  assert.ok(worker.fencingToken > before, 'the start was repeated only under a newer token');
   await cluster.net.release();
-  assert.equal(worker.started.length, 1);
+  assert.equal(worker.executedStarts.length, 1);
 });
 
 test('heartbeats are not answered with 200 while the node’s lease may have expired', async () => {
@@ -450,10 +456,10 @@
     body: Buffer.from(JSON.stringify(worker.report())),
   });
   assert.equal(during.status, 503);
-  cluster.state.restore();
+  cluster.state.endOutage();
   await cluster.clock.advance(5000);
-  assert.ok(worker.on('wk-1/0'), 'the task survives the outage');
-  assert.equal(worker.started.length, 1);
+  assert.ok(worker.isActive('wk-1/0'), 'the task survives the outage');
+  assert.equal(worker.executedStarts.length, 1);
 });
 
 test('a cancelled job is stopped even if its start order is still in flight', async () => {
@@ -461,7 +467,7 @@
   const worker = cluster.addWorker('c8', 'a');
   cluster.startNode('n0');
   await cluster.clock.advance(4000);
-  cluster.net.fate = (_f, _a, _m, path, body) =>
+  cluster.net.outcomeOf = (_f, _a, _m, path, body) =>
     path === '/do' && JSON.stringify(body).includes('"run"') && cluster.net.held.length === 0
       ? 'hold'
       : 'deliver';
@@ -472,7 +478,7 @@
   assert.equal(status(reply.body), 'aborted');
   await cluster.net.release();
   await cluster.clock.advance(8000);
-  assert.ok(!worker.on('wk-1/0'));
+  assert.ok(!worker.isActive('wk-1/0'));
   assert.equal(status((await cluster.call('n0', 'GET', '/api/jobs/wk-1')).body), 'aborted');
   assert.equal(status((await cluster.call('n0', 'POST', '/api/jobs', job('wk-1'))).body), 'aborted');
 });
@@ -494,7 +500,7 @@
   );
   const attempt = firstWorker.attempts[0]!.attempt;
   assert.equal(secondWorker.attempts[0]!.attempt, attempt);
-  firstWorker.end(firstWorker.attempts[0]!.task, 'error');
+  firstWorker.endTask(firstWorker.attempts[0]!.task, 'error');
   assert.ok(
     await cluster.clock.until(
       () => !secondWorker.attempts.some((p) => p.attempt === attempt && p.state !== 'exited'),
@@ -516,15 +522,18 @@
   assert.ok(await cluster.clock.until(() => machines.every((w) => w.attempts.length === 1), 15_000));
   // All 32 CPUs that the team may use are taken; then one machine is cut off and the controller restarts.
   const cutMachine = machines[0]!;
-  cluster.silent.add(cutMachine);
-  cluster.net.fate = (_f, addr) => (addr === cutMachine.place.addr ? 'silent' : 'deliver');
+  cluster.notReporting.add(cutMachine);
+  cluster.net.outcomeOf = (_f, addr) => (addr === cutMachine.identity.addr ? 'silent' : 'deliver');
   cluster.killNode('n0');
   const newWorker = cluster.addWorker('c8', 'a');
   cluster.startNode('n0');
   assert.ok(await cluster.submit('n0', job('wk-2', { cpus: 8 })));
   await cluster.clock.advance(10_000);
-  assert.equal(newWorker.started.length, 0, 'the unreachable machine’s task may still run');
-  assert.ok(await cluster.clock.until(() => newWorker.started.length === 1, 30_000), 'its lease has expired');
+  assert.equal(newWorker.executedStarts.length, 0, 'the unreachable machine’s task may still run');
+  assert.ok(
+    await cluster.clock.until(() => newWorker.executedStarts.length === 1, 30_000),
+    'its lease has expired',
+  );
 });
 
 test('unregistered machines are assigned, and an idle machine moves to the shard with waiting tasks', async () => {
@@ -545,8 +554,8 @@
   cluster.addWorker('g8', 'a');
   const worker = cluster.addWorker('c8', 'b');
   assert.ok(await started(cluster, 'wk-1/0', 30_000));
-  assert.ok(cluster.workers.some((x) => x.on('wk-1/0')));
-  assert.ok(worker.token > 0);
+  assert.ok(cluster.workers.some((x) => x.isActive('wk-1/0')));
+  assert.ok(worker.fencingToken > 0);
 });
 
 test('a machine is marked as leaving before its release, which is retried after a lost answer', async () => {
@@ -554,7 +563,7 @@
   const worker = cluster.addWorker('c8', 'a');
   cluster.startNode('n0');
   let releaseRequests = 0;
-  cluster.net.fate = (_f, _a, _m, path) => {
+  cluster.net.outcomeOf = (_f, _a, _m, path) => {
     if (path !== '/machines/release') return 'deliver';
     assert.equal((cluster.state.value(`c/m/${worker.id}`) as { state: string }).state, 'leaving');
     return releaseRequests++ === 0 ? 'hold' : 'deliver';
@@ -576,13 +585,14 @@
   const term = cluster.state.items.get('c/own/0')!.version;
   // The key-value store answers every node but n0, whose watches stay open without changes, so that its cache is
   // stale.
-  cluster.net.fate = (from, addr) => (from === 'n0' && addr.startsWith('10.2.0.1') ? 'silent' : 'deliver');
+  cluster.net.outcomeOf = (from, addr) =>
+    from === 'n0' && addr.startsWith('10.2.0.1') ? 'silent' : 'deliver';
   assert.ok(
     await cluster.clock.until(() => (cluster.state.items.get('c/own/0')?.version ?? term) > term, 20_000),
     'n1 takes the shard over',
   );
   let watching = true;
-  cluster.net.fate = (from, _addr, _method, path) =>
+  cluster.net.outcomeOf = (from, _addr, _method, path) =>
     from === 'n0' && watching && path.startsWith('/watch') ? 'silent' : 'deliver';
   await cluster.clock.until(() => owner.node.membership.holdsLease, 5000);
   for (let i = 0; i < 100; i++) {
@@ -599,7 +609,7 @@
     await cluster.clock.advance(30);
   }
   watching = false;
-  assert.equal(worker.started.length, 1);
+  assert.equal(worker.executedStarts.length, 1);
 });
 
 test('a shard that returns to the same process does not reuse the names of its rental requests', async () => {
@@ -609,9 +619,10 @@
   assert.ok(await cluster.submit('n0', job('wk-1', { pieces: 3 })));
   await cluster.clock.advance(5000);
   // Only n0 loses the key-value store: its shard moves to n1, and back once n0 has recovered.
-  cluster.net.fate = (from, addr) => (from === 'n0' && addr.startsWith('10.2.0.1') ? 'silent' : 'deliver');
+  cluster.net.outcomeOf = (from, addr) =>
+    from === 'n0' && addr.startsWith('10.2.0.1') ? 'silent' : 'deliver';
   await cluster.clock.advance(15_000);
-  cluster.net.fate = () => 'deliver';
+  cluster.net.outcomeOf = () => 'deliver';
   await cluster.clock.advance(60_000);
   assert.equal(cluster.nodes.get('n1')!.node.membership.owner(0)?.node, 'n0');
   const bookings = cluster.rented.map((r) => r.request);
@@ -627,10 +638,10 @@
   assert.ok(await cluster.submit('n1', job('wk-1')));
   assert.ok(await started(cluster, 'wk-1/0'));
   assert.equal(cluster.nodes.get('n0')!.node.membership.owner(0)?.node, 'n0');
-  cluster.nodes.get('n1')!.cut = true;
+  cluster.nodes.get('n1')!.disconnected = true;
   assert.equal(status((await cluster.call('n1', 'GET', '/api/jobs/wk-1')).body), 'queued');
   assert.equal((await cluster.call('n1', 'POST', '/api/jobs', job('wk-1'))).status, 200);
-  worker.end('wk-1/0', 'done');
+  worker.endTask('wk-1/0', 'done');
   await cluster.clock.until(() => worker.attempts.length === 0, 5000);
   assert.equal(status((await cluster.call('n1', 'GET', '/api/jobs/wk-1')).body), 'done');
 });
@@ -645,16 +656,17 @@
   assert.ok(await cluster.submit('n0', job('wk-1', { pieces: 2 })));
   assert.ok(await started(cluster, 'wk-1/0'));
   assert.equal(cluster.nodes.get('n0')!.node.membership.owner(0)?.node, 'n0');
-  cluster.net.fate = (from, addr) => (from === 'n0' && addr.startsWith('10.2.0.1') ? 'refuse' : 'deliver');
-  worker.end('wk-1/0', 'done');
+  cluster.net.outcomeOf = (from, addr) =>
+    from === 'n0' && addr.startsWith('10.2.0.1') ? 'refuse' : 'deliver';
+  worker.endTask('wk-1/0', 'done');
   assert.ok(
     await cluster.clock.until(() => cluster.nodes.get('n1')!.node.membership.owner(0)?.node === 'n1', 20_000),
   );
   await cluster.clock.advance(5000);
-  cluster.net.fate = () => 'deliver';
+  cluster.net.outcomeOf = () => 'deliver';
   await cluster.clock.advance(5000);
   assert.equal((await cluster.call('n0', 'GET', '/healthz')).status, 200);
-  worker.end('wk-1/1', 'done');
+  worker.endTask('wk-1/1', 'done');
   assert.ok(
     await cluster.clock.until(() => worker.attempts.length === 0, 10_000),
     'the next owner stores them',
@@ -671,7 +683,7 @@
   cluster.startNode('n1');
   assert.ok(await cluster.submit('n1', job('wk-1')));
   assert.equal(cluster.nodes.get('n0')!.node.membership.owner(0)?.node, 'n0');
-  cluster.nodes.get('n1')!.cut = true;
+  cluster.nodes.get('n1')!.disconnected = true;
   assert.equal((await cluster.call('n1', 'POST', '/api/jobs', job('wk-2', { dueS: 900 }))).status, 201);
   assert.equal((await cluster.call('n1', 'POST', '/api/jobs', job('wk-2', { dueS: 900 }))).status, 200);
   assert.ok(await started(cluster, 'wk-2/0'));
@@ -681,11 +693,11 @@
   const storedRequestKeys = () => [...cluster.state.items.keys()].filter((k) => k.startsWith('c/mail/'));
   assert.deepEqual(storedRequestKeys(), [], 'stored requests are deleted');
   // A stored request that the network delivers late is not executed, and is deleted in the end.
-  cluster.net.fate = (_f, _a, _m, path, body) =>
+  cluster.net.outcomeOf = (_f, _a, _m, path, body) =>
     path === '/txn' && JSON.stringify(body).includes('"op":"submit"') ? 'hold' : 'deliver';
   assert.equal((await cluster.call('n1', 'POST', '/api/jobs', job('wk-3', { dueS: 900 }))).status, 503);
   await cluster.clock.advance(10_000);
-  cluster.net.fate = () => 'deliver';
+  cluster.net.outcomeOf = () => 'deliver';
   await cluster.net.release();
   await cluster.clock.advance(2000);
   assert.equal((await cluster.call('n0', 'GET', '/api/jobs/wk-3')).status, 404);
@@ -706,16 +718,16 @@
     cluster.call(other, 'POST', '/api/jobs', job(id, { cpus: 1, ...change }));
   // Only this node cannot reach the owner, and its stored requests are lost: the owner learns of the job once this
   // node reaches it again.
-  cluster.nodes.get(other)!.cut = true;
-  cluster.net.fate = (_f, _a, _m, path, body) =>
+  cluster.nodes.get(other)!.disconnected = true;
+  cluster.net.outcomeOf = (_f, _a, _m, path, body) =>
     path === '/txn' && JSON.stringify(body).includes('"set":"c/mail') ? 'refuse' : 'deliver';
   assert.equal((await submit('wk-2')).status, 201);
   assert.equal((await submit('wk-2')).status, 200);
   await cluster.clock.advance(3000);
   assert.equal(await started(cluster, 'wk-2/0', 0), false);
-  cluster.nodes.get(other)!.cut = false;
+  cluster.nodes.get(other)!.disconnected = false;
   assert.ok(await started(cluster, 'wk-2/0', 4000));
-  cluster.net.fate = () => 'deliver';
+  cluster.net.outcomeOf = () => 'deliver';
   // The owner is dead, and the next owner finds the job.
   cluster.killNode(owner);
   assert.equal((await submit('wk-3')).status, 201);
@@ -728,11 +740,13 @@
   assert.equal((await submit('wk-5', { waitsOn: ['wk-99'] })).status, 422);
   assert.equal((await submit('wk-5', { waitsOn: ['wk-3'] })).status, 201);
   assert.ok(await started(cluster, 'wk-3/0', 40_000));
-  assert.equal(cluster.workers[0]!.started.includes('wk-5/0'), false);
-  cluster.workers[0]!.end('wk-3/0', 'done');
+  assert.equal(cluster.workers[0]!.executedStarts.includes('wk-5/0'), false);
+  cluster.workers[0]!.endTask('wk-3/0', 'done');
   assert.ok(await started(cluster, 'wk-5/0', 5000));
   assert.deepEqual(
-    ['wk-2/0', 'wk-3/0', 'wk-5/0'].map((p) => cluster.workers[0]!.started.filter((x) => x === p).length),
+    ['wk-2/0', 'wk-3/0', 'wk-5/0'].map(
+      (p) => cluster.workers[0]!.executedStarts.filter((x) => x === p).length,
+    ),
     [1, 1, 1],
   );
 });
@@ -741,14 +755,14 @@
 // then 3.9).
 test('keeps only cheap machines idle for a class of small tasks with a short wait objective', async () => {
   const cluster = new FakeCluster(['n0']);
-  cluster.cardPrice = 2;
+  cluster.gpuPrice = 2;
   cluster.objectives = [{ kind: 'wait', class: 'train', withinS: 10, share: 0.99 }];
   const cheap = cluster.addWorker('c8', 'a');
   const expensive = cluster.addWorker('g8', 'a');
   cluster.startNode('n0');
   assert.ok(await cluster.submit('n0', job('wk-1', { cpus: 1, memoryGb: 1 })));
   assert.ok(await started(cluster, 'wk-1/0'));
-  cheap.end('wk-1/0', 'done');
+  cheap.endTask('wk-1/0', 'done');
   assert.ok(await cluster.clock.until(() => cluster.released.includes(expensive.id), 40_000));
   await cluster.clock.advance(60_000);
   assert.equal(cluster.released.includes(cheap.id), false);
@@ -756,7 +770,7 @@
   const second = cluster.addWorker('g8', 'a');
   assert.ok(await cluster.submit('n0', job('wk-2')));
   assert.ok(await started(cluster, 'wk-2/0'));
-  cheap.end('wk-2/0', 'done');
+  cheap.endTask('wk-2/0', 'done');
   await cluster.clock.advance(90_000);
   assert.equal(cluster.released.includes(second.id), false);
 });
@@ -780,7 +794,7 @@
 
 test('a rented machine stays in the plan while it boots, and is released when it fails to boot', async () => {
   const cluster = new FakeCluster(['n0']);
-  cluster.capacity = true;
+  cluster.cloudHasCapacity = true;
   cluster.startNode('n0');
   assert.ok(await cluster.submit('n0', job('wk-1', { cpus: 8 })));
   await cluster.clock.advance(60_000);
@@ -788,38 +802,38 @@
   const first = cluster.workers[0]!;
   assert.ok(await cluster.clock.until(() => cluster.released.includes(first.id), 40_000));
   assert.ok(await cluster.clock.until(() => cluster.rented.length === 2, 5000));
-  cluster.silent.clear();
+  cluster.notReporting.clear();
   assert.ok(await started(cluster, 'wk-1/0'));
 });
 
 test('a machine that is still booting after a change of owner is not considered lost', async () => {
   const cluster = new FakeCluster(['n0']);
-  cluster.capacity = true;
+  cluster.cloudHasCapacity = true;
   cluster.startNode('n0');
   assert.ok(await cluster.submit('n0', job('wk-1', { cpus: 8 })));
   await cluster.clock.advance(3000);
   cluster.killNode('n0');
-  cluster.net.fate = (_f, addr) => (addr.startsWith('10.1.') ? 'silent' : 'deliver');
+  cluster.net.outcomeOf = (_f, addr) => (addr.startsWith('10.1.') ? 'silent' : 'deliver');
   cluster.startNode('n0');
   await cluster.clock.advance(30_000);
   assert.equal(cluster.rented.length, 1);
-  cluster.net.fate = () => 'deliver';
-  cluster.silent.clear();
+  cluster.net.outcomeOf = () => 'deliver';
+  cluster.notReporting.clear();
   assert.ok(await started(cluster, 'wk-1/0'));
 });
 
 test('idle time starts after booting, and a released machine still listed is not registered again', async () => {
   const cluster = new FakeCluster(['n0']);
   cluster.objectives = [];
-  cluster.capacity = true;
+  cluster.cloudHasCapacity = true;
   cluster.startNode('n0');
   assert.ok(await cluster.submit('n0', job('wk-1', { cpus: 8 })));
   await cluster.clock.advance(3000);
   const worker = cluster.workers[0]!;
   await cluster.call('n0', 'POST', '/api/jobs/wk-1/abort');
   await cluster.clock.advance(65_000);
-  cluster.silent.clear();
-  cluster.ghosts.push(worker);
+  cluster.notReporting.clear();
+  cluster.listedRemovedMachines.push(worker);
   await cluster.clock.advance(12_000);
   assert.deepEqual(cluster.released, [], 'running for only 12 s');
   assert.ok(await cluster.clock.until(() => cluster.released.includes(worker.id), 10_000));
@@ -831,7 +845,7 @@
 
 test('sends an unavailable cloud one rental request at a time, and rents once it recovers', async () => {
   const cluster = new FakeCluster(['n0']);
-  cluster.capacity = true;
+  cluster.cloudHasCapacity = true;
   cluster.startNode('n0');
   await cluster.clock.advance(3000);
   cluster.cloud.down = true;
--- a/tests/controller/peerhandlers.test.ts
+++ b/tests/controller/peerhandlers.test.ts
@@ -27,7 +27,7 @@
     onDependencyEnded: recorder('onDependencyEnded'),
     status: recorder('status'),
     list: recorder('list', []),
-    registry: { onHeartbeatElsewhere: recorder('onHeartbeatElsewhere') },
+    registry: { onRedirectedHeartbeat: recorder('onRedirectedHeartbeat') },
   } as unknown as Shard;
   const shards = new Map([[1, shard]]);
   const ownership = {
@@ -95,7 +95,7 @@
       null,
       [
         ['onRedirect', 'm-1', 'n2'],
-        ['onHeartbeatElsewhere', 'm-1'],
+        ['onRedirectedHeartbeat', 'm-1'],
       ],
     ],
     [
--- a/tests/controller/workerconnectivity.test.ts
+++ b/tests/controller/workerconnectivity.test.ts
@@ -47,7 +47,7 @@
   assert.ok(await cluster.clock.until(() => owner()?.node === 'n0', 15_000));
   await cluster.clock.advance(2000);
   let unanswered = 0;
-  cluster.net.fate = (from, _a, _m, path, body) =>
+  cluster.net.outcomeOf = (from, _a, _m, path, body) =>
     from === 'n0' && path === '/txn' && JSON.stringify(body).includes('"drop":"c/own/1"') && unanswered++ < 2
       ? 'silent'
       : 'deliver';
--- a/tests/controller/writes.test.ts
+++ b/tests/controller/writes.test.ts
@@ -4,29 +4,32 @@
 import { nodeLease } from '../../src/config/bounds.js';
 import { ClusterStateCache } from '../../src/controller/clusterstatecache.js';
 import type { Change } from '../../src/wire/state.js';
-import { busy, NODES } from '../support/busy.js';
+import { NODES, startBusyCluster } from '../support/busy.js';
 import { FakeClock } from '../support/clock.js';
 import { FakeCluster, STATE } from '../support/cluster.js';
 
 // Guards against a request that is forwarded forever between two nodes that have each handed the shard to the other.
 test('a request is forwarded at most once', async () => {
-  const { c, k } = await busy(1);
-  const owner = c.owner(k)!;
+  const { cluster, shard } = await startBusyCluster(1);
+  const owner = cluster.owner(shard)!;
   const [firstNode, secondNode] = NODES.filter((n) => n !== owner) as [string, string];
-  const term = c.state.items.get(`c/own/${k}`)!.version;
+  const term = cluster.state.items.get(`c/own/${shard}`)!.version;
   for (const [at, to] of [
     [firstNode, secondNode],
     [secondNode, firstNode],
   ] as const) {
-    const { membership: members } = c.nodes.get(at)!.node;
-    members.setSuccessor(k, members.presenceOf(to), term);
+    const { membership: members } = cluster.nodes.get(at)!.node;
+    members.setSuccessor(shard, members.presenceOf(to), term);
   }
-  c.sent.length = 0;
-  const before = c.clock.now();
-  const reply = await c.call(firstNode, 'GET', '/api/jobs/wk-1');
+  cluster.sentMessages.length = 0;
+  const before = cluster.clock.now();
+  const reply = await cluster.call(firstNode, 'GET', '/api/jobs/wk-1');
   assert.ok(reply.status === 200 || reply.status === 503);
-  assert.ok(c.clock.now() - before < 2000);
-  assert.ok(c.sent.filter((m) => m.op === 'status').length <= 2, 'sent once and forwarded once');
+  assert.ok(cluster.clock.now() - before < 2000);
+  assert.ok(
+    cluster.sentMessages.filter((m) => m.op === 'status').length <= 2,
+    'sent once and forwarded once',
+  );
 });
 
 // Guards against a node that is absent permanently: a late duplicate of its presence write, under a lease that the
@@ -35,7 +38,7 @@
 test('late writes of a node’s presence or cordoned state do not override newer ones', async () => {
   const cluster = new FakeCluster(NODES);
   let presenceWrites = 0;
-  cluster.net.fate = (from, addr, _method, path, body) =>
+  cluster.net.outcomeOf = (from, addr, _method, path, body) =>
     from === 'n0' &&
     addr === STATE &&
     path === '/txn' &&
@@ -60,21 +63,21 @@
   await cluster.clock.advance(12_000);
   assert.equal(presence()?.aside ?? false, false);
   // A state that could not be written is written with a later renewal.
-  cluster.net.fate = (from, addr, _method, path) =>
+  cluster.net.outcomeOf = (from, addr, _method, path) =>
     from === 'n0' && addr === STATE && path === '/txn' ? 'refuse' : 'deliver';
   void members.publishCordoned(true).catch(() => undefined);
   await cluster.clock.advance(1000);
-  cluster.net.fate = () => 'deliver';
+  cluster.net.outcomeOf = () => 'deliver';
   await cluster.clock.advance(5000);
   assert.equal(presence()?.aside, true);
 });
 
 // Guards against a chunk of done tasks that a late write leaves behind permanently after its job has ended.
 test('a late write of done tasks has no effect after its job has ended', async () => {
-  const { c, k } = await busy(1);
-  const owner = c.owner(k)!;
+  const { cluster, shard } = await startBusyCluster(1);
+  const owner = cluster.owner(shard)!;
   let doneTaskWrites = 0;
-  c.net.fate = (from, addr, _method, path, body) =>
+  cluster.net.outcomeOf = (from, addr, _method, path, body) =>
     from === owner &&
     addr === STATE &&
     path === '/txn' &&
@@ -82,13 +85,13 @@
     doneTaskWrites++ === 0
       ? 11_000
       : 'deliver';
-  c.workers.find((w) => w.on('wk-1/0'))!.end('wk-1/0', 'done');
-  await c.clock.advance(2500);
+  cluster.workers.find((w) => w.isActive('wk-1/0'))!.endTask('wk-1/0', 'done');
+  await cluster.clock.advance(2500);
   assert.equal(doneTaskWrites, 1);
-  assert.equal((await c.call(owner, 'POST', '/api/jobs/wk-1/abort')).status, 200);
-  await c.clock.advance(15_000);
+  assert.equal((await cluster.call(owner, 'POST', '/api/jobs/wk-1/abort')).status, 200);
+  await cluster.clock.advance(15_000);
   assert.deepEqual(
-    [...c.state.items.keys()].filter((key) => key.startsWith('act/')),
+    [...cluster.state.items.keys()].filter((key) => key.startsWith('act/')),
     [],
   );
 });
--- a/tests/emulator/emulator.test.ts
+++ b/tests/emulator/emulator.test.ts
@@ -76,9 +76,9 @@
   emulated.order(0, 'run', 'wk-2/0', 1);
   await emulated.clock.advance(100_000);
   assert.equal(emulated.state(0, 'wk-2/0'), 'running', 'a service has no end');
-  emulated.workers[0]!.die();
+  emulated.workers[0]!.killTasks();
   assert.equal(emulated.tasks.history.at(-1)?.cause, 'lost');
-  assert.equal(emulated.tasks.twice, 0);
+  assert.equal(emulated.tasks.duplicateCompletions, 0);
 });
 
 test('emulated gangs start together, fail with any member, and save only when all members are notified in time', async () => {
@@ -95,7 +95,7 @@
   start(2);
   await emulated.clock.advance(20_000);
   assert.deepEqual(states(), ['running', 'running', 'running']);
-  emulated.workers[2]!.die();
+  emulated.workers[2]!.killTasks();
   await emulated.clock.advance(5100);
   assert.deepEqual(states().slice(0, 2), ['exited peers', 'exited peers']);
   start(3);
@@ -167,7 +167,7 @@
   for (let i = 0; i < 12_000; i++) void put(i);
   const response = await state.serve('GET', '/watch?under=k/&since=5&waitMs=10', null);
   assert.equal(response.status, 410);
-  state.refusing.add('n0');
+  state.refusedCallers.add('n0');
   assert.equal((await state.serve('GET', '/keys/k/1', null, 'n0')).status, 503);
   assert.equal((await state.serve('GET', '/keys/k/1', null, 'n1')).status, 200);
   state.limits.requestsPerSecond = 5;
@@ -235,7 +235,7 @@
   assert.deepEqual(rules([], []), ['nothing_ran']);
   // The answer to a request sent before the end was reported may have crossed with that report; the answer to a
   // request sent after it must not be older.
-  const requestedAfter = (e: UserEvent, asked: number): UserEvent => ({ ...e, asked });
+  const requestedAfter = (e: UserEvent, asked: number): UserEvent => ({ ...e, eventsBeforeRequest: asked });
   const end = told(9100, 'wk-a', 'done');
   assert.deepEqual(rules(clean, [end, requestedAfter(told(9101, 'wk-a', 'running'), 0)]), []);
   assert.deepEqual(rules(clean, [end, requestedAfter(told(9101, 'wk-a', 'running'), 1)]), ['went_back']);
@@ -320,14 +320,14 @@
   const state = new StateService(clock);
   await state.serve('POST', '/txn', { when: [], writes: [{ set: 'c/a', value: 1 }] });
   let response: { ledgerRev: number; events: { set: string }[] } | null = null;
-  state.refusing.add('n0');
+  state.refusedCallers.add('n0');
   void Promise.resolve(state.serve('GET', '/watch?under=c/&since=1&waitMs=3000', null, 'n0')).then((s) => {
     response = s.body as typeof response;
   });
   await state.serve('POST', '/txn', { when: [], writes: [{ set: 'c/b', value: 2 }] });
   await clock.advance(8000);
   assert.equal(response, null);
-  state.refusing.delete('n0');
+  state.refusedCallers.delete('n0');
   await state.serve('POST', '/txn', { when: [], writes: [{ set: 'd/x', value: 3 }] });
   await clock.advance(10);
   assert.deepEqual(
@@ -348,8 +348,8 @@
   await clock.advance(10);
   worker.serve('POST', '/do', { baton: 1, shift: 1, orders: [{ verb: 'run', piece: 'wk-1/0', try: 1 }] });
   await clock.advance(15_980);
-  assert.deepEqual([worker.attempts.length, worker.session], [1, 1]);
+  assert.deepEqual([worker.attempts.length, worker.incarnation], [1, 1]);
   await clock.advance(20);
-  assert.deepEqual([worker.attempts.length, worker.session], [0, 2]);
+  assert.deepEqual([worker.attempts.length, worker.incarnation], [0, 2]);
   reporter.stop();
 });
--- a/tests/faults/combinedfaults.test.ts
+++ b/tests/faults/combinedfaults.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { busy, NODES, running, status } from '../support/busy.js';
+import { countRunningAttempts, jobStatus, NODES, startBusyCluster } from '../support/busy.js';
 import { FakeCluster, job, STATE } from '../support/cluster.js';
-import { checkMeetings } from '../support/process.js';
+import { runFaultScenarios } from '../support/process.js';
 
 const CANCEL_MS = 45_000;
 const LEASE_MS = 20_000;
@@ -25,7 +25,15 @@
       '--trouble',
       fault,
     ]);
-    const { code, out } = await checkMeetings('--from', '40', '--seeds', '2', '--lose', key, ...faultArgs);
+    const { code, out } = await runFaultScenarios(
+      '--from',
+      '40',
+      '--seeds',
+      '2',
+      '--lose',
+      key,
+      ...faultArgs,
+    );
     const lost = Number(/(\d+) answers to writes/.exec(out)?.[1]);
     assert.ok(lost >= 2, `${lost} answers were lost`);
     assert.match(out, /2 meetings played, 0 with a broken rule/, out);
@@ -46,7 +54,7 @@
     });
     const limit = { red: 24, blue: 16 } as const;
     cluster.standby = true;
-    cluster.capacity = true;
+    cluster.cloudHasCapacity = true;
     for (let i = 0; i < 18; i++) cluster.addWorker('c8', 'a');
     for (const n of NODES) cluster.startNode(n);
     await cluster.clock.advance(8000);
@@ -59,14 +67,18 @@
     await cluster.clock.advance(4000);
     const shard = cluster.shardOf('wk-1');
     assert.equal(cluster.shardOf('wk-3'), shard, 'both teams share a shard');
-    assert.equal(running(cluster, 'wk-1') + running(cluster, 'wk-3'), 5, 'both teams run at their limits');
+    assert.equal(
+      countRunningAttempts(cluster, 'wk-1') + countRunningAttempts(cluster, 'wk-3'),
+      5,
+      'both teams run at their limits',
+    );
     const unreachable = cluster.workers.filter((w) => w.attempts.length > 0);
-    const addrs = new Set(unreachable.map((w) => w.place.addr));
-    for (const w of unreachable) cluster.silent.add(w);
+    const addrs = new Set(unreachable.map((w) => w.identity.addr));
+    for (const w of unreachable) cluster.notReporting.add(w);
     const hungAt = cluster.clock.now();
     // A hung machine handles the requests sent to it when it resumes.
     const hungMs = 15_000;
-    cluster.net.fate = (_from, addr) => {
+    cluster.net.outcomeOf = (_from, addr) => {
       if (!addrs.has(addr)) return 'deliver';
       return failure === 'cut off' ? 'silent' : Math.max(0, hungAt + hungMs - cluster.clock.now()) + 50;
     };
@@ -89,24 +101,32 @@
     for (let ms = 0; ms < CANCEL_MS + 5000; ms += 250) {
       await cluster.clock.advance(250);
       // Idle machines of other shards are released during this time; machines that are rented boot at once.
-      for (const w of cluster.workers) if (!all.includes(w)) cluster.silent.delete(w);
+      for (const w of cluster.workers) if (!all.includes(w)) cluster.notReporting.delete(w);
       for (const team of ['red', 'blue'] as const)
         assert.ok(used(team) <= limit[team], `${team} uses ${used(team)} after ${ms} ms`);
-      if (startedAt === null && running(cluster, 'wk-2') === 3 && running(cluster, 'wk-4') === 2)
+      if (
+        startedAt === null &&
+        countRunningAttempts(cluster, 'wk-2') === 3 &&
+        countRunningAttempts(cluster, 'wk-4') === 2
+      )
         startedAt = cluster.clock.now();
       if (failure === 'hung' && !resumed && cluster.clock.now() > hungAt + hungMs) {
         resumed = true;
-        for (const w of unreachable) cluster.silent.delete(w);
-        cluster.net.fate = () => 'deliver';
+        for (const w of unreachable) cluster.notReporting.delete(w);
+        cluster.net.outcomeOf = () => 'deliver';
       }
     }
-    assert.equal(running(cluster, 'wk-1') + running(cluster, 'wk-3'), 0, 'cancelled tasks are gone in time');
+    assert.equal(
+      countRunningAttempts(cluster, 'wk-1') + countRunningAttempts(cluster, 'wk-3'),
+      0,
+      'cancelled tasks are gone in time',
+    );
     // The bound covers a failover, the remaining lease time after it, and the rental of machines.
     assert.ok(startedAt !== null, 'the other jobs start');
     assert.ok(startedAt - confirmedMs < LEASE_MS + 9000, `started after ${startedAt - confirmedMs} ms`);
     for (const n of NODES.filter((x) => x !== oldOwner)) {
-      assert.equal(await status(cluster, n, 'wk-1'), 'aborted');
-      assert.equal(await status(cluster, n, 'wk-2'), 'running');
+      assert.equal(await jobStatus(cluster, n, 'wk-1'), 'aborted');
+      assert.equal(await jobStatus(cluster, n, 'wk-2'), 'running');
     }
   });
 }
@@ -115,7 +135,7 @@
 // have stored it, confirmed by the new owner, and then not enforced by either one on the job's tasks.
 for (const change of ['switch', 'crash', 'cut from state'] as const) {
   test(`cancellations around a ${change} of the owner are each confirmed and never revoked`, async () => {
-    const { c: cluster, k: shard } = await busy(8);
+    const { cluster, shard } = await startBusyCluster(8);
     const oldOwner = cluster.owner(shard)!;
     const changeAt = cluster.clock.now() + 300;
     const confirmedAt = new Map<string, number>();
@@ -143,17 +163,17 @@
     await cluster.clock.advance(300);
     if (change === 'crash') cluster.killNode(oldOwner);
     else if (change === 'switch') void cluster.nodes.get(oldOwner)!.node.leave();
-    else cluster.state.refusing.add(oldOwner);
+    else cluster.state.refusedCallers.add(oldOwner);
     const askedNodes = NODES.filter((n) => change !== 'crash' || n !== oldOwner);
     for (let i = 0; i < 60; i++) {
       for (const id of [...confirmedAt.keys()]) {
-        const answer = await status(cluster, askedNodes[i % askedNodes.length]!, id);
+        const answer = await jobStatus(cluster, askedNodes[i % askedNodes.length]!, id);
         assert.ok(
           answer === 'aborted' || answer === 503 || answer === 504,
           `${id} was cancelled and is ${answer}`,
         );
       }
-      if (i === 30) cluster.state.refusing.delete(oldOwner);
+      if (i === 30) cluster.state.refusedCallers.delete(oldOwner);
       await cluster.clock.advance(250);
     }
     assert.equal(confirmedAt.size, 7, 'all cancellations are confirmed');
@@ -161,9 +181,9 @@
     await cluster.clock.advance(
       Math.max(0, Math.max(...confirmedAt.values()) + CANCEL_MS - cluster.clock.now()),
     );
-    for (let i = 1; i <= 7; i++) assert.equal(running(cluster, `wk-${i}`), 0, `wk-${i} is gone`);
-    assert.equal(running(cluster, 'wk-8'), 3, 'the job that was not cancelled still runs');
-    const startsOfLast = cluster.workers.flatMap((w) => w.started).filter((t) => t.startsWith('wk-8'));
+    for (let i = 1; i <= 7; i++) assert.equal(countRunningAttempts(cluster, `wk-${i}`), 0, `wk-${i} is gone`);
+    assert.equal(countRunningAttempts(cluster, 'wk-8'), 3, 'the job that was not cancelled still runs');
+    const startsOfLast = cluster.workers.flatMap((w) => w.executedStarts).filter((t) => t.startsWith('wk-8'));
     assert.equal(startsOfLast.length, 3, 'and its tasks were started once');
   });
 }
@@ -176,11 +196,11 @@
     const cluster = new FakeCluster(NODES);
     cluster.teams = [{ name: 'red', cpus: 64, cpusMax: 0, gpus: 0, gpusMax: 0 }];
     cluster.standby = true;
-    cluster.capacity = true;
+    cluster.cloudHasCapacity = true;
     for (const n of NODES) cluster.startNode(n);
     await cluster.clock.advance(8000);
     let affectedWrites = 0;
-    cluster.net.fate = (_from, addr, _method, path, body) => {
+    cluster.net.outcomeOf = (_from, addr, _method, path, body) => {
       if (addr !== STATE || path !== '/txn') return 'deliver';
       const { writes } = body as { writes: { set?: string }[] };
       return writes.some((w) => w.set?.startsWith('c/m/')) && affectedWrites++ < 2 ? fate : 'deliver';
@@ -191,7 +211,7 @@
     const shard = cluster.shardOf('wk-1');
     // All rented machines boot within two seconds.
     const bootAll = () => {
-      for (const w of cluster.workers) cluster.silent.delete(w);
+      for (const w of cluster.workers) cluster.notReporting.delete(w);
       cluster.clock.after(1500, bootAll);
     };
     cluster.clock.after(1500, bootAll);
@@ -201,10 +221,10 @@
     cluster.killNode(oldOwner);
     await cluster.clock.advance(6000);
     cluster.startNode(oldOwner);
-    await cluster.clock.until(() => running(cluster, 'wk-1') === 3, 40_000);
+    await cluster.clock.until(() => countRunningAttempts(cluster, 'wk-1') === 3, 40_000);
     await cluster.clock.advance(LEASE_MS);
-    assert.equal(running(cluster, 'wk-1'), 3);
-    const started = cluster.workers.flatMap((w) => w.started);
+    assert.equal(countRunningAttempts(cluster, 'wk-1'), 3);
+    const started = cluster.workers.flatMap((w) => w.executedStarts);
     assert.equal(started.length, new Set(started).size, `no task was started twice: ${started}`);
     const rented = cluster.rented.reduce((n, r) => n + r.count, 0);
     assert.ok(rented <= 6, `${rented} machines were rented for three tasks`);
@@ -219,7 +239,7 @@
 // Guards against stale heartbeats that give a new owner outdated state: of an earlier worker session, of a machine
 // that has been released or has crashed, or of tasks that have ended since.
 test('stale heartbeats that reach every controller during a failover change nothing', async () => {
-  const { c: cluster, k: shard } = await busy(3);
+  const { cluster, shard } = await startBusyCluster(3);
   const heartbeats: object[] = [];
   cluster.onHeartbeat = (r) => void heartbeats.push(JSON.parse(JSON.stringify(r)));
   await cluster.clock.advance(4000);
@@ -229,12 +249,12 @@
     (typeof cluster.workers)[0],
   ];
   const task = ended.attempts[0]!.task;
-  ended.end(task, 'done');
+  ended.endTask(task, 'done');
   await cluster.clock.advance(3000);
   // Ends the session of one machine by expiry of its lease, and removes another machine.
-  cluster.silent.add(silent);
+  cluster.notReporting.add(silent);
   await cluster.clock.advance(LEASE_MS + 3000);
-  cluster.silent.delete(silent);
+  cluster.notReporting.delete(silent);
   cluster.remove(removed);
   await cluster.clock.advance(LEASE_MS + 4000);
   const before = new Map(
@@ -276,7 +296,7 @@
     false,
   );
   for (const id of ['wk-1', 'wk-2', 'wk-3']) {
-    const answer = await status(cluster, NODES.find((n) => n !== oldOwner)!, id);
+    const answer = await jobStatus(cluster, NODES.find((n) => n !== oldOwner)!, id);
     assert.equal(answer, 'running');
   }
 });
--- a/tests/faults/controllerrestarts.test.ts
+++ b/tests/faults/controllerrestarts.test.ts
@@ -18,7 +18,7 @@
   return cluster;
 }
 
-const sessions = (cluster: FakeCluster) => new Set(cluster.workers.map((w) => w.session));
+const sessions = (cluster: FakeCluster) => new Set(cluster.workers.map((w) => w.incarnation));
 
 // Guards against an owner that keeps scheduling, or keeps its machines, when it can reach only the workers.
 test('an owner that reaches only its workers is replaced without lost machines, and starts nothing twice after it is back', async () => {
@@ -26,7 +26,7 @@
   const shard = cluster.shardOf('wk-1');
   const oldOwner = cluster.owner(shard)!;
   const setPartitioned = (attemptCounts: boolean) => {
-    cluster.net.fate = (from, addr) =>
+    cluster.net.outcomeOf = (from, addr) =>
       attemptCounts && from === oldOwner && addr.startsWith(STATE) ? 'silent' : 'deliver';
     cluster.isolatedNodes = attemptCounts ? new Set([oldOwner]) : new Set();
   };
@@ -40,8 +40,8 @@
   );
   // After the failover the old owner accepts no heartbeat with status 200, so that the machines find the new owner.
   const orders: string[] = [];
-  const fate = cluster.net.fate;
-  cluster.net.fate = (from, addr, method, path, body) => {
+  const fate = cluster.net.outcomeOf;
+  cluster.net.outcomeOf = (from, addr, method, path, body) => {
     if (from === oldOwner && path === '/do') orders.push(addr);
     return fate(from, addr, method, path, body);
   };
@@ -49,7 +49,7 @@
   assert.deepEqual(orders, [], 'the old owner sends no commands');
   assert.deepEqual(sessions(cluster), new Set([1]), 'no machine has lost its lease');
   assert.ok(await cluster.submit(NODES.find((n) => n !== oldOwner)!, job('wk-2', { cpus: 8, dueS: 900 })));
-  assert.ok(await cluster.clock.until(() => cluster.workers.some((w) => w.on('wk-2/0')), 10_000));
+  assert.ok(await cluster.clock.until(() => cluster.workers.some((w) => w.isActive('wk-2/0')), 10_000));
   setPartitioned(false);
   await cluster.clock.advance(40_000);
   assert.deepEqual(sessions(cluster), new Set([1]));
@@ -71,7 +71,7 @@
       () => [0, 1, 2].some((k) => cluster.state.value(`c/stand/${k}`) === undefined),
     ],
     ['an election', () => cluster.state.value('c/lead') === undefined],
-    ['a handover', () => cluster.sent.at(-1)?.op === 'assume'],
+    ['a handover', () => cluster.sentMessages.at(-1)?.op === 'assume'],
   ];
   for (const [moment, isReached] of moments)
     for (const victim of NODES) {
@@ -122,8 +122,8 @@
   const oldOwner = cluster.owner(shard)!;
   const resume = cluster.freeze(oldOwner);
   const acceptor = NODES.find((n) => n !== oldOwner)!;
-  cluster.lostMessages.add('status');
-  cluster.lostMessages.add('submit');
+  cluster.lostOperations.add('status');
+  cluster.lostOperations.add('submit');
   await submit(acceptor, 'wk-2');
   cluster.killNode(acceptor);
   resume();
@@ -135,7 +135,7 @@
   await cluster.clock.advance(50);
   for (const n of NODES) cluster.killNode(n);
   cluster.lostAnswers.clear();
-  cluster.lostMessages.clear();
+  cluster.lostOperations.clear();
   await cluster.clock.advance(300);
   for (const n of NODES) cluster.startNode(n);
   await cluster.clock.advance(5000);
@@ -149,7 +149,7 @@
   await cluster.clock.advance(300);
   for (const n of NODES) cluster.startNode(n);
   await cluster.clock.advance(12_000);
-  cluster.state.restore();
+  cluster.state.endOutage();
   cluster.stateRates = { rps: 20, writeRps: 10 };
   assert.ok(ids.length >= 3, `${ids.length} accepted`);
   const answeredAt = new Map(ids.map((id) => [id, cluster.clock.now()]));
--- a/tests/faults/deafworkers.test.ts
+++ b/tests/faults/deafworkers.test.ts
@@ -34,7 +34,8 @@
     const placements = new Map<string, number>();
     for (const w of cluster.workers)
       for (const a of w.attempts)
-        if (a.state !== 'exited' && w.on(a.task)) placements.set(a.task, (placements.get(a.task) ?? 0) + 1);
+        if (a.state !== 'exited' && w.isActive(a.task))
+          placements.set(a.task, (placements.get(a.task) ?? 0) + 1);
     for (const [task, n] of placements) assert.equal(n, 1, `${task} is on ${n} machines`);
     cluster.clock.after(200, check);
   };
@@ -66,10 +67,10 @@
     );
     const spare = cluster.addWorker('c8', 'a');
     assert.ok(
-      await cluster.clock.until(() => spare.on(task), (2 * LEASE_S + 25) * 1000),
+      await cluster.clock.until(() => spare.isActive(task), (2 * LEASE_S + 25) * 1000),
       `${task} runs on another machine (standby ${standby})`,
     );
-    assert.equal(worker.started.length, 1, 'nothing more was started on the unreachable machine');
+    assert.equal(worker.executedStarts.length, 1, 'nothing more was started on the unreachable machine');
     stopCheck();
   }
 });
@@ -79,31 +80,31 @@
   const stopCheck = checkSinglePlacement(cluster);
   const [worker] = cluster.workers as [Worker, Worker, Worker];
   const ownersBefore = owners(cluster);
-  worker.end(worker.attempts[0]!.task, 'done');
+  worker.endTask(worker.attempts[0]!.task, 'done');
   await cluster.clock.advance(4000);
   cluster.inboundBlocked.add(worker);
   await cluster.clock.advance(9000);
   // The machine has sent heartbeats to other nodes by now, so nothing is planned or started on it.
   let orders = 0;
-  cluster.net.fate = (_f, addr, _m, path, body) => {
-    if (addr === worker.place.addr && path === '/do' && JSON.stringify(body).includes('"run"')) orders++;
+  cluster.net.outcomeOf = (_f, addr, _m, path, body) => {
+    if (addr === worker.identity.addr && path === '/do' && JSON.stringify(body).includes('"run"')) orders++;
     return 'deliver';
   };
   const spare = cluster.addWorker('c8', 'a');
   for (let i = 2; i < 5; i++) {
     assert.ok(await cluster.submit('n0', job(`wk-${i}`, { cpus: 8, expectedS: 20 })));
     assert.ok(
-      await cluster.clock.until(() => spare.on(`wk-${i}/0`), 12_000),
+      await cluster.clock.until(() => spare.isActive(`wk-${i}/0`), 12_000),
       `wk-${i} runs on the other machine`,
     );
-    spare.end(`wk-${i}/0`, 'done');
+    spare.endTask(`wk-${i}/0`, 'done');
     await cluster.clock.advance(3000);
   }
   assert.equal(orders, 0);
   assert.deepEqual(owners(cluster), ownersBefore, 'no shard is handed over because of the machine');
   cluster.inboundBlocked.delete(worker);
   await cluster.clock.advance(8000);
-  spare.end('wk-1/0', 'done');
+  spare.endTask('wk-1/0', 'done');
   assert.ok(await cluster.submit('n0', job('wk-9', { pieces: 2, cpus: 8 })));
   assert.ok(await cluster.clock.until(() => worker.attempts.some((a) => a.job === 'wk-9'), 20_000));
   stopCheck();
@@ -134,7 +135,7 @@
   cluster.inboundBlocked.clear();
   await cluster.clock.advance(10_000);
   assert.ok(await cluster.submit('n0', job('wk-2', { pieces: 2, cpus: 8 })));
-  assert.ok(await cluster.clock.until(() => cluster.workers.some((w) => w.on('wk-2/1')), 20_000));
+  assert.ok(await cluster.clock.until(() => cluster.workers.some((w) => w.isActive('wk-2/1')), 20_000));
   stopCheck();
 });
 
--- a/tests/faults/latemessages.test.ts
+++ b/tests/faults/latemessages.test.ts
@@ -22,7 +22,7 @@
   const report = worker.report();
   assert.ok(await cluster.clock.until(() => cluster.released.includes(worker.id), 120_000));
   await cluster.clock.advance(3000);
-  cluster.net.peers.delete(worker.place.addr);
+  cluster.net.peers.delete(worker.identity.addr);
   for (const restart of [false, true]) {
     if (restart) {
       for (const n of NODES) cluster.killNode(n);
@@ -41,14 +41,14 @@
   }
   // Another machine may have that address now, and gets at most one status request per duplicate.
   let asked = 0;
-  cluster.net.peers.set(worker.place.addr, () => ({
+  cluster.net.peers.set(worker.identity.addr, () => ({
     status: 200,
     body: { ...report, worker: `m-${++asked}` },
   }));
   deliverHeartbeat(cluster, 'n0', report);
   await cluster.clock.advance(10_000);
   assert.equal(asked, 1);
-  cluster.net.peers.delete(worker.place.addr);
+  cluster.net.peers.delete(worker.identity.addr);
   const real = cluster.addWorker('c8', 'a');
   assert.ok(await cluster.clock.until(() => cluster.state.value(`c/m/${real.id}`) !== undefined, 15_000));
 });
@@ -61,12 +61,12 @@
   cluster.startNode('n0');
   await cluster.clock.advance(6000);
   assert.ok(await cluster.submit('n0', job('wk-0', { cpus: 8 })));
-  assert.ok(await cluster.clock.until(() => [first, second].some((m) => m.on('wk-0/0')), 10_000));
+  assert.ok(await cluster.clock.until(() => [first, second].some((m) => m.isActive('wk-0/0')), 10_000));
   await cluster.clock.advance(2000);
-  const target = first.on('wk-0/0') ? second : first;
+  const target = first.isActive('wk-0/0') ? second : first;
   const heartbeatBefore = target.report();
   assert.ok(await cluster.submit('n0', job('wk-1', { cpus: 8, saveEveryS: 0 })));
-  assert.ok(await cluster.clock.until(() => target.on('wk-1/0'), 10_000));
+  assert.ok(await cluster.clock.until(() => target.isActive('wk-1/0'), 10_000));
   await cluster.clock.advance(2000);
   const spare = cluster.addWorker('c8', 'b');
   await cluster.clock.advance(5000);
@@ -76,16 +76,16 @@
     await cluster.clock.advance(300);
   }
   assert.deepEqual(
-    [target, spare].map((x) => x.started.length),
+    [target, spare].map((x) => x.executedStarts.length),
     [1, 0],
     'the task still runs on its machine',
   );
   // The machine's lease expires, and its task waits for free capacity.
   assert.ok(await cluster.submit('n0', job('wk-2', { cpus: 8, urgency: 'production' })));
-  assert.ok(await cluster.clock.until(() => spare.on('wk-2/0'), 10_000));
-  cluster.silent.add(target);
-  cluster.net.fate = (_from, addr) => (addr === target.place.addr ? 'refuse' : 'deliver');
-  target.lastSent = Number.NEGATIVE_INFINITY;
+  assert.ok(await cluster.clock.until(() => spare.isActive('wk-2/0'), 10_000));
+  cluster.notReporting.add(target);
+  cluster.net.outcomeOf = (_from, addr) => (addr === target.identity.addr ? 'refuse' : 'deliver');
+  target.lastHeartbeatSentAt = Number.NEGATIVE_INFINITY;
   target.checkLease();
   deliverHeartbeat(cluster, 'n0', target.report());
   await cluster.clock.advance(10);
@@ -147,7 +147,7 @@
         const a = worker.attempts.find((x) => x.state === 'running');
         if (a && random.next() < 0.08) {
           ended.add(a.task);
-          worker.end(a.task, 'done');
+          worker.endTask(a.task, 'done');
         }
       }
       if (round < 110 && random.next() < 0.06) {
@@ -158,7 +158,7 @@
       }
       if (round < 110 && random.next() < 0.04) {
         const reset = pick(cluster.workers);
-        reset.lastSent = Number.NEGATIVE_INFINITY;
+        reset.lastHeartbeatSentAt = Number.NEGATIVE_INFINITY;
         reset.checkLease();
       }
       await cluster.clock.advance(1000);
@@ -180,7 +180,7 @@
         for (const a of [...worker.attempts]) {
           if (a.state !== 'running') continue;
           ended.add(a.task);
-          worker.end(a.task, 'done');
+          worker.endTask(a.task, 'done');
         }
       await cluster.clock.advance(1000);
       for (const id of tasks.keys()) if (!reportedDone.has(id)) await checkJob(id);
--- a/tests/faults/randomfaults.test.ts
+++ b/tests/faults/randomfaults.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { checkMeetings } from '../support/process.js';
+import { runFaultScenarios } from '../support/process.js';
 
 // Random combinations of faults. `npm run check:meetings -- --seeds N` runs more of them, and `--seed S` a single
 // one. Each fault that a seed has found also has a small test of its own.
@@ -10,7 +10,7 @@
   [186, 3],
 ] as const) {
   test(`no rule is broken and all accepted jobs end in ${seeds} random fault scenarios from seed ${from}`, async () => {
-    const { code, out } = await checkMeetings('--from', `${from}`, '--seeds', `${seeds}`);
+    const { code, out } = await runFaultScenarios('--from', `${from}`, '--seeds', `${seeds}`);
     assert.match(out, new RegExp(`${seeds} meetings played, 0 with a broken rule`), out);
     assert.equal(code, 0);
   });
@@ -27,7 +27,7 @@
     ['--trouble', 'crash@1+1*2'],
     ['--lose', ''],
   ]) {
-    const { code, err } = await checkMeetings(...args);
+    const { code, err } = await runFaultScenarios(...args);
     assert.equal(code, 2, args.join(' '));
     assert.match(err, /^check:meetings: .+\nusage: /);
   }
--- a/tests/faults/takeover.test.ts
+++ b/tests/faults/takeover.test.ts
@@ -17,7 +17,7 @@
   );
   const owner = (k: number) => (cluster.state.value(`c/own/${k}`) as { node: string } | undefined)?.node;
   const isolated = ['n0', 'n1'];
-  cluster.net.fate = (from, addr) =>
+  cluster.net.outcomeOf = (from, addr) =>
     addr.startsWith('10.2.0.1') && isolated.includes(from) ? 'silent' : 'deliver';
   assert.ok(
     await cluster.clock.until(() => [0, 1, 2].every((k) => owner(k) === 'n2'), 30_000),
@@ -26,18 +26,18 @@
   // Waits slightly longer than a lease after the failover.
   await cluster.clock.advance(26_000);
   assert.deepEqual(
-    machines.map((w) => w.session),
+    machines.map((w) => w.incarnation),
     machines.map(() => 1),
     'no machine has lost its lease',
   );
   assert.equal(machines.filter((w) => w.attempts.length > 0).length, 4);
   assert.equal(
-    machines.reduce((n, w) => n + w.started.length, 0),
+    machines.reduce((n, w) => n + w.executedStarts.length, 0),
     4,
     'nothing was started again',
   );
-  cluster.net.fate = () => 'deliver';
+  cluster.net.outcomeOf = () => 'deliver';
   await cluster.clock.advance(40_000);
   assert.deepEqual(new Set([0, 1, 2].map(owner)), new Set(['n0', 'n1', 'n2']));
-  assert.ok(machines.every((w) => w.session === 1));
+  assert.ok(machines.every((w) => w.incarnation === 1));
 });
--- a/tests/faults/zonecut.test.ts
+++ b/tests/faults/zonecut.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { checkMeetings } from '../support/process.js';
+import { runFaultScenarios } from '../support/process.js';
 
 // Combinations of faults that operators have reported, while users submit and cancel jobs and poll all nodes
 // closely. The lease of a worker is 20 s here, and a cancellation may take 45 s. docs/meetings.md lists the
@@ -66,7 +66,7 @@
 ] as const) {
   test(scenario, async () => {
     const args = faults.flatMap((fault) => ['--trouble', fault]);
-    const { code, out } = await checkMeetings('--from', '500', '--seeds', '3', ...args);
+    const { code, out } = await runFaultScenarios('--from', '500', '--seeds', '3', ...args);
     assert.match(out, /3 meetings played, 0 with a broken rule/, out);
     assert.equal(code, 0);
   });
--- a/tests/http/server.test.ts
+++ b/tests/http/server.test.ts
@@ -9,9 +9,9 @@
 const createServer = (clock: FakeClock, handler: Handler, change: Partial<ServerOptions> = {}) =>
   new HttpServer(clock, handler, {
     maxConnections: 5,
-    bodyBytes: 64 * 1024,
-    requestMs: 10_000,
-    idleMs: 60_000,
+    maxBodyBytes: 64 * 1024,
+    requestTimeoutMs: 10_000,
+    idleTimeoutMs: 60_000,
     onError: (error) => assert.fail(String(error)),
     ...change,
   });
@@ -205,7 +205,7 @@
   const client = new HttpClient(clock, {
     maxSockets: 8,
     maxSocketsPerAddress: () => 2,
-    bodyBytes: 10_000,
+    maxBodyBytes: 10_000,
     maxHeldBytes: 20_000,
   });
   const failures: string[] = [];
@@ -217,9 +217,9 @@
   await request(addressOf(slow));
   assert.deepEqual(failures.splice(0), ['no socket free false']);
   const largeResponses = [1, 2].map(() => request(addressOf(long)));
-  const strict = new HttpClient(clock, { maxSockets: 8, bodyBytes: 8999 });
+  const strict = new HttpClient(clock, { maxSockets: 8, maxBodyBytes: 8999 });
   await assert.rejects(strict.request(addressOf(long), 'GET', '/', null, 1000), /body too large/);
-  const tight = new HttpClient(clock, { maxSockets: 8, bodyBytes: 10_000, maxHeldBytes: 7000 });
+  const tight = new HttpClient(clock, { maxSockets: 8, maxBodyBytes: 10_000, maxHeldBytes: 7000 });
   await assert.rejects(tight.request(addressOf(long), 'GET', '/', null, 1000), /too much at once/);
   await clock.advance(1100);
   await Promise.all([...pending, ...largeResponses]);
--- a/tests/load/half-open.ts
+++ b/tests/load/half-open.ts
@@ -48,9 +48,9 @@
   },
   {
     maxConnections: 500,
-    bodyBytes: 1e6,
-    requestMs: 60_000,
-    idleMs: 60_000,
+    maxBodyBytes: 1e6,
+    requestTimeoutMs: 60_000,
+    idleTimeoutMs: 60_000,
     onError: (e) => console.error(e),
   },
 );
--- a/tests/modelcheck/lending.test.ts
+++ b/tests/modelcheck/lending.test.ts
@@ -10,9 +10,13 @@
 const STATES = 400_000;
 
 test('a job that may be lent runs in one cluster at a time, has one answer, and can always end', () => {
-  assert.ok(lending.leaseFits(limits, 7));
-  assert.equal(lending.leaseFits(limits, 6), false, 'a cancellation would not take effect in time');
-  assert.equal(lending.leaseFits({ ...limits, stopMs: 3 }, 7), false, 'no time is left to run tasks');
+  assert.ok(lending.areLimitsConsistent(limits, 7));
+  assert.equal(lending.areLimitsConsistent(limits, 6), false, 'a cancellation would not take effect in time');
+  assert.equal(
+    lending.areLimitsConsistent({ ...limits, stopMs: 3 }, 7),
+    false,
+    'no time is left to run tasks',
+  );
   const result = explore(lendingModel(PRODUCTION, BOUNDS), STATES);
   assert.deepEqual([result.violation, result.deadEnds, result.truncated], [null, null, false]);
   assert.ok(result.states > 20_000);
@@ -39,18 +43,18 @@
 }[] = [
   {
     name: 'a result of an earlier epoch is accepted',
-    transitions: { takeDone: (r) => lending.takeDone(r, r.epoch) },
+    transitions: { acceptCompletion: (r) => lending.acceptCompletion(r, r.epoch) },
     violation: /no longer valid/,
   },
   {
     name: 'home does not wait for the clock skew',
-    transitions: { takeBack: (r, now, l) => lending.takeBack(r, now, { ...l, skewMs: 0 }) },
+    transitions: { reclaimExpired: (r, now, l) => lending.reclaimExpired(r, now, { ...l, skewMs: 0 }) },
     bounds: { limits: { leaseMs: 8, skewMs: 2, stopMs: 1 } },
     violation: /two clusters/,
   },
   {
     name: 'home does not wait for the lease',
-    transitions: { takeBack: (r, now, l) => lending.takeBack(r, now + 100, l) },
+    transitions: { reclaimExpired: (r, now, l) => lending.reclaimExpired(r, now + 100, l) },
     violation: /two clusters/,
   },
   {
@@ -70,12 +74,12 @@
   },
   {
     name: 'the partner borrows a job again under the same epoch',
-    transitions: { borrow: (_r, e, until, now, l) => lending.borrow(null, e, until, now, l) },
+    transitions: { acceptLoan: (_r, e, until, now, l) => lending.acceptLoan(null, e, until, now, l) },
     violation: /two clusters/,
   },
   {
     name: 'the partner returns a job that has started',
-    transitions: { giveBack: (r, e) => lending.giveBack({ ...r, state: 'held' }, e) },
+    transitions: { handleRecall: (r, e) => lending.handleRecall({ ...r, state: 'held' }, e) },
     violation: /two clusters/,
   },
   {
--- a/tests/modelcheck/standbylease.test.ts
+++ b/tests/modelcheck/standbylease.test.ts
@@ -142,16 +142,16 @@
   },
   {
     name: 'a task is started without waiting for the machines of announced starts',
-    transitions: { surelyNotRunning: () => true },
+    transitions: { isConfirmedNotRunning: () => true },
     bounds: { task: true },
     violation: /run twice/,
   },
   {
     name: 'a replica that is not in sync is treated as in sync',
     transitions: {
-      surelyNotRunning: (job, snapshot, allReconciled, mayHoldTasks) =>
+      isConfirmedNotRunning: (job, snapshot, allReconciled, mayHoldTasks) =>
         snapshot?.machinesOf(job.id) === null ||
-        takeoverChecks.surelyNotRunning(job, snapshot, allReconciled, mayHoldTasks),
+        takeoverChecks.isConfirmedNotRunning(job, snapshot, allReconciled, mayHoldTasks),
     },
     bounds: { task: true },
     violation: /run twice/,
--- a/tests/plan/size.test.ts
+++ b/tests/plan/size.test.ts
@@ -47,7 +47,7 @@
     deadline: 600,
     total: tasks,
     tasks: [...Array(tasks).keys()],
-    present: new Map(),
+    placedByZone: new Map(),
   };
 }
 
@@ -122,7 +122,7 @@
   const cluster = new FakeCluster(['n0']);
   cluster.objectives = [{ kind: 'wait', class: 'train', withinS: 10, share: 0.99 }];
   const requests = new Map<string, number>();
-  cluster.net.fate = (_f, addr, method, path) => {
+  cluster.net.outcomeOf = (_f, addr, method, path) => {
     const key = addr.startsWith('10.2.0.') ? `${method} ${path.split('?')[0]}` : 'worker';
     requests.set(key, (requests.get(key) ?? 0) + 1);
     return 'deliver';
@@ -159,13 +159,13 @@
   ]) {
     const cluster = new FakeCluster(['n0', 'n1', 'n2']);
     cluster.teams = [];
-    cluster.capacity = true;
+    cluster.cloudHasCapacity = true;
     for (const n of ['n0', 'n1', 'n2']) cluster.startNode(n);
     await cluster.clock.advance(8000);
     assert.ok(await cluster.submit('n1', job('wk-1', { cpus: 8, expectedS: 600, ...overrides })));
     const maxRunning = overrides.oneZone && overrides.spread ? 2 : overrides.pieces;
     const keepWorkersReporting = () => {
-      for (const w of cluster.workers) cluster.silent.delete(w);
+      for (const w of cluster.workers) cluster.notReporting.delete(w);
       cluster.clock.after(500, keepWorkersReporting);
     };
     keepWorkersReporting();
@@ -175,7 +175,7 @@
     );
     await cluster.clock.advance(60_000);
     assert.equal(cluster.attempts, maxRunning);
-    const zones = cluster.workers.filter((w) => w.attempts.length > 0).map((w) => w.place.zone);
+    const zones = cluster.workers.filter((w) => w.attempts.length > 0).map((w) => w.identity.zone);
     if (overrides.oneZone) assert.equal(new Set(zones).size, 1);
     else assert.ok(zones.filter((z) => z === 'a').length <= Math.ceil(overrides.pieces / 2));
     const rented = cluster.rented.reduce((n, r) => n + r.count, 0);
--- a/tests/scheduler/dependencytracker.test.ts
+++ b/tests/scheduler/dependencytracker.test.ts
@@ -38,9 +38,9 @@
   return cluster;
 }
 
-const workerRunning = (cluster: FakeCluster, task: string) => cluster.workers.find((w) => w.on(task));
+const workerRunning = (cluster: FakeCluster, task: string) => cluster.workers.find((w) => w.isActive(task));
 const startCount = (cluster: FakeCluster, task: string) =>
-  cluster.workers.reduce((n, w) => n + w.started.filter((p) => p === task).length, 0);
+  cluster.workers.reduce((n, w) => n + w.executedStarts.filter((p) => p === task).length, 0);
 
 function ownerOf(cluster: FakeCluster, team: string): string {
   const shard = (cluster.state.value('c/teams') as Record<string, number>)[team]!;
@@ -53,7 +53,7 @@
 
 async function complete(cluster: FakeCluster, task: string): Promise<void> {
   assert.ok(await waitForStart(cluster, task), `${task} runs`);
-  workerRunning(cluster, task)!.end(task, 'done');
+  workerRunning(cluster, task)!.endTask(task, 'done');
 }
 
 // Guards against `too_early`, and against a job that counts towards team limits before it can run.
@@ -69,7 +69,7 @@
   await cluster.clock.advance(5000);
   assert.equal(await reportedStatus(cluster, 'n0', 'wk-2'), 'queued');
   assert.equal(startCount(cluster, 'wk-2/0'), 0);
-  workerRunning(cluster, 'wk-3/0')!.end('wk-3/0', 'done');
+  workerRunning(cluster, 'wk-3/0')!.endTask('wk-3/0', 'done');
   await cluster.clock.advance(3000);
   assert.equal(startCount(cluster, 'wk-2/0'), 0, 'free capacity alone does not start a waiting job');
   await complete(cluster, 'wk-1/0');
@@ -89,14 +89,14 @@
     cluster.call('n0', 'POST', '/api/jobs', job(id, { waitsOn }));
   assert.equal((await submit('wk-3', ['wk-1', 'wk-77'])).status, 422);
   assert.equal((await submit('wk-3', ['wk-3'])).status, 422);
-  cluster.net.fate = (_f, _a, method, path) =>
+  cluster.net.outcomeOf = (_f, _a, method, path) =>
     method === 'GET' && path.startsWith('/keys/act') ? 'refuse' : 'deliver';
   assert.equal(
     (await submit('wk-3', ['wk-78'])).status,
     503,
     'a failed read does not prove that the job was never accepted',
   );
-  cluster.net.fate = () => 'deliver';
+  cluster.net.outcomeOf = () => 'deliver';
   assert.equal((await submit('wk-3', ['wk-1'])).status, 201);
   const repeated = await submit('wk-3', ['wk-1']);
   assert.equal(repeated.status, 200);
@@ -117,7 +117,7 @@
 test('a job of another shard releases its dependents even when all messages about it are lost', async () => {
   for (const lost of [[], ['over'], ['over', 'needed']]) {
     const cluster = await twoShards();
-    for (const op of lost) cluster.lostMessages.add(op);
+    for (const op of lost) cluster.lostOperations.add(op);
     assert.ok(await cluster.submit('n0', job('wk-1', { owner: 'red' })));
     assert.ok(await cluster.submit('n1', job('wk-2', { owner: 'blue', waitsOn: ['wk-1'] })));
     assert.ok(await waitForStart(cluster, 'wk-1/0'));
@@ -137,14 +137,14 @@
   assert.ok(await cluster.submit('n0', job('wk-2', { owner: 'blue', waitsOn: ['wk-1'] })));
   assert.ok(await cluster.submit('n0', job('wk-3', { owner: 'red', waitsOn: ['wk-2'] })));
   assert.ok(await waitForStart(cluster, 'wk-1/0'));
-  for (const op of ['over', 'needed']) cluster.lostMessages.add(op);
+  for (const op of ['over', 'needed']) cluster.lostOperations.add(op);
   const red = ownerOf(cluster, 'red');
   const blue = ownerOf(cluster, 'blue');
   assert.notEqual(red, blue);
   await complete(cluster, 'wk-1/0');
   assert.ok(await reachesState(cluster, 'wk-1', 'done'));
   for (const n of [red, blue]) cluster.killNode(n);
-  cluster.lostMessages.clear();
+  cluster.lostOperations.clear();
   for (const n of [red, blue]) cluster.startNode(n);
   assert.ok(await waitForStart(cluster, 'wk-2/0', 40_000), 'released by the next owner');
   assert.equal(startCount(cluster, 'wk-3/0'), 0, 'the job does not start before its own dependency is done');
@@ -166,16 +166,16 @@
   assert.equal(status(reply.body), 'aborted');
   const cancelledAt = cluster.clock.now();
   cluster.state.down = true;
-  for (const r of cluster.nodes.values()) r.cut = true;
+  for (const r of cluster.nodes.values()) r.disconnected = true;
   await cluster.clock.advance(10_000);
-  cluster.state.restore();
+  cluster.state.endOutage();
   for (const id of ['wk-2', 'wk-3', 'wk-4'])
     assert.ok(
       await reachesState(cluster, id, 'cancelled', 20_000),
       `${id} is cancelled through the state service`,
     );
   assert.ok(cluster.clock.now() - cancelledAt < 45_000);
-  for (const r of cluster.nodes.values()) r.cut = false;
+  for (const r of cluster.nodes.values()) r.disconnected = false;
   await cluster.clock.advance(4000);
   for (const id of ['wk-2', 'wk-3', 'wk-4']) {
     assert.equal(await reportedStatus(cluster, 'n0', id), 'aborted');
@@ -203,17 +203,17 @@
   const cluster = await twoShards();
   assert.ok(await cluster.submit('n0', job('wk-1', { owner: 'red' })));
   assert.ok(await cluster.submit('n0', job('wk-2', { owner: 'blue', waitsOn: ['wk-1'] })));
-  cluster.net.fate = (_f, _a, _m, path, body) =>
+  cluster.net.outcomeOf = (_f, _a, _m, path, body) =>
     path === '/txn' && JSON.stringify(body).includes('"set":"job/wk-2"') ? 'refuse' : 'deliver';
   assert.equal(status((await cluster.call('n1', 'POST', '/api/jobs/wk-1/abort')).body), 'aborted');
   await cluster.clock.advance(3000);
   for (const n of ['n0', 'n1']) assert.equal(await reportedStatus(cluster, n, 'wk-2'), '503');
   // A node that cannot reach the owner does not report the status in the record either.
   const other = ownerOf(cluster, 'red');
-  cluster.nodes.get(ownerOf(cluster, 'blue'))!.cut = true;
+  cluster.nodes.get(ownerOf(cluster, 'blue'))!.disconnected = true;
   assert.equal(await reportedStatus(cluster, other, 'wk-2'), '503');
-  cluster.net.fate = () => 'deliver';
-  cluster.nodes.get(ownerOf(cluster, 'blue'))!.cut = false;
+  cluster.net.outcomeOf = () => 'deliver';
+  cluster.nodes.get(ownerOf(cluster, 'blue'))!.disconnected = false;
   assert.ok(await reachesState(cluster, 'wk-2', 'cancelled'));
   assert.equal(await reportedStatus(cluster, other, 'wk-2'), 'aborted');
 });
@@ -222,7 +222,7 @@
   const cluster = await twoShards();
   assert.ok(await cluster.submit('n0', job('wk-1', { owner: 'red' })));
   assert.ok(await cluster.submit('n0', job('wk-2', { owner: 'blue', waitsOn: ['wk-1'] })));
-  cluster.nodes.get(ownerOf(cluster, 'blue'))!.cut = true;
+  cluster.nodes.get(ownerOf(cluster, 'blue'))!.disconnected = true;
   await cluster.clock.advance(60_000);
   assert.equal(await reportedStatus(cluster, ownerOf(cluster, 'red'), 'wk-2'), 'queued');
 });
@@ -233,10 +233,10 @@
   cluster.addWorker('c8', 'a');
   cluster.startNode('n0');
   assert.ok(await cluster.submit('n0', job('wk-0', { cpus: 1 })));
-  cluster.net.fate = (_f, _a, _m, path, body) =>
+  cluster.net.outcomeOf = (_f, _a, _m, path, body) =>
     path === '/txn' && JSON.stringify(body).includes('"set":"act/wk-1"') ? 'hold' : 'deliver';
   assert.equal((await cluster.call('n0', 'POST', '/api/jobs', job('wk-1', { cpus: 1 }))).status, 503);
-  cluster.net.fate = () => 'deliver';
+  cluster.net.outcomeOf = () => 'deliver';
   await cluster.net.release();
   assert.ok(await cluster.submit('n0', job('wk-2', { cpus: 1, waitsOn: ['wk-1'] })));
   await complete(cluster, 'wk-1/0');
@@ -252,18 +252,18 @@
   assert.ok(await cluster.submit('n0', job('wk-2', { owner: 'blue', waitsOn: ids })));
   const blue = ownerOf(cluster, 'blue');
   cluster.killNode(blue);
-  cluster.lostMessages.add('needed');
+  cluster.lostOperations.add('needed');
   cluster.startNode(blue);
   await cluster.clock.advance(8000);
   let reads = 0;
-  cluster.net.fate = (from, _a, method, path) => {
+  cluster.net.outcomeOf = (from, _a, method, path) => {
     if (from !== blue || method !== 'GET' || !path.startsWith('/keys/')) return 'deliver';
     reads++;
     return 'refuse';
   };
   await cluster.clock.advance(10_000);
   assert.ok(reads > 0 && reads <= 10 * 9, `${reads} reads in 10 s`);
-  cluster.net.fate = () => 'deliver';
+  cluster.net.outcomeOf = () => 'deliver';
   for (const id of ids) await complete(cluster, `${id}/0`);
   assert.ok(await waitForStart(cluster, 'wk-2/0', 20_000));
 });
@@ -276,13 +276,13 @@
   // The end is stored but the answer to its owner is lost, and the cancellation arrives before the owner learns the
   // outcome.
   const blocked = { value: true };
-  cluster.net.fate = (_f, _a, _m, path, body) => {
+  cluster.net.outcomeOf = (_f, _a, _m, path, body) => {
     if (!blocked.value || path !== '/txn' || !JSON.stringify(body).includes('"final":"done"'))
       return 'deliver';
     blocked.value = false;
     return 'lost-answer';
   };
-  workerRunning(cluster, 'wk-1/0')!.end('wk-1/0', 'done');
+  workerRunning(cluster, 'wk-1/0')!.endTask('wk-1/0', 'done');
   assert.ok(await reachesState(cluster, 'wk-1', 'done'));
   const reply = await cluster.call('n0', 'POST', '/api/jobs/wk-1/abort');
   assert.equal(status(reply.body), 'done', 'the cancellation reports the stored outcome');
@@ -381,9 +381,9 @@
   const dispatcher = new TaskDispatcher(context, 7, registry, new Map([['wk-1', waitingJob]]), log, {
     usageOf: () => null,
     unreconciledCapacity: () => ({ cpus: 0, gpus: 0, memoryGb: 0 }),
-    surelyNotRunning: () => true,
+    isConfirmedNotRunning: () => true,
     isReservedForTransfer: () => false,
-    lostOwnership: () => new Error('lost'),
+    onOwnershipLost: () => new Error('lost'),
   });
   const plan = {
     reservations: [{ job: { id: 1 }, task: 0, machine: 0, start: 0, end: 60 }],
--- a/tests/scheduler/failuretracker.test.ts
+++ b/tests/scheduler/failuretracker.test.ts
@@ -80,7 +80,7 @@
       for (const p of w.attempts) {
         if (!p.task.startsWith('wk-1/') || p.state !== 'running') continue;
         running++;
-        w.end(p.task, 'error');
+        w.endTask(p.task, 'error');
       }
     }
     maxRunning = Math.max(maxRunning, running);
@@ -91,7 +91,7 @@
   const rentedBefore = cluster.rented.length;
   assert.equal(cluster.released.length, 0, 'its failures cause no machine to be returned');
   const startCount = () =>
-    machines.reduce((n, w) => n + w.started.filter((p) => p.startsWith('wk-1/')).length, 0);
+    machines.reduce((n, w) => n + w.executedStarts.filter((p) => p.startsWith('wk-1/')).length, 0);
   const startsBefore = startCount();
   maxRunning = 0;
   assert.ok(await cluster.submit('n0', job('wk-2', { pieces: 4, cpus: 8 })));
@@ -99,12 +99,14 @@
     await cluster.clock.until(
       () =>
         machines.every(
-          (w) => w.on(`wk-2/${machines.indexOf(w)}`) || w.attempts.some((p) => p.task.startsWith('wk-2/')),
+          (w) =>
+            w.isActive(`wk-2/${machines.indexOf(w)}`) || w.attempts.some((p) => p.task.startsWith('wk-2/')),
         ),
       4000,
     ),
   );
-  for (const w of machines) for (const p of w.attempts) if (p.task.startsWith('wk-2/')) w.end(p.task, 'done');
+  for (const w of machines)
+    for (const p of w.attempts) if (p.task.startsWith('wk-2/')) w.endTask(p.task, 'done');
   await cluster.clock.advance(60_000);
   assert.ok(maxRunning <= 1, `${maxRunning} at once`);
   assert.ok(
--- a/tests/scheduler/jobrequests.test.ts
+++ b/tests/scheduler/jobrequests.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { pause } from '../../src/clock/clock.js';
-import { busy, NODES, status } from '../support/busy.js';
+import { jobStatus, NODES, startBusyCluster } from '../support/busy.js';
 import { type FakeCluster, job, STATE } from '../support/cluster.js';
-import { checkMeetings } from '../support/process.js';
+import { runFaultScenarios } from '../support/process.js';
 
 /** Sends a submission to a node without waiting; returns an object that is filled in when the answer arrives. */
 function submit(cluster: FakeCluster, node: string, wire: object): { status: number | null; body: unknown } {
@@ -19,41 +19,47 @@
 // answered from the memory of its owner, although another node has taken over the shard meanwhile and confirmed the
 // cancellation of the job.
 test('a submission delayed by a write is not answered by a node that has lost the shard in the meantime', async () => {
-  const { c, k } = await busy(1);
-  const old = c.owner(k)!;
+  const { cluster, shard } = await startBusyCluster(1);
+  const old = cluster.owner(shard)!;
   const other = NODES.find((n) => n !== old)!;
-  c.net.fate = (from, addr, _method, path, body) => {
+  cluster.net.outcomeOf = (from, addr, _method, path, body) => {
     if (from !== old || addr !== STATE) return 'deliver';
     if (path === '/txn' && JSON.stringify(body).includes('"act/wk-9"')) return 'lost-answer';
     // Blocks the read by which the owner would check whether the write was applied.
     return path.startsWith('/keys/act/wk-9') ? 'silent' : 'deliver';
   };
   const wire = job('wk-9', { cpus: 8 });
-  const first = submit(c, old, wire);
-  await c.clock.advance(100);
-  const second = submit(c, old, wire);
-  await c.clock.advance(100);
-  assert.equal(await status(c, other, 'wk-9'), 'queued', 'the job is stored and its owner has loaded it');
-  c.state.refusing.add(old);
-  assert.ok(await c.clock.until(() => c.owner(k) !== undefined && c.owner(k) !== old, 4500));
-  const next = c.owner(k)!;
+  const first = submit(cluster, old, wire);
+  await cluster.clock.advance(100);
+  const second = submit(cluster, old, wire);
+  await cluster.clock.advance(100);
+  assert.equal(
+    await jobStatus(cluster, other, 'wk-9'),
+    'queued',
+    'the job is stored and its owner has loaded it',
+  );
+  cluster.state.refusedCallers.add(old);
+  assert.ok(
+    await cluster.clock.until(() => cluster.owner(shard) !== undefined && cluster.owner(shard) !== old, 4500),
+  );
+  const next = cluster.owner(shard)!;
   let cancelled = false;
   for (let i = 0; i < 20 && !cancelled; i++) {
-    cancelled = (await c.call(next, 'POST', '/api/jobs/wk-9/abort')).status === 200;
-    if (!cancelled) await c.clock.advance(50);
+    cancelled = (await cluster.call(next, 'POST', '/api/jobs/wk-9/abort')).status === 200;
+    if (!cancelled) await cluster.clock.advance(50);
   }
   assert.ok(
     cancelled && second.status === null,
     'the cancellation is confirmed while the second submission still waits',
   );
-  await c.clock.advance(6000);
+  await cluster.clock.advance(6000);
   for (const answer of [first, second]) assert.equal(answer.status, 503);
-  c.state.refusing.delete(old);
-  c.net.fate = () => 'deliver';
-  await c.clock.advance(9000);
+  cluster.state.refusedCallers.delete(old);
+  cluster.net.outcomeOf = () => 'deliver';
+  await cluster.clock.advance(9000);
   for (const n of NODES) {
-    assert.equal(await status(c, n, 'wk-9'), 'aborted');
-    const r = await c.call(n, 'POST', '/api/jobs', wire);
+    assert.equal(await jobStatus(cluster, n, 'wk-9'), 'aborted');
+    const r = await cluster.call(n, 'POST', '/api/jobs', wire);
     assert.deepEqual([r.status, (r.body as { status: string }).status], [200, 'aborted']);
   }
 });
@@ -61,17 +67,17 @@
 // Guards against concurrent decisions about one job: the mutex of a refused job was dropped while other submissions
 // waited for it, so that a later submission got another mutex.
 test('serializes decisions about one job, also after a refusal', async () => {
-  const { c, k } = await busy(1);
-  const owner = c.owner(k)!;
-  const serve = c.net.peers.get(STATE)!;
+  const { cluster, shard } = await startBusyCluster(1);
+  const owner = cluster.owner(shard)!;
+  const serve = cluster.net.peers.get(STATE)!;
   let concurrentReads = 0;
   let maxConcurrentReads = 0;
   let reads = 0;
-  c.net.peers.set(STATE, async (method, path, body, from) => {
+  cluster.net.peers.set(STATE, async (method, path, body, from) => {
     if (from !== owner || path !== '/keys/act/wk-9') return serve(method, path, body, from);
     reads++;
     maxConcurrentReads = Math.max(maxConcurrentReads, ++concurrentReads);
-    await pause(c.clock, 400);
+    await pause(cluster.clock, 400);
     concurrentReads--;
     return serve(method, path, body, from);
   });
@@ -79,10 +85,10 @@
   const wire = job('wk-9', { cpus: 8, expectedS: 600, dueS: 1 });
   const answers = [];
   for (const ms of [0, 100, 500, 300, 200]) {
-    await c.clock.advance(ms);
-    answers.push(submit(c, owner, wire));
+    await cluster.clock.advance(ms);
+    answers.push(submit(cluster, owner, wire));
   }
-  await c.clock.advance(6000);
+  await cluster.clock.advance(6000);
   assert.deepEqual(
     answers.map((h) => h.status),
     [429, 429, 429, 429, 429],
@@ -93,10 +99,10 @@
 
 // Guards against listing a job as unfinished after another node has read its end and reported it.
 test('does not list a job as unfinished when its end may already be stored', async () => {
-  const { c, k } = await busy(2);
-  const owner = c.owner(k)!;
+  const { cluster, shard } = await startBusyCluster(2);
+  const owner = cluster.owner(shard)!;
   let endWriteSent = false;
-  c.net.fate = (from, addr, _method, path, body) => {
+  cluster.net.outcomeOf = (from, addr, _method, path, body) => {
     if (from !== owner || addr !== STATE) return 'deliver';
     if (path === '/txn' && JSON.stringify(body).includes('"job/wk-1"')) {
       endWriteSent = true;
@@ -104,13 +110,13 @@
     }
     return path.includes('job/wk-1') ? 'silent' : 'deliver';
   };
-  submit(c, owner, job('wk-1'));
-  void c.nodes.get(owner)!.api.handle(c.request('POST', '/api/jobs/wk-1/abort'));
-  assert.ok(await c.clock.until(() => endWriteSent, 1000));
+  submit(cluster, owner, job('wk-1'));
+  void cluster.nodes.get(owner)!.api.handle(cluster.request('POST', '/api/jobs/wk-1/abort'));
+  assert.ok(await cluster.clock.until(() => endWriteSent, 1000));
   const other = NODES.find((n) => n !== owner)!;
-  assert.equal(await status(c, other, 'wk-1'), 'aborted', 'read from its record');
+  assert.equal(await jobStatus(cluster, other, 'wk-1'), 'aborted', 'read from its record');
   for (const n of NODES) {
-    const r = await c.call(n, 'GET', '/api/jobs');
+    const r = await cluster.call(n, 'GET', '/api/jobs');
     assert.equal(r.status, 200);
     assert.deepEqual(
       (r.body as { jobs: { id: string }[] }).jobs.map((j) => j.id),
@@ -132,7 +138,7 @@
   test(`no node answers with an outdated state during ${troubles.join(', ')}`, async () => {
     const args =
       troubles.length > 0 ? troubles.flatMap((t) => ['--trouble', t]) : ['--trouble', 'odd requests@10+30*1'];
-    const { code, out } = await checkMeetings('--from', '300', '--seeds', '3', ...args);
+    const { code, out } = await runFaultScenarios('--from', '300', '--seeds', '3', ...args);
     assert.match(out, /3 meetings played, 0 with a broken rule/, out);
     assert.equal(code, 0);
   });
--- a/tests/scheduler/servicelevelobjectives.test.ts
+++ b/tests/scheduler/servicelevelobjectives.test.ts
@@ -38,15 +38,18 @@
     assert.ok(await cluster.submit('n0', gang(id)));
     await cluster.clock.advance(1000);
   }
-  assert.ok(await cluster.clock.until(() => worker.on('wk-1/0'), 20_000));
+  assert.ok(await cluster.clock.until(() => worker.isActive('wk-1/0'), 20_000));
   await cluster.clock.advance(70_000);
   assert.ok(await cluster.submit('n0', gang('wk-3')));
   await cluster.clock.advance(3000);
-  worker.end('wk-1/0', 'done');
-  assert.ok(await cluster.clock.until(() => worker.started.length > 1, 20_000));
-  assert.deepEqual(worker.started, ['wk-1/0', 'wk-3/0']);
-  worker.end('wk-3/0', 'done');
-  assert.ok(await cluster.clock.until(() => worker.on('wk-2/0'), 20_000), 'the deferred gang still starts');
+  worker.endTask('wk-1/0', 'done');
+  assert.ok(await cluster.clock.until(() => worker.executedStarts.length > 1, 20_000));
+  assert.deepEqual(worker.executedStarts, ['wk-1/0', 'wk-3/0']);
+  worker.endTask('wk-3/0', 'done');
+  assert.ok(
+    await cluster.clock.until(() => worker.isActive('wk-2/0'), 20_000),
+    'the deferred gang still starts',
+  );
 });
 
 // Guards against a large array that delays many small jobs accepted just after it, and against small jobs that defer
@@ -58,14 +61,14 @@
     const worker = cluster.addWorker('c8', 'a');
     cluster.startNode('n0');
     assert.ok(await cluster.submit('n0', job('wk-1', { cpus: 8, expectedS: 300 })));
-    assert.ok(await cluster.clock.until(() => worker.on('wk-1/0'), 20_000));
+    assert.ok(await cluster.clock.until(() => worker.isActive('wk-1/0'), 20_000));
     assert.ok(await cluster.submit('n0', job('wk-2', { cpus: 8, pieces: 5, expectedS: 30, dueS })));
     await cluster.clock.advance(gapMs);
     assert.ok(await cluster.submit('n0', job('wk-3', { cpus: 8, expectedS: 1 })));
     await cluster.clock.advance(3000);
-    worker.end('wk-1/0', 'done');
-    assert.ok(await cluster.clock.until(() => worker.started.length > 1, 20_000));
-    return worker.started[1]!.split('/')[0];
+    worker.endTask('wk-1/0', 'done');
+    assert.ok(await cluster.clock.until(() => worker.executedStarts.length > 1, 20_000));
+    return worker.executedStarts[1]!.split('/')[0];
   };
   assert.equal(await startOrder(20_000, null), 'wk-3');
   assert.equal(await startOrder(70_000, null), 'wk-2');
@@ -82,27 +85,27 @@
   cluster.startNode('n0');
   const urgent = (id: string) =>
     job(id, { shape: 'ensemble', urgency: 'urgent', cpus: 8, expectedS: 60, saveEveryS: 0 });
-  const startOrder = () => worker.started.map((t) => t.split('/')[0]);
+  const startOrder = () => worker.executedStarts.map((t) => t.split('/')[0]);
   assert.ok(await cluster.submit('n0', urgent('wk-1')));
-  assert.ok(await cluster.clock.until(() => worker.on('wk-1/0'), 20_000));
+  assert.ok(await cluster.clock.until(() => worker.isActive('wk-1/0'), 20_000));
   assert.ok(await cluster.submit('n0', job('wk-2', { jobClass: 'checks', cpus: 8, expectedS: 40 })));
   assert.ok(await cluster.submit('n0', urgent('wk-3')));
   await cluster.clock.advance(20_000);
-  worker.end('wk-1/0', 'done');
+  worker.endTask('wk-1/0', 'done');
   assert.ok(
-    await cluster.clock.until(() => worker.on('wk-3/0'), 20_000),
+    await cluster.clock.until(() => worker.isActive('wk-3/0'), 20_000),
     'urgent work goes first while there is time',
   );
   assert.ok(await cluster.submit('n0', urgent('wk-4')));
   await cluster.clock.advance(60_000);
-  assert.ok(worker.on('wk-3/0'), 'no task is preempted for the aged job');
-  worker.end('wk-3/0', 'done');
-  assert.ok(await cluster.clock.until(() => worker.on('wk-2/0'), 20_000));
+  assert.ok(worker.isActive('wk-3/0'), 'no task is preempted for the aged job');
+  worker.endTask('wk-3/0', 'done');
+  assert.ok(await cluster.clock.until(() => worker.isActive('wk-2/0'), 20_000));
   assert.deepEqual(startOrder(), ['wk-1', 'wk-3', 'wk-2']);
   await cluster.clock.advance(30_000);
-  assert.ok(worker.on('wk-2/0'), 'the aged job is not preempted for urgent work');
-  worker.end('wk-2/0', 'done');
-  assert.ok(await cluster.clock.until(() => worker.on('wk-4/0'), 20_000));
+  assert.ok(worker.isActive('wk-2/0'), 'the aged job is not preempted for urgent work');
+  worker.endTask('wk-2/0', 'done');
+  assert.ok(await cluster.clock.until(() => worker.isActive('wk-4/0'), 20_000));
 });
 
 // Guards against large jobs that never start: a job that had missed all of its objectives, or had none, stayed behind
@@ -144,7 +147,7 @@
           if (attempt.state === 'exited') continue;
           if (attempt.job === 'wk-1') startDelayS ??= second - 40;
           if (!ends.has(attempt.task)) ends.set(attempt.task, second + 20);
-          if (second >= ends.get(attempt.task)!) worker.end(attempt.task, 'done');
+          if (second >= ends.get(attempt.task)!) worker.endTask(attempt.task, 'done');
         }
       await cluster.clock.advance(1000);
     }
@@ -184,7 +187,7 @@
         if (large && !waits.has(attempt.job)) waits.set(attempt.job, second - 40);
         if (!ends.has(`${attempt.task}#${attempt.attempt}`))
           ends.set(`${attempt.task}#${attempt.attempt}`, second + (large ? 50 : 20));
-        if (second >= ends.get(`${attempt.task}#${attempt.attempt}`)!) worker.end(attempt.task, 'done');
+        if (second >= ends.get(`${attempt.task}#${attempt.attempt}`)!) worker.endTask(attempt.task, 'done');
       }
     await cluster.clock.advance(1000);
   }
--- a/tests/scheduler/shortjobs.test.ts
+++ b/tests/scheduler/shortjobs.test.ts
@@ -22,7 +22,7 @@
     cluster.teams = [{ name: 'red', cpus: 64, cpusMax: 0, gpus: 0, gpusMax: 0 }];
     cluster.standby = true;
     cluster.stateRates = { rps, writeRps };
-    cluster.ratesParted = NODES.length;
+    cluster.rateDivisor = NODES.length;
     Object.assign(cluster.state.limits, { requestsPerSecond: rps, writesPerSecond: writeRps });
     const random = new Random(7);
     const tasks = new Tasks(cluster.clock, random, new Map(cluster.types.map((t) => [t.name, t])), {
@@ -34,7 +34,7 @@
     for (const n of NODES) cluster.startNode(n);
     await cluster.clock.advance(8000);
     const users = new Users(cluster, tasks, random);
-    users.looking = false;
+    users.pollsClosely = false;
     const ids = Array.from({ length: SUBMISSION_S * JOBS_PER_SECOND }, (_, i) => `wk-${i + 1}`);
     const startedAt = cluster.clock.now();
     for (const [i, id] of ids.entries())
@@ -51,11 +51,11 @@
         cluster.clock.after(random.between(200, 4000), cancelOnceAccepted);
       });
     await cluster.clock.advance(SUBMISSION_S * 1000);
-    const unfinished = [...users.jobs.values()].filter((j) => !j.over).length;
+    const unfinished = [...users.jobs.values()].filter((j) => !j.ended).length;
     assert.ok(unfinished < 90, `${unfinished} jobs are unfinished when the last one is submitted`);
     await cluster.clock.advance(25_000);
     assert.deepEqual(
-      [...users.jobs.values()].filter((j) => !j.over).map((j) => j.spec.id),
+      [...users.jobs.values()].filter((j) => !j.ended).map((j) => j.spec.id),
       [],
       'all jobs end soon',
     );
--- a/tests/scheduler/teamswithoutquota.test.ts
+++ b/tests/scheduler/teamswithoutquota.test.ts
@@ -36,12 +36,12 @@
   cluster.startNode('n0');
   await cluster.clock.advance(6000);
   assert.ok(await cluster.submit('n0', guestJob('wk-1', { pieces: 100, cpus: 8 })));
-  assert.ok(await cluster.clock.until(() => worker.on('wk-1/0'), 8000));
+  assert.ok(await cluster.clock.until(() => worker.isActive('wk-1/0'), 8000));
   assert.ok(await cluster.submit('n0', guestJob('wk-2', { cpus: 8 })));
   await cluster.clock.advance(3000);
-  worker.end('wk-1/0', 'done');
-  assert.ok(await cluster.clock.until(() => worker.started.length === 2, 8000));
-  assert.ok(worker.on('wk-2/0'));
+  worker.endTask('wk-1/0', 'done');
+  assert.ok(await cluster.clock.until(() => worker.executedStarts.length === 2, 8000));
+  assert.ok(worker.isActive('wk-2/0'));
 });
 
 // Guards against tiny tasks that start as fast as they end on hundreds of machines: their commands and heartbeats kept
@@ -52,7 +52,7 @@
   for (let i = 0; i < 30; i++) cluster.addWorker('c8', 'a');
   cluster.startNode('n0');
   await cluster.clock.advance(6000);
-  const starts = () => cluster.workers.reduce((n, worker) => n + worker.started.length, 0);
+  const starts = () => cluster.workers.reduce((n, worker) => n + worker.executedStarts.length, 0);
   assert.ok(await cluster.submit('n0', guestJob('wk-1', { pieces: 5000, cpus: 0.1, memoryGb: 0.1 })));
   await cluster.clock.advance(4000);
   // 0.2 of a core allows 160 starts per second, plus a burst of two seconds.
@@ -61,7 +61,7 @@
   assert.ok(await cluster.submit('n0', job('wk-2', { pieces: 30, cpus: 2 })));
   await cluster.clock.advance(2000);
   const otherStarted = cluster.workers.reduce(
-    (n, worker) => n + worker.started.filter((p) => p.startsWith('wk-2/')).length,
+    (n, worker) => n + worker.executedStarts.filter((p) => p.startsWith('wk-2/')).length,
     0,
   );
   assert.equal(otherStarted, 30);
--- a/tests/schema/versions.test.ts
+++ b/tests/schema/versions.test.ts
@@ -4,7 +4,7 @@
 import { StateService } from '../../src/emulator/state.js';
 import { makeJob } from '../../src/jobs/job.js';
 import { JobRecords } from '../../src/jobs/records.js';
-import { chunkTasks, TaskSet } from '../../src/jobs/taskset.js';
+import { TaskSet, tasksPerChunk } from '../../src/jobs/taskset.js';
 import { readLeaseHolder, readTeamAssignment, writeLeaseHolder } from '../../src/schema/schema.js';
 import { StateStore } from '../../src/state/statestore.js';
 import { readJob } from '../../src/wire/users.js';
@@ -89,7 +89,7 @@
  */
 function previousDone(state: StateService, tasks: number, valueKb: number): TaskSet {
   const done = new TaskSet(tasks);
-  const chunkSize = chunkTasks(valueKb);
+  const chunkSize = tasksPerChunk(valueKb);
   for (const [key, item] of state.items) {
     const chunk = key.split('/')[2];
     const value = v.safeParse(v.object({ done: v.string() }), item.value);
@@ -112,7 +112,7 @@
   // The layout of the previous version: 48,384 tasks per chunk at 8 KiB.
   const previous = new TaskSet(100_000);
   for (let i = 0; i < 100_000; i += 3) previous.add(i);
-  const chunkSize = chunkTasks(8);
+  const chunkSize = tasksPerChunk(8);
   for (const n of [0, 1, 2])
     await fixture.settle(
       fixture.store.compareAndSwap(
@@ -205,7 +205,7 @@
   assert.deepEqual(restored.record.spec, longSpec);
   assert.equal(loaded.length, 2, 'values stored under the larger limit stay readable');
   const storedJob = jobFrom(restored.record.spec, restored.version);
-  storedJob.partsUnder = restored.partsUnder;
+  storedJob.partsPrefix = restored.partsPrefix;
   assert.equal(await fixture.settle(owner.finish(storedJob, 'cancelled')), 'cancelled');
   assert.deepEqual(
     [...fixture.state.items.keys()].filter((k) => k.startsWith('part/')),
@@ -238,7 +238,7 @@
   cluster.startNode('n0');
   assert.ok(
     await cluster.clock.until(
-      () => cluster.workers[0]!.on('wk-2/1') || cluster.workers[0]!.on('wk-2/0'),
+      () => cluster.workers[0]!.isActive('wk-2/1') || cluster.workers[0]!.isActive('wk-2/0'),
       40_000,
     ),
   );
@@ -270,7 +270,7 @@
   assert.equal((await late()).status, 503);
   assert.equal((await cluster.call('n0', 'POST', '/api/jobs', job('wk-4'))).status, 201);
   assert.deepEqual(
-    cluster.sent.filter((m) => m.op === 'submitAfter'),
+    cluster.sentMessages.filter((m) => m.op === 'submitAfter'),
     [],
   );
 });
@@ -290,7 +290,7 @@
   for (let i = 1; i <= 40; i++) assert.ok(await cluster.submit(`n${i % 2}`, job(`wk-${i}`, { cpus: 1 })));
   const before = cluster.state.refused[429];
   for (let i = 0; i < 60; i++) {
-    for (const worker of cluster.workers) for (const p of worker.attempts) worker.end(p.task, 'done');
+    for (const worker of cluster.workers) for (const p of worker.attempts) worker.endTask(p.task, 'done');
     await cluster.clock.advance(1000);
   }
   for (let i = 0; i <= 40; i++)
--- a/tests/standby/standby.test.ts
+++ b/tests/standby/standby.test.ts
@@ -53,7 +53,7 @@
   assert.ok(elapsedMs <= 3500, `accepted after ${elapsedMs} ms`);
   await cluster.clock.advance(LEASE_S * 1000 + 5000);
   assert.ok(
-    cluster.workers.every((worker) => worker.session === 1),
+    cluster.workers.every((worker) => worker.incarnation === 1),
     'no machine lost its lease',
   );
   assert.equal(cluster.attempts, 4);
@@ -70,7 +70,7 @@
   await cluster.clock.advance(1500);
   assert.equal(cluster.owner(shard), initialOwner, 'a short pause has no effect');
   assert.ok(await cluster.clock.until(() => cluster.owner(shard) === standbyNode, 5000));
-  cluster.workers.find((worker) => worker.on('wk-1/0'))!.end('wk-1/0', 'done');
+  cluster.workers.find((worker) => worker.isActive('wk-1/0'))!.endTask('wk-1/0', 'done');
   assert.ok(
     await cluster.clock.until(() => cluster.state.value('act/wk-1/0') !== undefined, 12_000),
     'stored by the new owner',
@@ -83,7 +83,7 @@
   );
   await cluster.clock.advance(25_000);
   assert.equal(cluster.starts, 4);
-  assert.ok(cluster.workers.every((worker) => worker.session === 1));
+  assert.ok(cluster.workers.every((worker) => worker.incarnation === 1));
 });
 
 test('keeps all shards after a pause just below the limit and after lost responses', async () => {
@@ -128,19 +128,19 @@
 test('keeps all shards when connections between controllers are refused and during a key-value store outage', async () => {
   const cluster = await startInSyncCluster(4);
   const before = [0, 1, 2].map((shard) => cluster.state.items.get(`c/own/${shard}`)!.version);
-  for (const n of NODES) cluster.refused.add(n);
+  for (const n of NODES) cluster.nodesRefusingPeers.add(n);
   await cluster.clock.advance(20_000);
-  cluster.refused.clear();
+  cluster.nodesRefusingPeers.clear();
   await cluster.clock.advance(20_000);
   cluster.state.down = true;
   await cluster.clock.advance(10_000);
-  cluster.state.restore();
+  cluster.state.endOutage();
   await cluster.clock.advance(10_000);
   assert.deepEqual(
     [0, 1, 2].map((shard) => cluster.state.items.get(`c/own/${shard}`)!.version),
     before,
   );
-  assert.ok(cluster.workers.every((worker) => worker.session === 1));
+  assert.ok(cluster.workers.every((worker) => worker.incarnation === 1));
 });
 
 test('the third node takes over by lease expiry when owner and standby crash together', async () => {
@@ -153,7 +153,7 @@
   assert.ok(await cluster.clock.until(() => cluster.owner(shard) === third, 14_000));
   await cluster.clock.advance(LEASE_S * 1000 + 5000);
   assert.equal(cluster.starts, 4);
-  assert.ok(cluster.workers.every((worker) => worker.session === 1));
+  assert.ok(cluster.workers.every((worker) => worker.incarnation === 1));
 });
 
 test('evicts a crashed standby within the standby lease and names another one', async () => {
@@ -187,7 +187,7 @@
   const cluster = await startInSyncCluster(6);
   const shard = cluster.shardOf('wk-1');
   const [initialOwner, standbyNode] = [cluster.owner(shard)!, standby(cluster, shard)!];
-  cluster.net.fate = (from, addr) =>
+  cluster.net.outcomeOf = (from, addr) =>
     from === initialOwner && addr.startsWith('10.2.0.1') ? 'refuse' : 'deliver';
   assert.ok(await cluster.clock.until(() => cluster.owner(shard) === standbyNode, 5500));
   assert.ok(
@@ -200,7 +200,7 @@
     standbyNode,
     'the shard does not return while its former owner is cut off',
   );
-  assert.ok(cluster.workers.every((worker) => worker.session === 1));
+  assert.ok(cluster.workers.every((worker) => worker.incarnation === 1));
   assert.equal(cluster.starts, 4);
 });
 
@@ -250,7 +250,7 @@
     replies.filter((s) => s !== 201 && s !== 200),
     [],
   );
-  assert.equal(cluster.workers.filter((worker) => worker.session > 1).length, 0);
+  assert.equal(cluster.workers.filter((worker) => worker.incarnation > 1).length, 0);
 });
 
 // Guards against a machine that hangs during a takeover blocking all waiting work for the duration of a lease.
@@ -270,20 +270,20 @@
   await cluster.clock.advance(2000);
   const shard = cluster.shardOf('wk-1');
   const silentWorker = workers[0]!;
-  cluster.silent.add(silentWorker);
-  cluster.net.fate = (_f, addr) => (addr === silentWorker.place.addr ? 'silent' : 'deliver');
-  const otherTask = ['wk-1/0', 'wk-1/1', 'wk-1/2'].find((p) => !silentWorker.on(p))!;
+  cluster.notReporting.add(silentWorker);
+  cluster.net.outcomeOf = (_f, addr) => (addr === silentWorker.identity.addr ? 'silent' : 'deliver');
+  const otherTask = ['wk-1/0', 'wk-1/1', 'wk-1/2'].find((p) => !silentWorker.isActive(p))!;
   cluster.killNode(cluster.owner(shard)!);
   const killedAt = cluster.clock.now();
-  workers.find((worker) => worker.on(otherTask))!.end(otherTask, 'done');
+  workers.find((worker) => worker.isActive(otherTask))!.endTask(otherTask, 'done');
   assert.ok(
-    await cluster.clock.until(() => workers.some((worker) => worker.on('wk-2/0')), 10_000),
+    await cluster.clock.until(() => workers.some((worker) => worker.isActive('wk-2/0')), 10_000),
     'starts before the lease of the hanging machine expires',
   );
   assert.ok(cluster.clock.now() - killedAt < 8000);
-  const silentTask = ['wk-1/0', 'wk-1/1', 'wk-1/2'].find((p) => silentWorker.on(p))!;
+  const silentTask = ['wk-1/0', 'wk-1/1', 'wk-1/2'].find((p) => silentWorker.isActive(p))!;
   assert.equal(
-    workers.filter((worker) => worker.started.includes(silentTask)).length,
+    workers.filter((worker) => worker.executedStarts.includes(silentTask)).length,
     1,
     'its machine has not reported',
   );
@@ -294,7 +294,7 @@
   const shard = cluster.shardOf('wk-1');
   const [initialOwner, standbyNode] = [cluster.owner(shard)!, standby(cluster, shard)!];
   let storeCutOff = false;
-  cluster.net.fate = (from, addr, _m, path) => {
+  cluster.net.outcomeOf = (from, addr, _m, path) => {
     if (from === standbyNode && addr.startsWith('10.2.0.1') && cluster.owner(shard) === standbyNode)
       storeCutOff = true;
     return storeCutOff && addr.startsWith('10.2.0.1') && path !== '/leases' && !path.endsWith('/touch')
@@ -311,11 +311,11 @@
   );
   assert.equal(cluster.starts, 4);
   storeCutOff = false;
-  cluster.net.fate = () => 'deliver';
+  cluster.net.outcomeOf = () => 'deliver';
   assert.ok(await cluster.submit(standbyNode, job('wk-2', { dueS: 900 })));
   await cluster.clock.advance(25_000);
   assert.equal(cluster.starts, 4);
-  assert.ok(cluster.workers.every((worker) => worker.session === 1));
+  assert.ok(cluster.workers.every((worker) => worker.incarnation === 1));
 });
 
 test('loses and repeats no task in a rolling restart where each new owner was the standby', async () => {
@@ -330,7 +330,7 @@
   }
   await cluster.clock.advance(25_000);
   assert.equal(cluster.starts, 4);
-  assert.ok(cluster.workers.every((worker) => worker.session === 1));
+  assert.ok(cluster.workers.every((worker) => worker.incarnation === 1));
   assert.deepEqual(new Set([0, 1, 2].map((shard) => cluster.owner(shard))), new Set(NODES));
 });
 
@@ -356,7 +356,7 @@
   assert.equal(cluster.owner(1), 'n1', 'handed back to its home node');
   await cluster.clock.advance(10_000);
   assert.equal(cluster.starts, 4);
-  assert.ok(cluster.workers.every((worker) => worker.session === 1));
+  assert.ok(cluster.workers.every((worker) => worker.incarnation === 1));
 });
 
 test('takes over a shard of 1,400 tasks and 420 machines from its replica, and idle standbys read nothing from the store', async () => {
@@ -367,7 +367,7 @@
   let sessionRequests = 0;
   let machineRequests = 0;
   const readFrom: number[] = [];
-  cluster.net.fate = (_f, addr, _m, path) => {
+  cluster.net.outcomeOf = (_f, addr, _m, path) => {
     const since = /^\/watch\?under=act%2F&since=(\d+)&waitMs=0/.exec(path);
     if (since) readFrom.push(Number(since[1]));
     if (addr.startsWith('10.2.0.1') && !path.startsWith('/leases')) storeRequests++;
@@ -422,7 +422,7 @@
   await cluster.clock.advance(23_000);
   assert.ok(cluster.attempts >= before);
   assert.ok(cluster.starts - startsBefore <= 420 - before + 1, 'no running task was started again');
-  assert.ok(cluster.workers.every((worker) => worker.session === 1));
+  assert.ok(cluster.workers.every((worker) => worker.incarnation === 1));
 });
 
 // Guards against obsolete start orders: while a start waits for the standby's acknowledgement, its job may be
@@ -432,14 +432,16 @@
   const shard = cluster.shardOf('wk-1');
   const owner = cluster.owner(shard)!;
   const runOrders: string[] = [];
-  cluster.net.fate = (_f, _a, _m, path, body) => {
+  cluster.net.outcomeOf = (_f, _a, _m, path, body) => {
     if (path === '/do') runOrders.push(JSON.stringify(body));
     return 'deliver';
   };
-  cluster.workers.find((worker) => worker.on('wk-1/0'))!.end('wk-1/0', 'done');
+  cluster.workers.find((worker) => worker.isActive('wk-1/0'))!.endTask('wk-1/0', 'done');
   await cluster.clock.advance(3000);
   assert.ok(await cluster.submit(owner, job('wk-5', { cpus: 4 })));
-  assert.ok(await cluster.clock.until(() => cluster.workers.some((worker) => worker.on('wk-5/0')), 5000));
+  assert.ok(
+    await cluster.clock.until(() => cluster.workers.some((worker) => worker.isActive('wk-5/0')), 5000),
+  );
   cluster.lostAnswers.add('stand');
   assert.ok(await cluster.submit(owner, job('wk-6', { cpus: 4 })));
   await cluster.clock.advance(200);
@@ -457,33 +459,39 @@
   assert.ok(await cluster.submit(owner, job('wk-7', { cpus: 4 })));
   await cluster.clock.advance(100);
   for (const worker of cluster.workers) {
-    worker.lastSent = Number.NEGATIVE_INFINITY;
+    worker.lastHeartbeatSentAt = Number.NEGATIVE_INFINITY;
     worker.checkLease();
   }
   await cluster.clock.advance(300);
   cluster.lostAnswers.clear();
   await cluster.clock.advance(15_000);
-  assert.equal(cluster.workers.filter((worker) => worker.on('wk-7/0')).length, 1, 'started exactly once');
+  assert.equal(
+    cluster.workers.filter((worker) => worker.isActive('wk-7/0')).length,
+    1,
+    'started exactly once',
+  );
 });
 
 test('does not restart a task that was done but not stored as done when its owner crashed', async () => {
   const cluster = await startInSyncCluster(6);
   const shard = cluster.shardOf('wk-1');
   const initialOwner = cluster.owner(shard)!;
-  const [first, second] = ['wk-1/0', 'wk-1/1'].map((p) => cluster.workers.find((worker) => worker.on(p))!);
-  first!.end('wk-1/0', 'done');
+  const [first, second] = ['wk-1/0', 'wk-1/1'].map(
+    (p) => cluster.workers.find((worker) => worker.isActive(p))!,
+  );
+  first!.endTask('wk-1/0', 'done');
   await cluster.clock.advance(1200);
   // The first completion has just been stored; the next one is batched with later ones.
-  second!.end('wk-1/1', 'done');
+  second!.endTask('wk-1/1', 'done');
   await cluster.clock.advance(1000);
   cluster.killNode(initialOwner);
-  cluster.silent.add(second!);
-  cluster.net.fate = (_f, addr) => (addr === second!.place.addr ? 'silent' : 'deliver');
+  cluster.notReporting.add(second!);
+  cluster.net.outcomeOf = (_f, addr) => (addr === second!.identity.addr ? 'silent' : 'deliver');
   await cluster.clock.advance(9000);
   assert.notEqual(cluster.owner(shard), initialOwner);
   assert.equal(cluster.starts, 4, 'the machine of the completed task does not answer yet');
-  cluster.silent.delete(second!);
-  cluster.net.fate = () => 'deliver';
+  cluster.notReporting.delete(second!);
+  cluster.net.outcomeOf = () => 'deliver';
   await cluster.clock.advance(8000);
   assert.equal(
     ((await cluster.call(cluster.owner(shard)!, 'GET', '/api/jobs/wk-1')).body as { done: number }).done,
--- a/tests/state/rateallocation.test.ts
+++ b/tests/state/rateallocation.test.ts
@@ -52,11 +52,11 @@
   const nodes = Array.from({ length: 9 }, (_, i) => `n${i}`);
   const cluster = new FakeCluster(nodes);
   cluster.stateRates = { rps: 200, writeRps: 80 };
-  cluster.ratesParted = 9;
+  cluster.rateDivisor = 9;
   cluster.state.limits.requestsPerSecond = 200;
   cluster.state.limits.writesPerSecond = 80;
   let renewalsRejected = 0;
-  cluster.state.observed = (request) => {
+  cluster.state.onRequest = (request) => {
     if (request.kind === 'lease' && request.status === 429) renewalsRejected++;
   };
   for (const n of nodes) cluster.startNode(n);
@@ -83,7 +83,7 @@
 test('nodes return to their even shares when the allocating leader dies, until the next leader allocates', async () => {
   const nodes = ['n0', 'n1', 'n2', 'n3', 'n4'];
   const cluster = new FakeCluster(nodes);
-  cluster.ratesParted = 5;
+  cluster.rateDivisor = 5;
   for (const n of nodes) cluster.startNode(n);
   await cluster.clock.advance(10_000);
   const leader = (cluster.state.value('c/lead') as { node: string }).node;
--- a/tests/support/busy.ts
+++ b/tests/support/busy.ts
@@ -5,9 +5,9 @@
 
 /**
  * Starts a cluster with a single team, whose shard owns all machines, and jobs `wk-1` to `wk-N` of three running
- * tasks each. `k` is the number of that shard.
+ * tasks each. `shard` is the number of that shard.
  */
-export async function busy(jobs: number): Promise<{ c: FakeCluster; k: number }> {
+export async function startBusyCluster(jobs: number): Promise<{ cluster: FakeCluster; shard: number }> {
   const cluster = new FakeCluster(NODES);
   cluster.teams = [{ name: 'red', cpus: 64, cpusMax: 0, gpus: 0, gpusMax: 0 }];
   cluster.standby = true;
@@ -18,17 +18,17 @@
     assert.ok(await cluster.submit('n1', job(`wk-${i}`, { pieces: 3, cpus: 8, expectedS: 600 })));
   assert.ok(await cluster.clock.until(() => cluster.attempts === jobs * 3, 20_000));
   await cluster.clock.advance(4000);
-  return { c: cluster, k: cluster.shardOf('wk-1') };
+  return { cluster: cluster, shard: cluster.shardOf('wk-1') };
 }
 
 /** Counts the attempts of a job that workers still hold; each worker first checks its lease against its own clock. */
-export const running = (c: FakeCluster, id: string) =>
+export const countRunningAttempts = (c: FakeCluster, id: string) =>
   c.workers.flatMap((w) => {
     w.checkLease();
     return w.attempts.filter((a) => a.job === id && a.state !== 'exited');
   }).length;
 
-export async function status(c: FakeCluster, node: string, id: string): Promise<string | number> {
+export async function jobStatus(c: FakeCluster, node: string, id: string): Promise<string | number> {
   const reply = await c.call(node, 'GET', `/api/jobs/${id}`);
   return reply.status === 200 ? (reply.body as { status: string }).status : reply.status;
 }
--- a/tests/support/captured.ts
+++ b/tests/support/captured.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import type { Capture } from './capture.js';
 import { FakeCluster, job } from './cluster.js';
-import { ask, submission } from './condor.js';
+import { requestWithRetry, submission } from './condor.js';
 
 const GUARANTEED = { cpus: 320, cpusMax: 2000, gpus: 8, gpusMax: 80 };
 
@@ -61,12 +61,12 @@
 /** Ends attempts with every exit cause, cancels jobs, and reclaims a machine, until all tasks are done. */
 async function playTaskEnds(cluster: FakeCluster): Promise<void> {
   for (const w of cluster.workers)
-    for (const a of w.attempts) if (a.task === 'wk-array/0') w.end(a.task, 'done');
+    for (const a of w.attempts) if (a.task === 'wk-array/0') w.endTask(a.task, 'done');
   await cluster.clock.advance(4000);
   const causes = ['error', 'no_room', 'busy', 'peers', 'alone', 'unknown'] as const;
   for (const [n, cause] of causes.entries()) {
     for (const w of cluster.workers)
-      for (const a of w.attempts) if (a.task === `wk-array/${(n % 5) + 1}`) w.end(a.task, cause, n === 0);
+      for (const a of w.attempts) if (a.task === `wk-array/${(n % 5) + 1}`) w.endTask(a.task, cause, n === 0);
     await cluster.clock.advance(4000);
   }
   for (const node of ['n0', 'n1', 'n2']) {
@@ -77,7 +77,7 @@
   cluster.workers[0]!.notice(120);
   await cluster.clock.advance(4000);
   for (let round = 0; round < 10; round++) {
-    for (const w of cluster.workers) for (const a of w.attempts) w.end(a.task, 'done');
+    for (const w of cluster.workers) for (const a of w.attempts) w.endTask(a.task, 'done');
     await cluster.clock.advance(1500);
   }
   for (const node of cluster.nodes.keys()) await cluster.call(node, 'GET', '/api/jobs/wk-array');
@@ -86,42 +86,43 @@
 /** Expands, holds, releases and removes HTCondor clusters, until one has ended. */
 async function playCondor(cluster: FakeCluster): Promise<void> {
   const text = 'request_cpus = 1\nrequirements = Memory >= 1024\nrank = Cpus\nbatch_name = nightly\nqueue 3';
-  for (const n of [0, 1]) await ask(cluster, 'n1', 'POST', '/condor/clusters', submission(text, n));
-  await ask(cluster, 'n1', 'POST', '/condor/clusters', submission('queue x y', 2));
+  for (const n of [0, 1])
+    await requestWithRetry(cluster, 'n1', 'POST', '/condor/clusters', submission(text, n));
+  await requestWithRetry(cluster, 'n1', 'POST', '/condor/clusters', submission('queue x y', 2));
   await cluster.clock.advance(5000);
   for (const node of ['n0', 'n1']) {
     const path = '/condor/clusters/1';
-    await ask(cluster, node, 'POST', `${path}/hold`, {
+    await requestWithRetry(cluster, node, 'POST', `${path}/hold`, {
       procs: [0],
       constraint: 'ProcId == 0',
       reason: 'wait',
     });
     for (const what of ['', '/procs?from=0', '/analyze?from=1'])
-      await ask(cluster, node, 'GET', `${path}${what}`);
-    await ask(cluster, node, 'POST', `${path}/release`, { procs: [0] });
-    await ask(cluster, node, 'POST', `${path}/remove`, { procs: [node === 'n0' ? 1 : 2] });
+      await requestWithRetry(cluster, node, 'GET', `${path}${what}`);
+    await requestWithRetry(cluster, node, 'POST', `${path}/release`, { procs: [0] });
+    await requestWithRetry(cluster, node, 'POST', `${path}/remove`, { procs: [node === 'n0' ? 1 : 2] });
   }
-  await ask(cluster, 'n0', 'GET', '/condor/clusters/77');
-  await ask(cluster, 'n0', 'POST', '/condor/clusters/2/remove', {});
+  await requestWithRetry(cluster, 'n0', 'GET', '/condor/clusters/77');
+  await requestWithRetry(cluster, 'n0', 'POST', '/condor/clusters/2/remove', {});
   const hasEnded = () => cluster.state.value('condor/over/00000002') !== undefined;
   const completeTasks = async () => {
-    for (const w of cluster.workers) for (const a of w.attempts) w.end(a.task, 'done');
+    for (const w of cluster.workers) for (const a of w.attempts) w.endTask(a.task, 'done');
     await cluster.clock.advance(1000);
   };
   for (let i = 0; i < 90 && !hasEnded(); i++) await completeTasks();
   assert.ok(hasEnded(), 'a cluster has ended');
-  for (const node of ['n0', 'n1']) await ask(cluster, node, 'GET', '/condor/clusters?over=1');
+  for (const node of ['n0', 'n1']) await requestWithRetry(cluster, node, 'GET', '/condor/clusters?over=1');
 }
 
 /** Makes shard owners unreachable for workers, leave gracefully, crash and restart. */
 async function playOwnerFailures(cluster: FakeCluster): Promise<void> {
   const unreachableOwner = cluster.owner(0)!;
-  cluster.cutFromWorkers.add(unreachableOwner);
-  cluster.net.fate = (from, address) =>
+  cluster.nodesCutFromWorkers.add(unreachableOwner);
+  cluster.net.outcomeOf = (from, address) =>
     from === unreachableOwner && address.startsWith('10.1.') ? 'silent' : 'deliver';
   await cluster.clock.advance(15_000);
-  cluster.cutFromWorkers.clear();
-  cluster.net.fate = () => 'deliver';
+  cluster.nodesCutFromWorkers.clear();
+  cluster.net.outcomeOf = () => 'deliver';
   await cluster.clock.advance(40_000);
   const leaving = cluster.owner(1)!;
   const departure = cluster.nodes.get(leaving)!.node.leave();
@@ -159,7 +160,7 @@
   await startNodes(capture, cluster, ['n0', 'n1']);
   const owner = cluster.owner((cluster.state.value('c/teams') as Record<string, number>).red!)!;
   const other = owner === 'n0' ? 'n1' : 'n0';
-  cluster.refused.add(owner);
+  cluster.nodesRefusingPeers.add(owner);
   assert.ok(await cluster.submit(other, job('wk-mail')));
   await cluster.call(other, 'POST', '/api/jobs/wk-mail/abort');
   await cluster.call(other, 'GET', '/api/jobs/wk-mail');
@@ -171,7 +172,7 @@
 async function playSmallValues(capture: Capture): Promise<void> {
   const cluster = new FakeCluster(['n0']);
   cluster.stateLimits = { rps: 600, writeRps: 300, valueKb: 1, txnOps: 4 };
-  cluster.capacity = true;
+  cluster.cloudHasCapacity = true;
   cluster.teams = Array.from({ length: 40 }, (_, i) => ({
     name: i === 0 ? 'red' : `a-team-with-a-long-name-${i}`,
     ...GUARANTEED,
@@ -183,10 +184,10 @@
   assert.ok(await cluster.submit('n0', job('wk-many', { pieces: 12_000, cpus: 1, memoryGb: 1 })));
   const rented = () => cluster.rented.length > 0 && cluster.workers.length > 0;
   assert.ok(await cluster.clock.until(rented, 20_000));
-  for (const w of cluster.workers) cluster.silent.delete(w);
+  for (const w of cluster.workers) cluster.notReporting.delete(w);
   await cluster.clock.advance(20_000);
   for (let round = 0; round < 4; round++) {
-    for (const w of cluster.workers) for (const a of w.attempts) w.end(a.task, 'done');
+    for (const w of cluster.workers) for (const a of w.attempts) w.endTask(a.task, 'done');
     await cluster.clock.advance(4000);
   }
   for (const id of [...waitsOn, 'wk-parts', 'wk-many'])
@@ -210,7 +211,7 @@
   for (let i = 0; i < 12; i++) {
     await cluster.clock.advance(2000);
     for (const [n, w] of cluster.workers.entries())
-      for (const a of w.attempts) if (a.state === 'running' && n % 12 === i) w.end(a.task, 'done');
+      for (const a of w.attempts) if (a.state === 'running' && n % 12 === i) w.endTask(a.task, 'done');
   }
 }
 
@@ -240,7 +241,8 @@
   await startNodes(capture, cluster, nodes);
   assert.ok(await cluster.submit('n0', job('wk-wrong', { cpus: 8, pieces: 4 })));
   for (let round = 0; round < 20; round++) {
-    for (const w of cluster.workers) for (const a of w.attempts) w.end(a.task, round < 14 ? 'error' : 'done');
+    for (const w of cluster.workers)
+      for (const a of w.attempts) w.endTask(a.task, round < 14 ? 'error' : 'done');
     await cluster.clock.advance(2500);
   }
 }
--- a/tests/support/cluster.ts
+++ b/tests/support/cluster.ts
@@ -31,7 +31,7 @@
   node: ControllerNode;
   store: StateStore;
   api: Api;
-  cut: boolean;
+  disconnected: boolean;
   stopped: { value: boolean };
   /**
    * While the node is paused, due timers and incoming messages are queued, like in the sockets of a stopped
@@ -79,7 +79,11 @@
     rent: (r) => this.rent(r),
     release: (ids) => this.release(ids),
     list: () =>
-      [...this.workers, ...this.ghosts].map(({ place }) => ({ ...place, state: 'running', ageS: 100 })),
+      [...this.workers, ...this.listedRemovedMachines].map(({ identity }) => ({
+        ...identity,
+        state: 'running',
+        ageS: 100,
+      })),
   });
   readonly nodes = new Map<string, Running>();
   readonly workers: Worker[] = [];
@@ -87,7 +91,7 @@
   readonly released: string[] = [];
   /** The node that each worker sends its heartbeats to. */
   private readonly reportsTo = new Map<Worker, string>();
-  readonly silent = new Set<Worker>();
+  readonly notReporting = new Set<Worker>();
   /** Called with every heartbeat that a worker sends. */
   onHeartbeat: ((report: object) => void) | null = null;
   /** Workers whose heartbeats arrive while no response and no command reaches them. */
@@ -105,35 +109,35 @@
   /** Returns the latency of a message that a node sends, in milliseconds. */
   linkDelayMs: () => number = () => 0;
   /** Nodes that no worker can reach, while all their other connections work. */
-  readonly cutFromWorkers = new Set<string>();
-  capacity = false;
+  readonly nodesCutFromWorkers = new Set<string>();
+  cloudHasCapacity = false;
   stateRates = { rps: 600, writeRps: 300 };
   /** The zones of each region; empty when all zones are in one region. */
   regions: Record<string, string[]> = {};
   /** The number of nodes by which each node divides the rate limits of the state service. */
-  ratesParted = 1;
+  rateDivisor = 1;
   /** Machine types in addition to `c8` and `g8`: name, CPUs, GPUs. */
-  readonly moreTypes: [string, number, number][] = [];
+  readonly additionalTypes: [string, number, number][] = [];
   /** Price per GPU, added to the price of a machine. */
-  cardPrice = 0;
+  gpuPrice = 0;
   /** Removed machines that the cloud's list still contains. */
-  readonly ghosts: Worker[] = [];
+  readonly listedRemovedMachines: Worker[] = [];
   teams: Settings['teams'] = [{ name: 'red', cpus: 16, cpusMax: 32, gpus: 0, gpusMax: 0 }];
   stateLimits: Settings['stateLimits'] = { rps: 600, writeRps: 300, valueKb: 8, txnOps: 16 };
   /** Peer operations whose requests arrive and whose responses are lost. */
   readonly lostAnswers = new Set<string>();
   /** Nodes that refuse connections from other controllers. */
-  readonly refused = new Set<string>();
+  readonly nodesRefusingPeers = new Set<string>();
   /** Peer operations whose messages are lost. */
-  readonly lostMessages = new Set<string>();
-  readonly sent: { from: string; to: string; op: string }[] = [];
+  readonly lostOperations = new Set<string>();
+  readonly sentMessages: { from: string; to: string; op: string }[] = [];
   objectives: Settings['objectives'] = [{ kind: 'wait', class: 'train', withinS: 10, share: 0.9 }];
   /** Whether nodes serve HTCondor submit files. */
   condor = false;
   /**
    * Nodes of the previous version, which has neither change feeds nor rate allocation and rejects these operations.
    */
-  readonly former = new Set<string>();
+  readonly previousVersionNodes = new Set<string>();
   /** Whether started nodes use standbys; a list names the nodes that do. */
   standby: boolean | string[] = false;
   /** Runs the tasks of workers that are added later; without it tasks run until a test ends them. */
@@ -158,7 +162,7 @@
 
   /** Rewrites a request of a node of the previous version: its presence record does not announce change feeds. */
   private asPreviousVersion(body: unknown, from: string): unknown {
-    if (!this.former.has(from) || body === null) return body;
+    if (!this.previousVersionNodes.has(from) || body === null) return body;
     return JSON.parse(JSON.stringify(body, (key, value) => (key === 'feeds' ? undefined : value)));
   }
 
@@ -168,7 +172,7 @@
 
   /** Returns the zone of the worker at an address; null for the services, which are in no zone. */
   private zoneAt(addr: string): string | null {
-    return this.workers.find((w) => w.place.addr === addr)?.place.zone ?? null;
+    return this.workers.find((w) => w.identity.addr === addr)?.identity.zone ?? null;
   }
 
   private areZonesPartitioned(one: string | null, other: string | null): boolean {
@@ -240,7 +244,7 @@
     if (this.condor) context.matchCompiler = new ClassAdMatcher(names, context.catalog);
     context.store = new StateStore(clock, context.http, STATE, {
       ...this.stateRates,
-      nodes: this.ratesParted,
+      nodes: this.rateDivisor,
     });
     context.cloud = new Cloud(clock, context.http, CLOUD, 30, 1);
     const node = new ControllerNode(context, this.hasStandby(name) ? StandbyCoordinator : null);
@@ -249,10 +253,17 @@
     api.handle = (request) => whenAwake(request).then(handle);
     const condor = this.condor ? new CondorService(context, node, { team: 'red', depot: null }) : null;
     if (condor) {
-      api.mounts.set('/condor/', (request) => condor.handle(request));
+      api.handlersByPrefix.set('/condor/', (request) => condor.handle(request));
       condor.start();
     }
-    const running: Running = { node, store: context.store, api, cut: false, stopped, paused: paused };
+    const running: Running = {
+      node,
+      store: context.store,
+      api,
+      disconnected: false,
+      stopped,
+      paused: paused,
+    };
     this.nodes.set(name, running);
     void node.start(this.mesh(name, running));
     return running;
@@ -289,7 +300,7 @@
 
   /** The number of starts that all present workers have executed so far. */
   get starts(): number {
-    return this.workers.reduce((n, w) => n + w.started.length, 0);
+    return this.workers.reduce((n, w) => n + w.executedStarts.length, 0);
   }
 
   killNode(name: string): void {
@@ -339,14 +350,16 @@
         // A killed process sends no requests.
         if (running.stopped.value) return new Promise(() => undefined);
         const target = this.nodes.get(to);
-        this.sent.push({ from, to, op });
+        this.sentMessages.push({ from, to, op });
         const unknown =
-          OPS_UNKNOWN_TO_PREVIOUS_VERSION.has(op) && (this.former.has(from) || this.former.has(to));
+          OPS_UNKNOWN_TO_PREVIOUS_VERSION.has(op) &&
+          (this.previousVersionNodes.has(from) || this.previousVersionNodes.has(to));
         if (unknown) throw new Error(`unknown request ${op}`);
-        if (!target || target.cut || running.cut || target.paused.value) throw new Error('not connected');
+        if (!target || target.disconnected || running.disconnected || target.paused.value)
+          throw new Error('not connected');
         if (this.areNodesPartitioned(from, to)) throw new Error('not connected');
-        if (this.refused.has(to)) throw new Error('refused');
-        if (this.lostMessages.has(op)) throw new Error('no answer');
+        if (this.nodesRefusingPeers.has(to)) throw new Error('refused');
+        if (this.lostOperations.has(op)) throw new Error('no answer');
         const ms = this.linkDelayMs();
         if (ms > 0) await pause(this.clock, ms);
         // A node that is killed while it handles the request never answers.
@@ -360,16 +373,28 @@
       },
       notify: (to, op, args) => {
         const target = this.nodes.get(to);
-        if (!target || target.cut || running.cut || running.stopped.value || target.paused.value) return;
-        if (this.lostMessages.has(op) || this.refused.has(to)) return;
+        if (
+          !target ||
+          target.disconnected ||
+          running.disconnected ||
+          running.stopped.value ||
+          target.paused.value
+        )
+          return;
+        if (this.lostOperations.has(op) || this.nodesRefusingPeers.has(to)) return;
         if (this.areNodesPartitioned(from, to)) return;
         void target.node.serve(op, JSON.parse(JSON.stringify(args)), from).catch(() => from);
       },
-      refused: (to) => !this.nodes.has(to) || this.refused.has(to),
+      refused: (to) => !this.nodes.has(to) || this.nodesRefusingPeers.has(to),
       connected: (to) => {
         const target = this.nodes.get(to);
         if (this.areNodesPartitioned(from, to)) return false;
-        return target !== undefined && !target.cut && !running.cut && !this.refused.has(to);
+        return (
+          target !== undefined &&
+          !target.disconnected &&
+          !running.disconnected &&
+          !this.nodesRefusingPeers.has(to)
+        );
       },
     };
   }
@@ -380,7 +405,7 @@
   }
 
   private reportLoop(): void {
-    for (const w of this.workers) if (!this.silent.has(w)) this.reportOnce(w);
+    for (const w of this.workers) if (!this.notReporting.has(w)) this.reportOnce(w);
     this.clock.after(1000, () => this.reportLoop());
   }
 
@@ -395,8 +420,8 @@
       this.inboundBlockedUntil.set(worker, sent + 5000);
     }
     const unreached =
-      this.outboundBlocked.has(worker) || this.areZonesPartitioned(worker.place.zone, this.zoneOf(at));
-    if (!running || running.cut || unreached || this.cutFromWorkers.has(at)) {
+      this.outboundBlocked.has(worker) || this.areZonesPartitioned(worker.identity.zone, this.zoneOf(at));
+    if (!running || running.disconnected || unreached || this.nodesCutFromWorkers.has(at)) {
       this.reportsTo.set(worker, next);
       return;
     }
@@ -412,20 +437,20 @@
       // The response does not reach this worker, which times out after 4 s and turns to the next node a second later.
       if (isBlocked) return;
       timer.cancel();
-      if (reply.status === 200) worker.answer(JSON.parse(JSON.stringify(reply.body)), sent);
+      if (reply.status === 200) worker.handleHeartbeatResponse(JSON.parse(JSON.stringify(reply.body)), sent);
       else this.reportsTo.set(worker, readRedirect(reply.body) ?? next);
     });
   }
 
   /** The machine types that the cloud offers. */
   get types(): MachineType[] {
-    return [['c8', 8, 0] as const, ['g8', 8, 2] as const, ...this.moreTypes].map(([n, c, g]) =>
+    return [['c8', 8, 0] as const, ['g8', 8, 2] as const, ...this.additionalTypes].map(([n, c, g]) =>
       this.type(n, c, g),
     );
   }
 
   private type(name: string, cpus: number, gpus: number): MachineType {
-    const price = cpus / 10 + gpus * this.cardPrice;
+    const price = cpus / 10 + gpus * this.gpuPrice;
     return {
       name,
       cpus,
@@ -441,10 +466,10 @@
   }
 
   private rent(r: Rental): string[] {
-    if (!this.capacity) return [];
+    if (!this.cloudHasCapacity) return [];
     return Array.from({ length: r.count }, () => {
       const w = this.addWorker(r.type, r.zone, r.spot);
-      this.silent.add(w);
+      this.notReporting.add(w);
       return w.id;
     });
   }
@@ -452,8 +477,8 @@
   /** Removes a machine together with all attempts on it. */
   remove(worker: Worker): void {
     this.workers.splice(this.workers.indexOf(worker), 1);
-    this.net.peers.delete(worker.place.addr);
-    worker.die();
+    this.net.peers.delete(worker.identity.addr);
+    worker.killTasks();
   }
 
   private release(ids: string[]): void {
--- a/tests/support/condor.ts
+++ b/tests/support/condor.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { FakeCluster } from './cluster.js';
 
-export const HEAD = 'executable = run.sh\naccounting_group = red\n';
+export const SUBMIT_FILE_HEAD = 'executable = run.sh\naccounting_group = red\n';
 
 /** Starts controllers that serve HTCondor submit files, with workers of two types. */
 export function condorCluster(nodes: string[], workers = 4): FakeCluster {
@@ -16,7 +16,7 @@
 /**
  * Retries a request to a node, also across restarts, until the response is neither a server error nor a rate limit.
  */
-export async function ask(
+export async function requestWithRetry(
   cluster: FakeCluster,
   node: string,
   method: string,
@@ -41,19 +41,19 @@
 
 export const submission = (text: string, n = 0) => ({
   submission: `submission-${n}`,
-  text: HEAD + text,
+  text: SUBMIT_FILE_HEAD + text,
   user: 'ann',
 });
 
 /** Completes running tasks every 400 ms, and counts how often each task was completed. */
-export function finisher(cluster: FakeCluster) {
+export function completeRunningTasks(cluster: FakeCluster) {
   const done = new Map<string, number>();
   const step = () => {
     for (const w of cluster.workers)
       for (const a of w.attempts)
         if (a.state === 'running') {
           done.set(a.task, (done.get(a.task) ?? 0) + 1);
-          w.end(a.task, 'done');
+          w.endTask(a.task, 'done');
         }
     cluster.clock.after(400, step);
   };
@@ -73,10 +73,10 @@
   most: number,
 ): Promise<number> {
   const cluster = condorCluster(['n0', 'n1'], 8);
-  const { done } = finisher(cluster);
+  const { done } = completeRunningTasks(cluster);
   let steps = 0;
   let kills = 0;
-  const accepted = await ask(
+  const accepted = await requestWithRetry(
     cluster,
     'n0',
     'POST',
@@ -84,7 +84,7 @@
     submission(`request_cpus = 1\nqueue ${procs}`),
   );
   assert.deepEqual([accepted.status, accepted.body.cluster, accepted.body.procs], [201, 1, procs]);
-  cluster.net.fate = (from, _addr, method, path, body) => {
+  cluster.net.outcomeOf = (from, _addr, method, path, body) => {
     const text = method === 'POST' && path === '/txn' ? JSON.stringify(body) : '';
     if (!text.includes('condor/') && !text.includes('act/wk-condor')) return 'deliver';
     if (++steps % every !== first || kills >= most || !cluster.nodes.has(from)) return 'deliver';
--- a/tests/support/feeds.ts
+++ b/tests/support/feeds.ts
@@ -17,7 +17,7 @@
   /** Whether the node is killed or paused, and therefore answers no request and runs no callback. */
   down: boolean;
   /** Whether the node's lease renewals show that the state service is reachable. */
-  served: boolean;
+  stateStoreReachable: boolean;
 }
 
 /** Change feeds and cluster state caches of several controllers, with one emulated state service, on a fake clock. */
@@ -26,15 +26,15 @@
   readonly state = new StateService(this.clock);
   readonly net = new FakeNet(this.clock);
   readonly nodes = new Map<string, FeedNode>();
-  /** The nodes that are present, the one that joined first at the front; `seenBy` overrides it for single nodes. */
+  /** The nodes that are present, in the order of joining; `presenceSeenBy` overrides it for single nodes. */
   present: string[];
-  readonly seenBy = new Map<string, string[]>();
+  readonly presenceSeenBy = new Map<string, string[]>();
   /** Partitioned pairs of nodes, as `from>to`; a pair is partitioned in both directions. */
   readonly cut = new Set<string>();
   /** Returns the latency of an answer, in milliseconds. */
   answerMs: (from: string, to: string, op: string) => number = () => 0;
   /** Alters an answer in transit. */
-  tamper: (answer: unknown, from: string, to: string) => unknown = (answer) => answer;
+  alterAnswer: (answer: unknown, from: string, to: string) => unknown = (answer) => answer;
   /** The number of requests to the state service, by node and kind. */
   readonly requests = new Map<string, number>();
   readonly sentRequests: { from: string; to: string; op: string }[] = [];
@@ -46,7 +46,7 @@
   ) {
     this.present = [...names];
     this.net.peers.set(STATE, (m, p, b, from) => this.state.serve(m, p, b, from));
-    this.state.observed = (r) => {
+    this.state.onRequest = (r) => {
       const key = `${r.from} ${r.kind}`;
       this.requests.set(key, (this.requests.get(key) ?? 0) + 1);
     };
@@ -72,11 +72,11 @@
       // The share of each node in a cluster of seventeen.
       requestsPerSecond: limits.rps / 17,
       presentNodes: () => this.presentNodesFor(name),
-      isStateStoreReachable: () => node.served,
+      isStateStoreReachable: () => node.stateStoreReachable,
     };
     const feed = new ChangeFeed(clock, store, log, options);
     const stateCache = new ClusterStateCache(clock, feed, 'c/', log, () => undefined);
-    const node: FeedNode = { feed, stateCache, down: false, served: true };
+    const node: FeedNode = { feed, stateCache, down: false, stateStoreReachable: true };
     this.nodes.set(name, node);
     feed.start(this.mesh(name, node));
     void stateCache.run();
@@ -84,20 +84,25 @@
   }
 
   /** Writes a record and returns its version. */
-  change(key: string, value: unknown = ++this.valueCount): number {
+  writeRecord(key: string, value: unknown = ++this.valueCount): number {
     return this.write([{ set: key, value }]);
   }
 
-  drop(key: string): number {
+  deleteRecord(key: string): number {
     return this.write([{ drop: key }]);
   }
 
-  watches(name: string): number {
+  watchCount(name: string): number {
     return this.requests.get(`${name} watch`) ?? 0;
   }
 
   /** Returns whether within `ms` all nodes that are up, except `but`, have this version of a record. */
-  async knownWithin(key: string, version: number, ms: number, but: readonly string[] = []): Promise<boolean> {
+  async isKnownWithin(
+    key: string,
+    version: number,
+    ms: number,
+    but: readonly string[] = [],
+  ): Promise<boolean> {
     const nodesLacking = () =>
       [...this.nodes].filter(
         ([name, n]) => !n.down && !but.includes(name) && n.stateCache.entries.get(key)?.version !== version,
@@ -113,7 +118,7 @@
   }
 
   private presentNodesFor(name: string): PresentNode[] {
-    return (this.seenBy.get(name) ?? this.present).map((node, version) => ({ node, version }));
+    return (this.presenceSeenBy.get(name) ?? this.present).map((node, version) => ({ node, version }));
   }
 
   private isConnected(from: string, to: string): boolean {
@@ -134,7 +139,7 @@
             const served = await target.feed.serve(op, JSON.parse(JSON.stringify(args)));
             await pause(this.clock, this.answerMs(from, to, op));
             if (!target.down && !node.down)
-              resolve(this.tamper(JSON.parse(JSON.stringify(served)), from, to));
+              resolve(this.alterAnswer(JSON.parse(JSON.stringify(served)), from, to));
           };
           void answer().catch(reject);
         });
--- a/tests/support/heads.ts
+++ b/tests/support/heads.ts
@@ -20,7 +20,7 @@
   server.listen(0, HOST);
   await once(server, 'listening');
   const address = `${HOST}:${(server.address() as net.AddressInfo).port}`;
-  const client = new HttpClient(systemClock, { maxSockets: 1, bodyBytes: 1000 });
+  const client = new HttpClient(systemClock, { maxSockets: 1, maxBodyBytes: 1000 });
   for (const [method, path, body] of [
     ['GET', '/keys/c/own/1', null],
     ['POST', '/leases/3/touch', {}],
@@ -64,9 +64,9 @@
   let reply = REPLIES[0]!;
   const server = new HttpServer(systemClock, () => reply, {
     maxConnections: 20,
-    bodyBytes: 100,
-    requestMs: 5000,
-    idleMs: 5000,
+    maxBodyBytes: 100,
+    requestTimeoutMs: 5000,
+    idleTimeoutMs: 5000,
     onError: () => undefined,
   });
   const port = await server.listen(HOST, 0);
--- a/tests/support/meeting.ts
+++ b/tests/support/meeting.ts
@@ -49,7 +49,7 @@
     { name: 'blue', cpus: 8, cpusMax: 24, gpus: 0, gpusMax: 0 },
   ];
   cluster.objectives = [];
-  cluster.capacity = true;
+  cluster.cloudHasCapacity = true;
   cluster.standby = random.chance(0.75);
   cluster.zones.set(NODES[2]!, 'b');
   const types = new Map(cluster.types.map((t) => [t.name, t]));
@@ -69,8 +69,8 @@
       if (knownWorkers.has(w)) continue;
       knownWorkers.add(w);
       cluster.clock.after(injector.bootMs, () => {
-        w.lastSent = cluster.clock.now();
-        cluster.silent.delete(w);
+        w.lastHeartbeatSentAt = cluster.clock.now();
+        cluster.notReporting.delete(w);
       });
     }
   };
@@ -81,7 +81,8 @@
     bootNewWorkers();
     // A lease expires by the machine's own clock, also while the machine hangs.
     for (const w of cluster.workers)
-      if (knownWorkers.has(w) && !(cluster.silent.has(w) && w.started.length === 0)) w.checkLease();
+      if (knownWorkers.has(w) && !(cluster.notReporting.has(w) && w.executedStarts.length === 0))
+        w.checkLease();
     await cluster.clock.advance(CHECK_INTERVAL_MS);
     const now = cluster.clock.now();
     if (injector.allEnded && now > startedAt + SUBMISSION_PERIOD_S * 1000) endedAt ??= now;
@@ -90,7 +91,7 @@
       ...starvation.observe(now, freeCapacity(cluster, users), waitingJobs(cluster, users, tasks)),
     );
     const forgotten = users.findForgotten(endedAt, false);
-    const hasOpenJobs = [...users.jobs.values()].some((j) => j.accepted && !j.over);
+    const hasOpenJobs = [...users.jobs.values()].some((j) => j.accepted && !j.ended);
     if (
       forgotten.length > 0 ||
       now > endedAt + DRAIN_S * 1000 ||
@@ -118,16 +119,16 @@
   };
 }
 
-/** Records when each start command was sent; `fate` takes precedence over the faults. */
+/** Records when each start command was sent; `outcomeOf` takes precedence over the faults. */
 function recordStartCommands(
   cluster: FakeCluster,
   fate: Parameters<typeof playScenario>[2],
 ): Map<string, number> {
   const commandedAt = new Map<string, number>();
-  const faultOutcome = cluster.net.fate;
-  cluster.net.fate = (from, addr, method, path, body) => {
-    const orders = path === WORKER_PATHS.commands ? (readCommands(body)?.orders ?? []) : [];
-    const machine = orders.length > 0 ? cluster.workers.find((w) => w.place.addr === addr)?.id : undefined;
+  const faultOutcome = cluster.net.outcomeOf;
+  cluster.net.outcomeOf = (from, addr, method, path, body) => {
+    const orders = path === WORKER_PATHS.commands ? (readCommands(body)?.commands ?? []) : [];
+    const machine = orders.length > 0 ? cluster.workers.find((w) => w.identity.addr === addr)?.id : undefined;
     for (const o of orders)
       if (o.op === 'start' && machine !== undefined)
         commandedAt.set(startKey(machine, o.job, o.index, o.attempt), cluster.clock.now());
@@ -140,9 +141,9 @@
 function freeCapacity(cluster: FakeCluster, users: Users): FreeCapacity[] {
   const types = new Map(cluster.types.map((t) => [t.name, t]));
   return cluster.workers
-    .filter((w) => !cluster.silent.has(w) && w.noticeS === null)
+    .filter((w) => !cluster.notReporting.has(w) && w.noticeS === null)
     .map((worker) => {
-      const { type, zone, spot } = worker.place;
+      const { type, zone, spot } = worker.identity;
       const free = { ...types.get(type)! };
       for (const a of worker.attempts) {
         const spec = a.state === 'exited' ? undefined : users.jobs.get(a.job)?.spec;
@@ -169,12 +170,12 @@
       const teamUse = usedByTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
       usedByTeam.set(spec.team, { cpus: teamUse.cpus + spec.cpus, gpus: teamUse.gpus + spec.gpus });
     }
-  const done = new Set([...users.jobs.values()].filter((j) => j.over).map((j) => j.spec.id));
+  const done = new Set([...users.jobs.values()].filter((j) => j.ended).map((j) => j.spec.id));
   const allTasksDone = (spec: JobSpec) =>
     tasks.history.filter((e) => e.job === spec.id && e.cause === 'done').length >=
     (spec.kind === 'gang' ? 1 : spec.tasks);
   return [...users.jobs.values()]
-    .filter((j) => j.accepted && !j.over && !j.cancelAsked && !placed.has(j.spec.id))
+    .filter((j) => j.accepted && !j.ended && !j.cancelAsked && !placed.has(j.spec.id))
     .filter((j) => j.spec.after.every((id) => done.has(id)) && !allTasksDone(j.spec))
     .map(({ spec }) => {
       const team = cluster.teams.find((t) => t.name === spec.team);
--- a/tests/support/net.ts
+++ b/tests/support/net.ts
@@ -1,8 +1,13 @@
 import type { Clock } from '../../src/clock/clock.js';
-import type { Served } from '../../src/emulator/state.js';
-import { type HttpAnswer, HttpRequestError, type Requester } from '../../src/http/client.js';
+import type { ServiceResponse } from '../../src/emulator/state.js';
+import { HttpRequestError, type HttpResponse, type Requester } from '../../src/http/client.js';
 
-export type Peer = (method: string, path: string, body: unknown, from: string) => Served | Promise<Served>;
+export type Peer = (
+  method: string,
+  path: string,
+  body: unknown,
+  from: string,
+) => ServiceResponse | Promise<ServiceResponse>;
 
 /**
  * The outcome of a request. `refuse` fails at once; for all values other than `deliver` and `refuse` the sender
@@ -15,10 +20,10 @@
 export class FakeNet {
   readonly peers = new Map<string, Peer>();
   readonly held: { addr: string; method: string; path: string; body: unknown; from: string }[] = [];
-  fate: (from: string, addr: string, method: string, path: string, body: unknown) => RequestOutcome = () =>
-    'deliver';
+  outcomeOf: (from: string, addr: string, method: string, path: string, body: unknown) => RequestOutcome =
+    () => 'deliver';
 
-  /** Returns whether two addresses are partitioned; this takes precedence over `fate`. */
+  /** Returns whether two addresses are partitioned; this takes precedence over `outcomeOf`. */
   isPartitioned: (from: string, addr: string) => boolean = () => false;
 
   /** Returns the latency of a delivered request, in milliseconds. */
@@ -45,9 +50,9 @@
     path: string,
     body: unknown,
     timeoutMs: number,
-  ): Promise<HttpAnswer> {
+  ): Promise<HttpResponse> {
     const copy: unknown = body === null ? null : JSON.parse(JSON.stringify(body));
-    const fate = this.isPartitioned(from, addr) ? 'silent' : this.fate(from, addr, method, path, copy);
+    const fate = this.isPartitioned(from, addr) ? 'silent' : this.outcomeOf(from, addr, method, path, copy);
     const peer = this.peers.get(addr);
     if (fate === 'refuse' || !peer) throw new HttpRequestError('refused', false);
     if (fate === 'hold') this.held.push({ addr, method, path, body: copy, from });
--- a/tests/support/plan.ts
+++ b/tests/support/plan.ts
@@ -37,7 +37,7 @@
     deadline: 1000,
     total: 1,
     tasks: [0],
-    present: new Map(),
+    placedByZone: new Map(),
     ...change,
   };
 }
--- a/tests/support/process.ts
+++ b/tests/support/process.ts
@@ -8,7 +8,7 @@
 }
 
 /** Runs a program with Node.js and returns its exit code and output. */
-export function run(program: string, args: readonly string[]): Promise<ProcessResult> {
+export function runNode(program: string, args: readonly string[]): Promise<ProcessResult> {
   return new Promise((resolve) => {
     execFile(process.execPath, [program, ...args], (error, out, err) =>
       resolve({ code: error ? Number(error.code) : 0, out, err }),
@@ -20,6 +20,6 @@
  * Runs `check:meetings` in a separate process. Inside the test runner, which tracks each promise, it would take ten
  * times as long.
  */
-export function checkMeetings(...args: string[]): Promise<ProcessResult> {
-  return run(fileURLToPath(new URL('../meetings/check.js', import.meta.url)), args);
+export function runFaultScenarios(...args: string[]): Promise<ProcessResult> {
+  return runNode(fileURLToPath(new URL('../meetings/check.js', import.meta.url)), args);
 }
--- a/tests/support/produced.ts
+++ b/tests/support/produced.ts
@@ -13,7 +13,7 @@
 import { PEER_OPS } from '../../src/controller/peeroperations.js';
 import type { StoredRequests } from '../../src/controller/storedrequests.js';
 import { StateService } from '../../src/emulator/state.js';
-import type { HttpAnswer, Requester } from '../../src/http/client.js';
+import type { HttpResponse, Requester } from '../../src/http/client.js';
 import { type Job, makeJob } from '../../src/jobs/job.js';
 import { JobRecords } from '../../src/jobs/records.js';
 import { encodeFrame } from '../../src/peer/frames.js';
@@ -106,7 +106,7 @@
   const clock = new FakeClock();
   const sent: string[] = [];
   const http: Requester = {
-    request: async (_address, method, path, body): Promise<HttpAnswer> => {
+    request: async (_address, method, path, body): Promise<HttpResponse> => {
       sent.push(`${method} ${path}${body === null ? '' : ` ${JSON.stringify(body)}`}`);
       const served = (await answer(method, path, body)) as { status: number; body: unknown };
       return { ...served, headers: new Map() };
@@ -152,8 +152,8 @@
     if (method === 'GET') return { status: 200, body: writeList([listed('m 1')], !path.includes('since')) };
     return { status: 200, body: { workers: ['m-1'] } };
   });
-  await cloud.types();
-  await cloud.list();
+  await cloud.listMachineTypes();
+  await cloud.listMachines();
   await cloud.rent({ request: 'n0-1-7-2', type: 'c8', zone: 'a', spot: true, count: 3 });
   await cloud.release(['m-1', 'm-2']);
   return numberRequests('cloud', sent);
@@ -235,7 +235,7 @@
   const text = 'executable = run.sh\nqueue 40\n';
   const submission = { text, rows: { 0: ['a b'] }, user: 'ann', at: 1_700_000_000 };
   await records.create('submission-1', submission, 40, 'nightly');
-  const [loaded] = await records.all();
+  const [loaded] = await records.listClusters();
   if (!loaded) throw new Error('no cluster was stored');
   const expanded = { ...loaded.record, from: 2, upTo: 5, state: 'removing' as const };
   const version = await records.put(term, loaded, expanded);
@@ -246,8 +246,8 @@
   ]);
   await records.putExceptions(term, 1, exceptions, [0, 1], new Map());
   const ended = { ...loaded, version: version! };
-  await records.end(term, ended, { ...expanded, state: 'over', removed: 2 });
-  await records.sweep(term, ended);
+  await records.moveToEnded(term, ended, { ...expanded, state: 'over', removed: 2 });
+  await records.deleteObsolete(term, ended);
   const compressed = deflateRawSync(JSON.stringify(submission)).toString('base64');
   // The compressed bytes depend on the library, so the fixture holds the uncompressed content in their place.
   return numberRequests(
--- a/tests/support/troubles.ts
+++ b/tests/support/troubles.ts
@@ -142,7 +142,7 @@
     private readonly random: Random,
     private readonly users: Users,
   ) {
-    cluster.net.fate = (from, addr, _method, path) => this.fate(from, addr, path);
+    cluster.net.outcomeOf = (from, addr, _method, path) => this.fate(from, addr, path);
     cluster.onHeartbeat = (report) => this.captureHeartbeat(report);
     const state = cluster.net.peers.get(STATE)!;
     cluster.net.peers.set(STATE, async (...request) => {
@@ -178,7 +178,7 @@
       return !path.startsWith('/watch') && isHit(this.lostAnswers) ? 'lost-answer' : 'deliver';
     }
     if (!addr.startsWith('10.1.')) return 'deliver';
-    if (this.cluster.cutFromWorkers.has(from)) return 'silent';
+    if (this.cluster.nodesCutFromWorkers.has(from)) return 'silent';
     const until = this.hangUntil.get(addr) ?? 0;
     if (this.cluster.clock.now() < until) return until - this.cluster.clock.now() + random.between(0, 300);
     if (path === '/do' && isHit(this.delayedCommands))
@@ -254,23 +254,23 @@
       return () => void set.delete(fault);
     };
     const cutOff = (node: string, peers: boolean) => {
-      cluster.state.refusing.add(node);
+      cluster.state.refusedCallers.add(node);
       this.nodesWithoutState.add(node);
       if (peers) this.isolatedNodes.add(node);
       cluster.isolatedNodes = this.isolatedNodes;
       return () => {
-        cluster.state.refusing.delete(node);
+        cluster.state.refusedCallers.delete(node);
         this.nodesWithoutState.delete(node);
         this.isolatedNodes.delete(node);
       };
     };
     const hang = (affected: readonly Worker[]) => {
       for (const w of affected) {
-        cluster.silent.add(w);
-        this.hangUntil.set(w.place.addr, cluster.clock.now() + ms);
+        cluster.notReporting.add(w);
+        this.hangUntil.set(w.identity.addr, cluster.clock.now() + ms);
       }
       return () => {
-        for (const w of affected) cluster.silent.delete(w);
+        for (const w of affected) cluster.notReporting.delete(w);
       };
     };
     switch (fault.kind) {
@@ -287,12 +287,12 @@
         return () => undefined;
       case 'state refuses owner': {
         const node = this.pickBusiest();
-        cluster.state.refusing.add(node);
-        return () => void cluster.state.refusing.delete(node);
+        cluster.state.refusedCallers.add(node);
+        return () => void cluster.state.refusedCallers.delete(node);
       }
       case 'state out':
         cluster.state.down = true;
-        return () => cluster.state.restore();
+        return () => cluster.state.endOutage();
       case 'deaf': {
         const affected = this.pickWorkers(fault.share);
         for (const w of affected) cluster.inboundBlocked.add(w);
@@ -327,10 +327,10 @@
         const zone = this.random.pick(['a', 'b']);
         cluster.isolatedZone = zone;
         const inside = this.names.filter((n) => cluster.isZoneIsolated(n));
-        for (const n of inside) cluster.state.refusing.add(n);
+        for (const n of inside) cluster.state.refusedCallers.add(n);
         return () => {
           cluster.isolatedZone = null;
-          for (const n of inside) cluster.state.refusing.delete(n);
+          for (const n of inside) cluster.state.refusedCallers.delete(n);
         };
       }
       case 'slow links':
@@ -361,13 +361,13 @@
         return cutOff(this.pickBusiest(), true);
       case 'cut from workers': {
         const node = this.pickBusiest();
-        cluster.cutFromWorkers.add(node);
-        return () => void cluster.cutFromWorkers.delete(node);
+        cluster.nodesCutFromWorkers.add(node);
+        return () => void cluster.nodesCutFromWorkers.delete(node);
       }
       case 'refused': {
         const node = this.pickBusiest();
-        cluster.refused.add(node);
-        return () => void cluster.refused.delete(node);
+        cluster.nodesRefusingPeers.add(node);
+        return () => void cluster.nodesRefusingPeers.delete(node);
       }
       case 'freeze': {
         const node = this.pickBusiest();
--- a/tests/support/users.ts
+++ b/tests/support/users.ts
@@ -22,7 +22,7 @@
   spec: JobSpec;
   wire: object;
   accepted: boolean;
-  over: boolean;
+  ended: boolean;
   cancelAsked: boolean;
   answeredAt: number;
 }
@@ -38,7 +38,7 @@
    * Whether users poll all nodes and resubmit within milliseconds of each acceptance, end and confirmed
    * cancellation.
    */
-  looking = true;
+  pollsClosely = true;
   private generatedIds = 0;
 
   constructor(
@@ -56,7 +56,7 @@
       spec,
       wire,
       accepted: false,
-      over: false,
+      ended: false,
       cancelAsked: false,
       answeredAt: this.now,
     };
@@ -68,16 +68,16 @@
     );
     if (!final) return;
     if (final.reply.status >= 400) {
-      this.recordEvent(id, 'refused', { asked: final.asked });
+      this.recordEvent(id, 'refused', { eventsBeforeRequest: final.asked });
       return;
     }
     submitted.accepted = true;
     submitted.answeredAt = this.now;
-    this.recordEvent(id, 'accepted', { asked: final.asked });
+    this.recordEvent(id, 'accepted', { eventsBeforeRequest: final.asked });
     if (cancelAtOnce) void this.cancel(id);
     void this.pollAllNodes(submitted);
     for (;;) {
-      await pause(this.cluster.clock, (submitted.over ? 3 : 1) * POLL_MS * this.random.between(0.2, 1.2));
+      await pause(this.cluster.clock, (submitted.ended ? 3 : 1) * POLL_MS * this.random.between(0.2, 1.2));
       await this.poll(submitted);
     }
   }
@@ -87,7 +87,7 @@
     const { id } = submitted.spec;
     const asked = this.events.length;
     const reply = await this.call('GET', `/api/jobs/${id}`, null, POLL_TIMEOUT_MS, node);
-    if (reply?.status === 404) this.recordEvent(id, 'unknown', { asked });
+    if (reply?.status === 404) this.recordEvent(id, 'unknown', { eventsBeforeRequest: asked });
     if (reply?.status === 200) this.recordStatus(submitted, reply, asked);
   }
 
@@ -96,10 +96,10 @@
     const view = readStatus(JSON.parse(JSON.stringify(reply.body)));
     if (!view) throw new Error('unreadable status response');
     submitted.answeredAt = this.now;
-    this.recordEvent(submitted.spec.id, 'told', { status: view.status, asked });
+    this.recordEvent(submitted.spec.id, 'told', { status: view.status, eventsBeforeRequest: asked });
     if (view.status !== 'done' && view.status !== 'cancelled') return;
-    const first = !submitted.over;
-    submitted.over = true;
+    const first = !submitted.ended;
+    submitted.ended = true;
     if (first) void this.pollAllNodes(submitted);
   }
 
@@ -107,7 +107,7 @@
    * Polls all nodes, resubmits the job and repeats a requested cancellation, in several rounds within milliseconds.
    */
   private async pollAllNodes(submitted: SubmittedJob): Promise<void> {
-    if (!this.looking) return;
+    if (!this.pollsClosely) return;
     for (let i = 0; i < CLOSE_POLL_ROUNDS; i++) {
       for (const node of [...this.cluster.nodes.keys()]) {
         const action = this.random.next();
@@ -123,7 +123,8 @@
     const { id } = submitted.spec;
     const asked = this.events.length;
     const reply = await this.call('POST', '/api/jobs', submitted.wire, REQUEST_TIMEOUT_MS, node);
-    if (reply?.status === 400 || reply?.status === 422) this.recordEvent(id, 'refused', { asked });
+    if (reply?.status === 400 || reply?.status === 422)
+      this.recordEvent(id, 'refused', { eventsBeforeRequest: asked });
     if (reply?.status === 200 || reply?.status === 201) this.recordStatus(submitted, reply, asked);
   }
 
@@ -138,12 +139,12 @@
 
   private recordCancellation(submitted: SubmittedJob, reply: HttpReply | null, asked: number): void {
     const { id } = submitted.spec;
-    if (reply?.status === 404) this.recordEvent(id, 'unknown', { asked });
+    if (reply?.status === 404) this.recordEvent(id, 'unknown', { eventsBeforeRequest: asked });
     if (reply?.status !== 200) return;
     if ((reply.body as { status?: string }).status === 'aborted') {
-      this.recordEvent(id, 'cancelled', { asked });
-      const first = !submitted.over;
-      submitted.over = true;
+      this.recordEvent(id, 'cancelled', { eventsBeforeRequest: asked });
+      const first = !submitted.ended;
+      submitted.ended = true;
       if (first) void this.pollAllNodes(submitted);
     } else this.recordStatus(submitted, reply, asked);
   }
@@ -165,7 +166,7 @@
   cancelNow(share: number): Worker[] {
     const running = new Set(this.cluster.workers.flatMap((w) => w.attempts.map((a) => a.job)));
     const cancelled = [...this.jobs.values()].filter(
-      (j) => j.accepted && !j.over && !j.cancelAsked && running.has(j.spec.id) && this.random.chance(share),
+      (j) => j.accepted && !j.ended && !j.cancelAsked && running.has(j.spec.id) && this.random.chance(share),
     );
     for (const j of cancelled)
       this.cluster.clock.after(this.random.between(0, 200), () => void this.cancel(j.spec.id));
@@ -194,7 +195,7 @@
    * called.
    */
   cancelAtEnd(share: number): () => void {
-    this.tasks.noted = (event: TaskEvent) => {
+    this.tasks.onEvent = (event: TaskEvent) => {
       const submitted = this.jobs.get(event.job);
       if (event.kind !== 'off' || event.cause !== 'done' || !submitted || submitted.cancelAsked) return;
       const done = new Set(
@@ -205,7 +206,7 @@
       this.cluster.clock.after(this.random.between(0, 400), () => void this.cancel(event.job));
     };
     return () => {
-      this.tasks.noted = null;
+      this.tasks.onEvent = null;
     };
   }
 
@@ -221,7 +222,7 @@
         const accepted = [...this.jobs.values()].filter((j) => j.accepted);
         if (accepted.length > 0) {
           const picked = this.random.pick(accepted);
-          if (picked.over) void this.abort(picked);
+          if (picked.ended) void this.abort(picked);
           else void this.resubmit(picked);
         }
         void this.submitInvalid(this.random.pick(INVALID_SUBMISSIONS));
@@ -248,7 +249,7 @@
   findForgotten(since: number, atEnd: boolean): Violation[] {
     const found: Violation[] = [];
     for (const [id, k] of this.jobs) {
-      if (!k.accepted || k.over) continue;
+      if (!k.accepted || k.ended) continue;
       if (this.now - Math.max(since, k.answeredAt) > FORGOTTEN_AFTER_MS)
         found.push({ rule: 'forgotten', at: this.now, what: `no question about ${id} is answered` });
       else if (atEnd && !k.cancelAsked && k.spec.kind !== 'service')
@@ -294,7 +295,8 @@
   ): Promise<HttpReply | null> {
     const all = [...this.cluster.nodes]
       .filter(
-        ([name, n]) => !n.cut && !this.cluster.isZoneIsolated(name) && (node === undefined || name === node),
+        ([name, n]) =>
+          !n.disconnected && !this.cluster.isZoneIsolated(name) && (node === undefined || name === node),
       )
       .map(([, n]) => n);
     const healthy = all.filter((n) => n.node.healthy);
--- a/tests/upgrade/step.ts
+++ b/tests/upgrade/step.ts
@@ -70,11 +70,11 @@
  */
 async function stopCompletely(cluster: LocalCluster): Promise<void> {
   await cluster.stop();
-  for (const id of [...cluster.market.machines.keys()]) cluster.market.take(id);
+  for (const id of [...cluster.market.machines.keys()]) cluster.market.remove(id);
   await pause(systemClock, BOOT_SETTLE_MS);
   for (const { worker, reporter, server } of cluster.machines.values()) {
     reporter.stop();
-    worker.die();
+    worker.killTasks();
     server.close();
   }
 }
@@ -145,7 +145,7 @@
       chunks,
       atTakeover: questionsBetween(questions, atTakeover),
       underLoad: questionsBetween(atTakeover, users.questions),
-      twice: cluster.tasks.twice,
+      twice: cluster.tasks.duplicateCompletions,
       broken: this.broken,
     };
   }
--- a/tests/upgrade/users.ts
+++ b/tests/upgrade/users.ts
@@ -61,11 +61,11 @@
     private readonly clock: Clock,
     addresses: { users: string; depot: string },
   ) {
-    this.http = new HttpClient(clock, { maxSockets: 500, bodyBytes: 1024 * 1024 });
+    this.http = new HttpClient(clock, { maxSockets: 500, maxBodyBytes: 1024 * 1024 });
     this.client = new SpartrayClient(clock, this.http, {
       servers: [addresses.users],
       depot: addresses.depot,
-      retryS: RETRY_S,
+      retryPeriodS: RETRY_S,
     });
   }
 
@@ -93,13 +93,13 @@
     await this.cancel(submission.entries[0]!.spec.id);
   }
 
-  private async submitOne(step: string, { spec, upload }: JobFileEntry): Promise<TrackedJob> {
+  private async submitOne(step: string, { spec, emulation }: JobFileEntry): Promise<TrackedJob> {
     const job: TrackedJob = { spec, step, outcome: 'pending', view: null };
     this.jobs.set(spec.id, job);
     this.specs.set(spec.id, spec);
     this.recordEvent(spec.id, 'submitted');
     try {
-      job.view = await this.client.submit(spec, upload);
+      job.view = await this.client.submit(spec, emulation);
       job.outcome = 'accepted';
       this.recordEvent(spec.id, 'accepted');
     } catch (error) {
@@ -142,11 +142,22 @@
 
   private recordView(id: string, view: JobView, asked: number): void {
     this.jobs.get(id)!.view = view;
-    this.events.push({ at: this.clock.now(), job: id, kind: 'told', status: view.status, asked });
+    this.events.push({
+      at: this.clock.now(),
+      job: id,
+      kind: 'told',
+      status: view.status,
+      eventsBeforeRequest: asked,
+    });
   }
 
   private recordEvent(job: string, kind: UserEvent['kind'], asked?: number): void {
-    this.events.push({ at: this.clock.now(), job, kind, ...(asked !== undefined && { asked }) });
+    this.events.push({
+      at: this.clock.now(),
+      job,
+      kind,
+      ...(asked !== undefined && { eventsBeforeRequest: asked }),
+    });
   }
 
   /**
--- a/tests/wire/wire.test.ts
+++ b/tests/wire/wire.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { parseSettings, SettingsError } from '../../src/config/settings.js';
-import { chunkTasks, TaskSet } from '../../src/jobs/taskset.js';
+import { TaskSet, tasksPerChunk } from '../../src/jobs/taskset.js';
 import { encodeFrame, FrameReader } from '../../src/peer/frames.js';
 import { readJob } from '../../src/wire/users.js';
 import { readHeartbeat } from '../../src/wire/workers.js';
@@ -62,14 +62,14 @@
 });
 
 test('restores the set of done tasks of the largest job from chunks that fit the smallest value limit', () => {
-  const tasksPerChunk = chunkTasks(8);
+  const chunkSize = tasksPerChunk(8);
   const set = new TaskSet(100_000);
   for (let i = 0; i < 100_000; i += 7) set.add(i);
   const copy = new TaskSet(100_000);
-  for (let n = 0; n * tasksPerChunk < 100_000; n++) {
-    const text = set.chunk(n * tasksPerChunk, tasksPerChunk);
+  for (let n = 0; n * chunkSize < 100_000; n++) {
+    const text = set.chunk(n * chunkSize, chunkSize);
     assert.ok(text.length < 8 * 1024 - 64);
-    copy.load(n * tasksPerChunk, text);
+    copy.load(n * chunkSize, text);
   }
   assert.equal(copy.count, set.count);
   assert.ok(copy.has(99_995) && !copy.has(99_996));
