--- a/src/autoscaler/rebalancing.ts
+++ b/src/autoscaler/rebalancing.ts
@@ -54,8 +54,8 @@
   /** Number of the shard's machines of this type, and how many of them are in the machine's zone. */
   readonly machines: number;
   readonly machinesInZone: number;
-  /** Whether the machine's zone is the shard's home zone. */
-  readonly isHomeZone: boolean;
+  /** Whether the machine's zone is the zone of the shard's preferred node (its preferred zone). */
+  readonly isPreferredZone: boolean;
 }
 
 /** A demand with the shard that reports it. */
@@ -170,23 +170,23 @@
 
 /**
  * Returns the index of the shard that has the fewest machines of a type relative to what its teams are guaranteed.
- * Shards whose home zone is the machine's come first up to their fair share, because a machine whose zone cannot
+ * Shards whose preferred zone is the machine's come first up to their fair share, because a machine whose zone cannot
  * reach its shard's zone loses all its tasks: no node that it reaches may answer it. `unassigned` is the number of
  * machines of the type that have no shard yet.
  */
 export function shardFor(shards: readonly ShardCandidate[], unassigned: number): number {
   const allMachines = shards.reduce((sum, status) => sum + status.machines, unassigned);
   const allWeights = shards.reduce((sum, status) => sum + status.weight, 0);
-  const isBelowHomeShare = (status: ShardCandidate) =>
-    status.isHomeZone && status.machines < (allMachines * status.weight) / allWeights;
+  const isBelowFairShare = (status: ShardCandidate) =>
+    status.isPreferredZone && status.machines < (allMachines * status.weight) / allWeights;
   const machinesPerWeight = (status: ShardCandidate) =>
     (status.machines + 0.001 * status.machinesInZone + 0.5) / status.weight;
   let best = 0;
   shards.forEach((status, i) => {
     const bestShard = shards[best]!;
     if (
-      isBelowHomeShare(status) !== isBelowHomeShare(bestShard)
-        ? isBelowHomeShare(status)
+      isBelowFairShare(status) !== isBelowFairShare(bestShard)
+        ? isBelowFairShare(status)
         : machinesPerWeight(status) < machinesPerWeight(bestShard)
     )
       best = i;
--- a/src/autoscaler/scalein.ts
+++ b/src/autoscaler/scalein.ts
@@ -31,7 +31,7 @@
  */
 const OVERDUE_BOOTS = 2.5;
 const OVERDUE_MARGIN_MS = 5000;
-/** Time that a new owner gives its machines to report before it treats them as overdue. */
+/** Time that a new owner gives its machines to send a heartbeat before it treats them as overdue. */
 const NEW_OWNER_GRACE_MS = 10_000;
 /** Time after the expiry of its lease at which a machine is returned. */
 const SILENT_RETURN_MS = 120_000;
--- a/src/cloud/cloud.ts
+++ b/src/cloud/cloud.ts
@@ -91,7 +91,7 @@
     return rented;
   }
 
-  /** Releases machines in batches of `RELEASE_LIMIT`. If a batch fails, the batches before it have been released. */
+  /** Returns machines in batches of `RELEASE_LIMIT`. If a batch fails, the batches before it have been returned. */
   async release(machines: string[]): Promise<void> {
     for (let i = 0; i < machines.length; i += RELEASE_LIMIT) {
       const response = await this.send(
@@ -107,7 +107,7 @@
   private async send(method: string, path: string, body: object | null) {
     try {
       // Lists and releases take precedence over rentals: a node that probes for capacity must still be able to list
-      // and release the machines that it has.
+      // and return the machines that it has.
       const urgent = method === 'GET' || path === CLOUD_PATHS.release;
       await this.limiter.acquire(1, { urgent, maxWaitMs: RATE_WAIT_MS });
       const response = await this.http.request(this.addr, method, path, body, REQUEST_TIMEOUT_MS);
--- a/src/controller/controllernode.ts
+++ b/src/controller/controllernode.ts
@@ -132,7 +132,7 @@
   private createStandbyCoordinator(coordinator: typeof StandbyCoordinator, mesh: Mesh): StandbyCoordinator {
     const { ownership } = this;
     return new coordinator(this.context, this.membership, mesh, {
-      homeNode: (shard) => ownership.homeNode(shard),
+      preferredNode: (shard) => ownership.preferredNode(shard),
       nodeOrder: ownership.nodeOrder,
       zoneOf: (node) => ownership.zones.get(node) ?? '',
       isCordoned: () => ownership.workerConnectivity.cordoned || this.leaving,
--- a/src/controller/leader.ts
+++ b/src/controller/leader.ts
@@ -24,7 +24,7 @@
   readonly term: number;
   readonly stateCache: ClusterStateCache;
   readonly hooks: LeaderHooks;
-  /** Returns the zone of a shard's home node. */
+  /** Returns the zone of a shard's preferred node. */
   zoneOf(shard: number): string;
 }
 
--- a/src/controller/leasekeeper.ts
+++ b/src/controller/leasekeeper.ts
@@ -150,7 +150,7 @@
   }
 
   private onLost(): void {
-    this.options.log.info('lease lost; stopping all owned shards');
+    this.options.log.info('lease lost: stopping all owned shards');
     this.drop();
     this.options.onLeaseLost();
   }
--- a/src/controller/machineassignment.ts
+++ b/src/controller/machineassignment.ts
@@ -22,7 +22,7 @@
 const MAX_CONCURRENT_PROBES = 16;
 const PROBE_TIMEOUT_MS = 1500;
 /**
- * The cloud's list may still contain a released machine for this many times its usual lag, and for at least
+ * The cloud's list may still contain a returned machine for this many times its usual lag, and for at least
  * `MIN_LIST_LAG_MS`.
  */
 const LIST_LAG_FACTOR = 5;
@@ -57,7 +57,7 @@
   /** The leader's term; writes are conditional on it. */
   readonly term: number;
   readonly stateCache: ClusterStateCache;
-  /** Returns the zone of a shard's home node. */
+  /** Returns the zone of a shard's preferred node. */
   zoneOf(shard: number): string;
 }
 
@@ -77,7 +77,7 @@
   /** Handles a heartbeat of a machine without a record. */
   onUnregisteredMachine(machine: UnregisteredMachine): void {
     const { removedMachines, clock } = this.options.context;
-    // A late duplicate of a heartbeat: the id of a released machine is never reused.
+    // A late duplicate of a heartbeat: the id of a returned machine is never reused.
     if (removedMachines.has(machine.id)) return;
     const known = this.pending.get(machine.id);
     if (known) {
@@ -94,7 +94,7 @@
     const listed = new Set(machines.map((m) => m.id));
     for (const machine of machines) {
       const { id, state } = machine;
-      // The list lags behind, and still contains machines that have just been released.
+      // The list lags behind, and still contains machines that have just been returned.
       if ((removedMachines.get(id) ?? Number.NEGATIVE_INFINITY) > now - lagMs) continue;
       if (state === 'failed' || this.isRegistered(id) || this.pending.has(id)) continue;
       this.pending.set(id, { machine: { ...machine }, knownSince: now, reported: state === 'running' });
@@ -208,7 +208,7 @@
       weight,
       machines: counts.ofType(shard, type),
       machinesInZone: counts.ofTypeInZone(shard, type, zone),
-      isHomeZone: this.options.zoneOf(shard) === zone,
+      isPreferredZone: this.options.zoneOf(shard) === zone,
     }));
     let unassigned = 0;
     for (const { machine } of this.pending.values()) if (machine.type === type) unassigned++;
--- a/src/controller/ownedshards.ts
+++ b/src/controller/ownedshards.ts
@@ -23,7 +23,7 @@
   readonly shards: Map<number, Shard>;
   /**
    * Terms under which this node has stopped owning a shard. A retired term is never reused: its fencing tokens and
-   * attempt numbers would equal those of the former ownership, whose orders may still be in flight.
+   * attempt numbers would equal those of the former ownership, whose commands may still be in flight.
    */
   readonly retiredTerms = new Set<number>();
   /**
--- a/src/controller/ownership.ts
+++ b/src/controller/ownership.ts
@@ -15,7 +15,7 @@
 import {
   type ClusterView,
   decideShard,
-  homeNode,
+  preferredNode,
   type ShardAction,
   type ShardTimers,
   type StandbyView,
@@ -24,7 +24,7 @@
 import { WorkerConnectivity } from './workerconnectivity.js';
 
 const RECONCILE_INTERVAL_MS = 200;
-const NO_TIMERS: ShardTimers = { unownedSince: null, homeAvailableSince: null };
+const NO_TIMERS: ShardTimers = { unownedSince: null, preferredNodeAvailableSince: null };
 
 /** Dependencies of `Ownership`. */
 export interface OwnershipOptions {
@@ -134,9 +134,9 @@
     this.resign();
   }
 
-  /** Returns the home node of a shard. */
-  homeNode(shard: number): string {
-    return homeNode(this.nodeOrder, shard);
+  /** Returns the preferred node of a shard. */
+  preferredNode(shard: number): string {
+    return preferredNode(this.nodeOrder, shard);
   }
 
   /** Starts owning a shard that this node, its standby, has taken over under a new term. */
@@ -185,7 +185,7 @@
       case 'releaseRetiredTerm':
         this.keys.startRelease(index, action.term);
         return;
-      case 'handOverToHome':
+      case 'handOverToPreferredNode':
         if (shard) void this.handovers.handOver(shard, 'going home');
         return;
       case 'handBack':
@@ -232,7 +232,7 @@
       context: this.context,
       term,
       stateCache: this.members.stateCache,
-      zoneOf: (shard) => this.zones.get(this.homeNode(shard)) ?? '',
+      zoneOf: (shard) => this.zones.get(this.preferredNode(shard)) ?? '',
       hooks: this.options.leaderHooks,
     });
     this.leader.start();
@@ -274,7 +274,8 @@
     const { owned } = this;
     return {
       isStandbyCapable: (node) => owned.standbyCoordinator?.isStandbyCapable(node) ?? false,
-      shouldReturnHome: (shard) => owned.standbyCoordinator?.shouldReturnHome(shard) ?? false,
+      shouldReturnToPreferredNode: (shard) =>
+        owned.standbyCoordinator?.shouldReturnToPreferredNode(shard) ?? false,
       successorOf: (index) => {
         const shard = owned.shards.get(index);
         return shard ? owned.successorOf(shard) : null;
--- a/src/controller/shardownership.ts
+++ b/src/controller/shardownership.ts
@@ -10,13 +10,13 @@
 export const CLAIM_DELAY_PER_NODE_MS = 1500;
 /** Delay after which even a cordoned node claims a shard, because no other node has claimed it. */
 export const CORDONED_CLAIM_DELAY_MS = 12_000;
-/** Time for which a home node must have been present and not cordoned before its shard is returned to it. */
+/** Time for which a preferred node must have been present and not cordoned before its shard is returned to it. */
 export const HAND_BACK_AFTER_MS = 6000;
 /**
- * Additional time for the home node to get in sync as the standby; after it, the shard is returned even if the home
- * node is not in sync.
+ * Additional time for the preferred node to get in sync as the standby; after it, the shard is returned even if
+ * the preferred node is not in sync.
  */
-export const HOME_SYNC_TIMEOUT_MS = 20_000;
+export const PREFERRED_NODE_SYNC_TIMEOUT_MS = 20_000;
 /**
  * An owner is cut off from the key-value store when its lease renewals have failed for this long and its standby's
  * have not.
@@ -28,8 +28,8 @@
 /** State of the standbys that decisions use, on a node where standbys are enabled. */
 export interface StandbyView {
   isStandbyCapable(node: string): boolean;
-  /** Whether the shard should move to its home node, given load and zones. */
-  shouldReturnHome(shard: number): boolean;
+  /** Whether the shard should move to its preferred node, given load and zones. */
+  shouldReturnToPreferredNode(shard: number): boolean;
   /** The standby that can take over the shard immediately; null when there is none. */
   successorOf(shard: number): string | null;
 }
@@ -62,10 +62,10 @@
   /** Time since which no node has held the owner key. */
   readonly unownedSince: number | null;
   /**
-   * Time since which the home node has been present and not cordoned, for a shard that this node owns without being
-   * its home node.
+   * Time since which the preferred node has been present and not cordoned, for a shard that this node owns
+   * without being its preferred node.
    */
-  readonly homeAvailableSince: number | null;
+  readonly preferredNodeAvailableSince: number | null;
 }
 
 /** This node's own state of one shard. */
@@ -85,9 +85,9 @@
   | { readonly kind: 'startOwning'; readonly term: number }
   /** Releases the key of a former ownership, whose term is never reused. */
   | { readonly kind: 'releaseRetiredTerm'; readonly term: number }
-  /** Hands over to the home node, which is the in-sync standby and takes over immediately. */
-  | { readonly kind: 'handOverToHome' }
-  /** Stops owning the shard and releases its key for the home node to claim. */
+  /** Hands over to the preferred node, which is the in-sync standby and takes over immediately. */
+  | { readonly kind: 'handOverToPreferredNode' }
+  /** Stops owning the shard and releases its key for the preferred node to claim. */
   | { readonly kind: 'handBack'; readonly to: string; readonly term: number }
   | { readonly kind: 'claim' };
 
@@ -97,20 +97,20 @@
   readonly timers: ShardTimers;
 }
 
-/** Returns the home node of a shard. */
-export function homeNode(nodeOrder: readonly string[], shard: number): string {
+/** Returns the preferred node of a shard. */
+export function preferredNode(nodeOrder: readonly string[], shard: number): string {
   return nodeOrder[shard % nodeOrder.length]!;
 }
 
 /**
- * Returns how long this node waits before it claims an unowned shard. The home node claims first, then the other
+ * Returns how long this node waits before it claims an unowned shard. The preferred node claims first, then the other
  * nodes in claim order; no node waits for a cordoned one.
  */
 export function claimDelayMs(view: ClusterView, shard: number): number {
   if (view.cordoned) return CORDONED_CLAIM_DELAY_MS;
   let delayMs = 0;
   for (let i = 0; ; i++) {
-    const node = homeNode(view.nodeOrder, shard + i);
+    const node = preferredNode(view.nodeOrder, shard + i);
     if (node === view.thisNode) return delayMs;
     if (!view.isNodeCordoned(node)) delayMs += CLAIM_DELAY_PER_NODE_MS;
   }
@@ -147,49 +147,50 @@
       owned = { term: key.term, ready: false };
     }
   }
-  let { homeAvailableSince } = state;
+  let { preferredNodeAvailableSince } = state;
   if (key.heldHere && owned) {
-    const homeDecision = decideReturnHome(view, { ...state, owned }, now);
-    if (homeDecision.action) actions.push(homeDecision.action);
-    homeAvailableSince = homeDecision.availableSince;
+    const returnDecision = decideReturnToPreferredNode(view, { ...state, owned }, now);
+    if (returnDecision.action) actions.push(returnDecision.action);
+    preferredNodeAvailableSince = returnDecision.availableSince;
   }
-  return { actions, timers: { unownedSince: null, homeAvailableSince } };
+  return { actions, timers: { unownedSince: null, preferredNodeAvailableSince } };
 }
 
 /** Decides for a shard whose owner key no node holds. */
 function decideUnowned(view: ClusterView, state: OwnShardState, now: number): ShardDecision {
-  const { unownedSince, homeAvailableSince } = state;
-  if (state.owned) return { actions: [{ kind: 'stopOwning' }], timers: { unownedSince, homeAvailableSince } };
+  const { unownedSince, preferredNodeAvailableSince } = state;
+  if (state.owned)
+    return { actions: [{ kind: 'stopOwning' }], timers: { unownedSince, preferredNodeAvailableSince } };
   const since = unownedSince ?? now;
   const mayClaim = now - since >= claimDelayMs(view, state.shard) && !state.keyInFlight;
   return {
     actions: mayClaim ? [{ kind: 'claim' }] : [],
-    timers: { unownedSince: since, homeAvailableSince },
+    timers: { unownedSince: since, preferredNodeAvailableSince },
   };
 }
 
 /**
- * Decides whether a shard that this node owns without being its home node is returned, which requires that the home
- * node has been available for `HAND_BACK_AFTER_MS`.
+ * Decides whether a shard that this node owns without being its preferred node is returned, which requires that
+ * the preferred node has been available for `HAND_BACK_AFTER_MS`.
  */
-function decideReturnHome(
+function decideReturnToPreferredNode(
   view: ClusterView,
   state: OwnShardState & { readonly owned: { readonly term: number; readonly ready: boolean } },
   now: number,
 ): { readonly action: ShardAction | null; readonly availableSince: number | null } {
-  const home = homeNode(view.nodeOrder, state.shard);
-  if (home === view.thisNode || !view.isPresent(home) || view.isNodeCordoned(home))
+  const preferred = preferredNode(view.nodeOrder, state.shard);
+  if (preferred === view.thisNode || !view.isPresent(preferred) || view.isNodeCordoned(preferred))
     return { action: null, availableSince: null };
-  const since = state.homeAvailableSince ?? now;
+  const since = state.preferredNodeAvailableSince ?? now;
   const keepShard = { action: null, availableSince: since };
   if (now - since < HAND_BACK_AFTER_MS || !state.owned.ready) return keepShard;
-  if (view.standbys?.isStandbyCapable(home)) {
-    if (!view.standbys.shouldReturnHome(state.shard)) return keepShard;
-    if (view.standbys.successorOf(state.shard) === home)
-      return { action: { kind: 'handOverToHome' }, availableSince: null };
-    if (now - since < HAND_BACK_AFTER_MS + HOME_SYNC_TIMEOUT_MS) return keepShard;
+  if (view.standbys?.isStandbyCapable(preferred)) {
+    if (!view.standbys.shouldReturnToPreferredNode(state.shard)) return keepShard;
+    if (view.standbys.successorOf(state.shard) === preferred)
+      return { action: { kind: 'handOverToPreferredNode' }, availableSince: null };
+    if (now - since < HAND_BACK_AFTER_MS + PREFERRED_NODE_SYNC_TIMEOUT_MS) return keepShard;
   }
-  return { action: { kind: 'handBack', to: home, term: state.owned.term }, availableSince: null };
+  return { action: { kind: 'handBack', to: preferred, term: state.owned.term }, availableSince: null };
 }
 
 /**
--- a/src/controller/standbycoordinator.ts
+++ b/src/controller/standbycoordinator.ts
@@ -17,8 +17,8 @@
 
 /** Functions of the node that the coordinator uses. */
 export interface StandbyCoordinatorHooks {
-  /** Returns the home node of a shard. */
-  homeNode(shard: number): string;
+  /** Returns the preferred node of a shard. */
+  preferredNode(shard: number): string;
   nodeOrder: readonly string[];
   zoneOf(node: string): string;
   /** Whether this node takes no shards, because the workers cannot reach it or it is leaving the cluster. */
@@ -96,10 +96,10 @@
       holdsLease: () => this.members.holdsLeaseId(lease),
       leaseId: () => (this.members.holdsLeaseId(lease) ? lease : null),
       chooseStandby: () => this.chooseStandby(shard),
-      eligibleHomeNode: () => {
-        const home = this.hooks.homeNode(shard);
-        const away = home !== this.context.settings.node && this.isEligible(home);
-        return away && this.shouldReturnHome(shard) ? home : null;
+      eligiblePreferredNode: () => {
+        const preferredNode = this.hooks.preferredNode(shard);
+        const away = preferredNode !== this.context.settings.node && this.isEligible(preferredNode);
+        return away && this.shouldReturnToPreferredNode(shard) ? preferredNode : null;
       },
       presenceOf: (node) => this.members.presenceOf(node),
       onShardLost: () => this.hooks.onShardLost(shard, term),
@@ -154,24 +154,24 @@
   }
 
   /**
-   * Returns whether a shard should move to its home node. A move costs a request to each of the shard's machines. It
-   * is therefore worthwhile only when this node has more load than the home node would have with the shard added, or
-   * when more of its machines are in the home node's zone than in this node's. When the two zones have different
-   * numbers of the shard's machines, the zones alone decide.
+   * Returns whether a shard should move to its preferred node. A move costs a request to each of the shard's
+   * machines. It is therefore worthwhile only when this node has more load than the preferred node would have
+   * with the shard added, or when more of its machines are in the preferred node's zone than in this node's. When
+   * the two zones have different numbers of the shard's machines, the zones alone decide.
    */
-  shouldReturnHome(shard: number): boolean {
+  shouldReturnToPreferredNode(shard: number): boolean {
     const here = this.context.settings.node;
-    const home = this.hooks.homeNode(shard);
+    const preferredNode = this.hooks.preferredNode(shard);
     const zones = this.machinesByZone(shard);
     const inZoneOf = (node: string) => zones.get(this.hooks.zoneOf(node)) ?? 0;
-    if (inZoneOf(home) !== inZoneOf(here)) return inZoneOf(home) > inZoneOf(here);
+    if (inZoneOf(preferredNode) !== inZoneOf(here)) return inZoneOf(preferredNode) > inZoneOf(here);
     const load = (node: string) => {
       let sum = 0;
       for (let k = 0; k < this.context.settings.nodes; k++)
         if (this.members.owner(k)?.node === node) sum += this.weight(k);
       return sum;
     };
-    return load(here) > load(home) + this.weight(shard);
+    return load(here) > load(preferredNode) + this.weight(shard);
   }
 
   private chooseStandby(shard: number): string | null {
@@ -186,7 +186,9 @@
     }
     return chooseStandby({
       owner: this.context.settings.node,
-      home: this.shouldReturnHome(shard) ? this.hooks.homeNode(shard) : this.context.settings.node,
+      preferredNode: this.shouldReturnToPreferredNode(shard)
+        ? this.hooks.preferredNode(shard)
+        : this.context.settings.node,
       order: this.hooks.nodeOrder,
       isEligible: (node) => this.isEligible(node),
       load: (node) => load.get(node) ?? 0,
--- a/src/emulator/hollow.ts
+++ b/src/emulator/hollow.ts
@@ -5,8 +5,8 @@
 import { Reporter } from './reporter.js';
 import { Worker } from './worker.js';
 
-/** Options of a simulated ("hollow") worker process, passed as JSON in its only argument. */
-export interface SimulatedWorkerOptions {
+/** Options of a process of one emulated worker, passed as JSON in its only argument. */
+export interface EmulatedWorkerOptions {
   id: string;
   host: string;
   port: number;
@@ -17,8 +17,8 @@
 
 const MAX_BODY_BYTES = 256 * 1024;
 
-/** Runs one simulated worker until standard input ends. It speaks the whole control protocol, but runs no tasks. */
-async function main(options: SimulatedWorkerOptions): Promise<void> {
+/** Runs one emulated worker until standard input ends. It speaks the whole control protocol, but runs no tasks. */
+async function main(options: EmulatedWorkerOptions): Promise<void> {
   const { id, host, port, controller, reportS, leaseS } = options;
   const clock = systemClock;
   const machine = { id, addr: `${host}:${port}`, type: 'standard', zone: 'zone-1', spot: false };
@@ -45,4 +45,4 @@
   process.stdin.on('end', () => process.exit(0)).resume();
 }
 
-await main(JSON.parse(process.argv[2] ?? '{}') as SimulatedWorkerOptions);
+await main(JSON.parse(process.argv[2] ?? '{}') as EmulatedWorkerOptions);
--- a/src/emulator/market.ts
+++ b/src/emulator/market.ts
@@ -123,7 +123,7 @@
     return this.spent;
   }
 
-  /** Removes a machine, whether it was released, reclaimed or failed. */
+  /** Removes a machine, whether it was returned, reclaimed or failed. */
   remove(id: string): void {
     const machine = this.machines.get(id);
     if (!machine || this.isRemoved(machine)) return;
--- a/src/emulator/reporter.ts
+++ b/src/emulator/reporter.ts
@@ -15,7 +15,7 @@
   delayMs(node: string): number;
   /** Returns whether a partition separates the worker from a controller. */
   isSeparated(node: string): boolean;
-  /** Called when a report was answered. */
+  /** Called when a heartbeat was answered. */
   reportAnswered(report: object, answer: unknown): void;
 }
 
@@ -25,9 +25,9 @@
   reportAnswered: () => undefined,
 };
 
-/** Sends a worker's reports to the controllers: one report at a time, to one node at a time. */
+/** Sends a worker's heartbeats to the controllers: one at a time, to one node at a time. */
 export class Reporter {
-  /** While set, the worker has no network: reports get no answer and commands do not arrive. */
+  /** While set, the worker has no network: heartbeats get no answer and commands do not arrive. */
   disconnected = false;
   private nodeIndex = 0;
   private sentAt = Number.NEGATIVE_INFINITY;
@@ -57,14 +57,14 @@
     this.leaseTimer?.cancel();
   }
 
-  /** Expires the lease at its end rather than at the worker's next report. */
+  /** Expires the lease at its end rather than at the worker's next heartbeat. */
   private watchLease(): void {
     if (this.stopped) return;
     this.worker.checkLease();
     this.leaseTimer = this.clock.after(Math.max(0, this.worker.leaseLeftMs) + 1, () => this.watchLease());
   }
 
-  /** Reports a change early, but not sooner than `MIN_REPORT_GAP_MS` after the last report. */
+  /** Sends a heartbeat early after a change, but not sooner than `MIN_REPORT_GAP_MS` after the last one. */
   reportSoon(): void {
     this.changePending = true;
     if (!this.inFlight) this.schedule(Math.max(0, this.sentAt + MIN_REPORT_GAP_MS - this.clock.now()));
@@ -96,7 +96,7 @@
     this.schedule(this.changePending ? Math.min(delayMs, MIN_REPORT_GAP_MS) : delayMs);
   }
 
-  /** Sends a report to the current node; fails when no answer arrives in time. */
+  /** Sends a heartbeat to the current node; fails when no answer arrives in time. */
   private async sendReport(): Promise<HttpResponse> {
     const { node, addr } = this.nodes[this.nodeIndex]!;
     const isUnreachable = () => this.disconnected || this.links.isSeparated(node);
@@ -117,7 +117,7 @@
     return response;
   }
 
-  /** Switches to the given node, else to the next one; returns the delay of the next report, in milliseconds. */
+  /** Switches to the given node, else to the next one; returns the delay of the next heartbeat, in milliseconds. */
   private switchNode(redirectedTo: string | null): number {
     const redirectIndex = this.nodes.findIndex((n) => n.node === redirectedTo);
     if (redirectIndex >= 0 && redirectIndex !== this.nodeIndex) {
--- a/src/emulator/worker.ts
+++ b/src/emulator/worker.ts
@@ -35,7 +35,10 @@
   spot: boolean;
 }
 
-/** Emulates a worker as its protocol specifies it: sessions, fencing tokens, leases and commands, but no network. */
+/**
+ * Emulates a worker as its protocol specifies it: incarnations, fencing tokens, leases and commands, but no
+ * network.
+ */
 export class Worker {
   fencingToken = 0;
   incarnation = 1;
@@ -44,7 +47,7 @@
   noticeS: number | null = null;
   /** Task names of all start commands that were executed. */
   readonly executedStarts: string[] = [];
-  /** Time at which the last answered report was sent, or this session began. */
+  /** Time at which the last answered heartbeat was sent, or this incarnation began. */
   lastHeartbeatSentAt: number;
 
   constructor(
@@ -52,7 +55,7 @@
     readonly identity: MachineIdentity,
     private readonly leaseS: number,
     private readonly runtime: Runtime | null = null,
-    /** Called when something changed that reports include. */
+    /** Called when something changed that heartbeats include. */
     private readonly notifyChanged: () => void = () => undefined,
   ) {
     this.lastHeartbeatSentAt = clock.now();
@@ -79,10 +82,10 @@
     });
   }
 
-  /** Handles the answer to a report that was sent at `sentAt` in the given session. */
-  handleHeartbeatResponse(body: unknown, sentAt: number, session = this.incarnation): void {
+  /** Handles the answer to a heartbeat that was sent at `sentAt` in the given incarnation. */
+  handleHeartbeatResponse(body: unknown, sentAt: number, incarnation = this.incarnation): void {
     const received = readCommands(body);
-    if (!received || (received.token ?? 0) < this.fencingToken || session !== this.incarnation) return;
+    if (!received || (received.token ?? 0) < this.fencingToken || incarnation !== this.incarnation) return;
     this.adoptToken(received.token ?? this.fencingToken);
     this.lastHeartbeatSentAt = Math.max(this.lastHeartbeatSentAt, sentAt);
     for (const o of received.commands) this.execute(o);
@@ -134,8 +137,8 @@
   }
 
   /**
-   * Kills all tasks and begins a new session if the lease has expired. Expiry depends only on the worker's own clock, not
-   * on the caller.
+   * Kills all tasks and begins a new incarnation if the lease has expired. Expiry depends only on the worker's
+   * own clock, not on the caller.
    */
   checkLease(): void {
     if (this.leaseLeftMs >= 0) return;
--- a/src/load/measure.ts
+++ b/src/load/measure.ts
@@ -22,7 +22,7 @@
   seconds: number;
   controllers: ControllerUse[];
   /**
-   * The process of the services, users and simulated workers. If its event loop lags, the figures of the run are not
+   * The process of the services, users and emulated workers. If its event loop lags, the figures of the run are not
    * meaningful.
    */
   emulator: { cores: number; residentMb: number; lagP99Ms: number };
--- a/src/load/propagation.ts
+++ b/src/load/propagation.ts
@@ -20,7 +20,7 @@
   unknown: number;
 }
 
-/** Changes a record periodically, and polls every controller for the revision of its copy of the keys. */
+/** Changes a record periodically, and polls every controller for the revision of its cache. */
 export class Propagation {
   private readonly slowestTimes = histogram();
   private readonly timesByNode = new Map<string, ReturnType<typeof histogram>>();
@@ -69,7 +69,10 @@
       this.slowestTimes.recordValue(Math.max(1, ...countedResults.map(Number)));
   }
 
-  /** Returns the milliseconds until a controller knows a revision. Controllers excluded in the meantime do not count. */
+  /**
+   * Returns the milliseconds until a controller knows a revision. Controllers excluded in the meantime do not
+   * count.
+   */
   private async measureDelay(
     node: string,
     addr: string,
--- a/src/load/scale.ts
+++ b/src/load/scale.ts
@@ -17,7 +17,7 @@
 }
 
 /**
- * Generous estimates of the memory of a simulated worker and of a controller process, in bytes. A run takes at most
+ * Generous estimates of the memory of an emulated worker and of a controller process, in bytes. A run takes at most
  * half of the machine's memory.
  */
 const BYTES_PER_WORKER = 400 * 1024;
@@ -36,7 +36,7 @@
     ['workers', WORKER_PORT_COUNT, 'ports'],
     ['controllers', MAX_CONTROLLERS, 'ports'],
     ['teams', MAX_TEAMS, 'teams'],
-    ['startsPerSecond', MAX_STARTS_PER_SECOND, 'what one process of hollow workers carries'],
+    ['startsPerSecond', MAX_STARTS_PER_SECOND, 'what one process of emulated workers carries'],
   ];
   for (const [field, max, why] of bounds) {
     const n = sizes[field];
--- a/src/load/singleworker.ts
+++ b/src/load/singleworker.ts
@@ -2,7 +2,7 @@
 import net from 'node:net';
 import { fileURLToPath } from 'node:url';
 import { pause, systemClock } from '../clock/clock.js';
-import type { SimulatedWorkerOptions } from '../emulator/hollow.js';
+import type { EmulatedWorkerOptions } from '../emulator/hollow.js';
 import { HttpServer } from '../http/server.js';
 import { readHeartbeat, type TaskStatus, writeHeartbeatResponse } from '../wire/workers.js';
 import { coresBetween, processUse, residentMb } from './processes.js';
@@ -38,7 +38,7 @@
 
 const HOST = '127.0.0.1';
 
-/** Measures one simulated worker in a separate process, at rest and at the peak. Fails when a port is taken. */
+/** Measures one emulated worker in a separate process, at rest and at the peak. Fails when a port is taken. */
 export async function measureSingleWorker(options: SingleWorkerOptions): Promise<WorkerCost[]> {
   const { reportS, leaseS, port } = options;
   const controller = new SingleWorkerController();
@@ -52,7 +52,7 @@
   await server.listen(HOST, port);
   const proxy = new ByteCountingProxy(port);
   await proxy.listen(port + 1);
-  const workerOptions: SimulatedWorkerOptions = {
+  const workerOptions: EmulatedWorkerOptions = {
     id: 'm-000001',
     host: HOST,
     port: port + 2,
@@ -110,7 +110,7 @@
   };
 }
 
-/** Answers one worker's reports, and keeps a given number of tasks running by commands in the answers. */
+/** Answers one worker's heartbeats, and keeps a given number of tasks running by commands in the answers. */
 class SingleWorkerController {
   private tasks = 0;
   private startIntervalMs = Number.POSITIVE_INFINITY;
--- a/src/modelcheck/standbylease.ts
+++ b/src/modelcheck/standbylease.ts
@@ -40,7 +40,7 @@
    * incarnation are still in flight.
    */
   ownerRestarts: boolean;
-  /** Number of reports made by the machine; each may arrive at any later time, and repeatedly. */
+  /** Number of heartbeats sent by the machine; each may arrive at any later time, and repeatedly. */
   reports: number;
   /** Whether the task and its machine are modelled in addition to the lease. */
   task: boolean;
@@ -52,7 +52,7 @@
     namedClaim: boolean;
     /** An eviction whose write was not answered is confirmed by a read before it takes effect. */
     confirmedEviction: boolean;
-    /** A start is announced, and the announcement acknowledged, before its order is sent. */
+    /** A start is announced, and the announcement acknowledged, before its command is sent. */
     announcedStarts: boolean;
     /** An owner stops acting before it sends the handover message. */
     stopsBeforeHandover: boolean;
@@ -61,7 +61,7 @@
      * resumes none of its state.
      */
     freshIncarnation: boolean;
-    /** A machine ignores orders under a token older than one it has seen. */
+    /** A machine ignores commands under a token older than one it has seen. */
     token: boolean;
   };
 }
@@ -228,7 +228,7 @@
       yield { action: 'standby starts the task', state: copy(state, { startedAgain: true }) };
   }
 
-  /** Delivers a report to the standby that has become the owner; the report may be delivered again later. */
+  /** Delivers a heartbeat to the standby that has become the owner; the heartbeat may be delivered again later. */
   function onReport(state: State, report: State['reports'][number]): State | null {
     if (state.shardOwner !== 'standby') return null;
     const knownMachine = {
@@ -260,7 +260,7 @@
         state: copy(state, { reportsMade: sequence, reports: [...state.reports, report] }),
       };
     }
-    // A lost report is modelled as one that never arrives.
+    // A lost heartbeat is modelled as one that never arrives.
     for (const report of state.reports) {
       const arrived = onReport(state, report);
       if (arrived) yield { action: `report ${report.seq} arrives, and may arrive again`, state: arrived };
--- a/src/modelcheck/standbyleasestate.ts
+++ b/src/modelcheck/standbyleasestate.ts
@@ -42,19 +42,19 @@
   order: 'none' | 'announced' | 'sent' | 'runs';
   startAcknowledged: boolean;
   /**
-   * Whether the machine has seen the token of the standby's term; its reports contain the token from then on.
+   * Whether the machine has seen the token of the standby's term; its heartbeats contain the token from then on.
    */
   tokenSeen: boolean;
-  /** Reports of the machine in flight, in the order in which they were made. */
+  /** Heartbeats of the machine in flight, in the order in which they were made. */
   reports: { seq: number; underToken: boolean; holdsTask: boolean }[];
   reportsMade: number;
   /**
-   * Sequence number of the newest report that the standby has received, and whether it has received a report
+   * Sequence number of the newest heartbeat that the standby has received, and whether it has received one
    * under the new token.
    */
   latestReport: number;
   reportedUnderToken: boolean;
-  /** Whether that report contained the task. */
+  /** Whether that heartbeat contained the task. */
   taskReported: boolean;
   startedAgain: boolean;
 }
--- a/src/plan/plan.ts
+++ b/src/plan/plan.ts
@@ -19,7 +19,7 @@
 /**
  * Plan of one shard: the reservations on each machine over time. It is rebuilt from the tasks that the
  * machines run and the accepted jobs in their order, so that each plan corrects the previous one by the
- * latest reports. Times are seconds on the monotonic clock.
+ * latest heartbeats. Times are seconds on the monotonic clock.
  */
 export class Plan {
   private readonly table: ReservationTable;
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -35,7 +35,7 @@
   readonly index: number;
   /** Revision of the owner's key. */
   readonly term: number;
-  /** Machines of the shard as they report. */
+  /** Machines of the shard, as their heartbeats describe them. */
   readonly registry: MachineRegistry;
   private readonly context: ControllerContext;
   private readonly components: ShardComponents;
@@ -256,7 +256,7 @@
       this.registry.tick();
       work();
     } catch (error) {
-      this.log.error({ err: error }, 'shard tick or plan failed');
+      this.log.error({ err: error }, 'shard tick failed');
     } finally {
       this.ticking = false;
     }
--- a/src/scheduler/shardstatuslog.ts
+++ b/src/scheduler/shardstatuslog.ts
@@ -36,7 +36,7 @@
   logIfDue(now: number): boolean {
     if (now - this.loggedAt < STATUS_LOG_INTERVAL_MS) return false;
     this.loggedAt = now;
-    this.log.info({ teams: this.loadByTeam(), machines: this.machineLoad() }, 'shard load status');
+    this.log.info({ teams: this.loadByTeam(), machines: this.machineLoad() }, 'shard load');
     return true;
   }
 
--- a/src/standby/replicationstream.ts
+++ b/src/standby/replicationstream.ts
@@ -17,7 +17,7 @@
   snapshot(): Iterator<ReplicationRecord>;
 }
 
-/** A task start that is announced to the standby before the start order is sent. */
+/** A task start that is announced to the standby before the start command is sent. */
 export interface TaskStart {
   readonly job: string;
   readonly machine: string;
@@ -43,7 +43,7 @@
   private snapshot: Iterator<ReplicationRecord> | null = null;
   /**
    * Whether the standby may consider itself in sync. If so, each start has to be announced and acknowledged
-   * before its order is sent.
+   * before its command is sent.
    */
   private mayBeInSync = false;
   /**
@@ -83,7 +83,7 @@
   }
 
   /**
-   * Announces where tasks may be started, before their orders are sent. Returns null if the caller need not
+   * Announces where tasks may be started, before their commands are sent. Returns null if the caller need not
    * wait. Otherwise the promise resolves to true once no standby can take over without knowing of the starts,
    * and to false if the tasks must no longer be started.
    */
--- a/src/standby/standbyreplicator.ts
+++ b/src/standby/standbyreplicator.ts
@@ -55,8 +55,8 @@
   leaseId(): number | null;
   /** Selects the standby node; returns null if no node is eligible. */
   chooseStandby(): string | null;
-  /** Returns the home node of a shard that is not at home, if that node can stand by. */
-  eligibleHomeNode(): string | null;
+  /** Returns the preferred node of a shard that another node owns, if that node can stand by. */
+  eligiblePreferredNode(): string | null;
   /** Returns the presence record of a node, or null if the node is absent. */
   presenceOf(node: string): LeaseHolder | null;
   /** Called when another node owns the shard. */
@@ -175,8 +175,8 @@
   }
 
   /**
-   * Announces where tasks may be started, before their orders are sent. Returns null if the caller need not
-   * wait. Otherwise the promise resolves to true once the orders may be sent, and to false if they must no
+   * Announces where tasks may be started, before their commands are sent. Returns null if the caller need not
+   * wait. Otherwise the promise resolves to true once the commands may be sent, and to false if they must no
    * longer be sent. The announcement is sent at once and not with the next heartbeat.
    */
   announce(starts: readonly TaskStart[]): Promise<boolean> | null {
@@ -244,8 +244,8 @@
       return 'silent';
     if (!slot.inSync && now - slot.namedAt > SYNC_TIMEOUT_MS) return 'slow';
     if (presence !== null && presence.incarnation !== slot.incarnation) return 'restarted';
-    const home = hooks.eligibleHomeNode();
-    return home !== null && home !== slot.node ? 'home is back' : null;
+    const preferredNode = hooks.eligiblePreferredNode();
+    return preferredNode !== null && preferredNode !== slot.node ? 'home is back' : null;
   }
 
   /**
--- a/src/standby/standbyselection.ts
+++ b/src/standby/standbyselection.ts
@@ -2,7 +2,7 @@
 export interface StandbyCandidates {
   owner: string;
   /** Preferred node of the shard; equal to the owner if the shard need not move. */
-  home: string;
+  preferredNode: string;
   /** All nodes sorted by name, which is the order of a rolling restart. */
   order: readonly string[];
   /** Whether a node is present, replicates shards and can take them over. */
@@ -16,13 +16,14 @@
 }
 
 /**
- * Selects the standby of a shard; returns null if no node is eligible. The home node is preferred for a shard
- * that is not at home, so that its return is a handover. Otherwise the ranking is by the zone with most of the
- * shard's machines, then by the lowest load, then by the node that precedes the owner in a rolling restart,
- * because the node after the owner would be restarted next.
+ * Selects the standby of a shard; returns null if no node is eligible. A shard that is not owned by its preferred
+ * node gets that node as its standby, so that its return is a handover. Otherwise the ranking is by the zone with
+ * most of the shard's machines, then by the lowest load, then by the node that precedes the owner in a rolling
+ * restart, because the node after the owner would be restarted next.
  */
 export function chooseStandby(candidates: StandbyCandidates): string | null {
-  if (candidates.home !== candidates.owner && candidates.isEligible(candidates.home)) return candidates.home;
+  if (candidates.preferredNode !== candidates.owner && candidates.isEligible(candidates.preferredNode))
+    return candidates.preferredNode;
   const nodeCount = candidates.order.length;
   const ownerIndex = candidates.order.indexOf(candidates.owner);
   /** Number of places by which a node precedes the owner in a rolling restart. */
--- a/src/standby/takeoverchecks.ts
+++ b/src/standby/takeoverchecks.ts
@@ -56,8 +56,8 @@
 }
 
 /**
- * Whether tasks may be started on a machine. Only a report under the new token guarantees that no order of the
- * former owner can still be executed there. A machine that is being returned or has a reclaim notice is about
+ * Whether tasks may be started on a machine. Only a heartbeat under the new token guarantees that no command of
+ * the former owner can still be executed there. A machine that is being returned or has a reclaim notice is about
  * to leave the cluster.
  */
 export function machineUsable(machine: MachineStartConditions): boolean {
--- a/src/wire/users.ts
+++ b/src/wire/users.ts
@@ -268,7 +268,7 @@
 
 const healthBody = v.object({ revision: v.number() });
 
-/** Encodes the response of a healthy controller; its copy of the key-value store's records is at `revision`. */
+/** Encodes the response of a healthy controller; its cache of the key-value store's records is at `revision`. */
 export function writeHealth(revision: number): object {
   return { ok: true, revision };
 }
--- a/src/wire/workers.ts
+++ b/src/wire/workers.ts
@@ -27,7 +27,7 @@
   saved: boolean;
 }
 
-/** A worker's report on its machine and all of its tasks. */
+/** A worker's status message on its machine and all of its tasks. */
 export interface Heartbeat {
   /** `worker`. */
   machine: string;
--- a/src/workers/heartbeats.ts
+++ b/src/workers/heartbeats.ts
@@ -3,10 +3,10 @@
 import { classifyHeartbeat, type HeartbeatValidity, type Machine, nextHeartbeatWithinMs } from './machine.js';
 import type { RegistryContext } from './registryhooks.js';
 
-/** How a heartbeat arrived: as a report sent by the machine, or in the response to a command. */
+/** How a heartbeat arrived: sent by the machine on its own (`report`), or in the response to a command. */
 export type HeartbeatChannel = 'report' | 'command';
 
-/** Applies the heartbeats of machines, whether reported or returned in responses to commands. */
+/** Applies the heartbeats of machines, whether sent by them or returned in responses to commands. */
 export class HeartbeatProcessor {
   constructor(
     private readonly context: Pick<RegistryContext, 'clock' | 'times' | 'hooks'>,
@@ -37,7 +37,7 @@
   private applyIncarnation(machine: Machine, incarnation: number, now: number): void {
     const isNew = incarnation > machine.incarnation;
     // The lease of an incarnation runs from the incarnation's start, which is only known to precede this heartbeat.
-    // An incarnation first seen in a command response outlives the last acknowledged report, because that report
+    // An incarnation first seen in a command response outlives the last acknowledged heartbeat, because that one
     // belonged to the incarnation before it.
     if (isNew) machine.leaseRenewedAt = Math.max(machine.leaseRenewedAt, now);
     // A new incarnation starts without tasks.
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -25,7 +25,7 @@
   runningAt: number | null;
   exitedAt: number | null;
   /**
-   * The order to stop: the seconds allowed for saving state, and when it was last sent directly to the machine
+   * The command to stop: the seconds allowed for saving state, and when it was last sent directly to the machine
    * (monotonic milliseconds, 0 if not yet). Null if the task is not to stop.
    */
   stop: { graceS: number; sentAt: number } | null;
@@ -52,18 +52,18 @@
   /** The machine's incarnation and the sequence number of its latest heartbeat, used to recognize late heartbeats. */
   incarnation: number;
   heartbeatSequence: number;
-  /** Lowest incarnation whose reports are accepted; reports of earlier ones are late. */
+  /** Lowest incarnation whose heartbeats are accepted; those of earlier incarnations are late. */
   minIncarnation: number;
-  /** Whether the machine has reported under the current token. */
+  /** Whether the machine has sent a heartbeat under the current token. */
   reconciled: boolean;
   /** Whether the machine may hold unreported tasks that an earlier owner started. */
   mayHoldUnreportedTasks: boolean;
   /** Latest time from which the machine's lease can run. */
   leaseRenewedAt: number;
-  /** When this owner last answered a report of the machine with 200, or took the machine over. */
+  /** When this owner last answered a heartbeat of the machine with 200, or took the machine over. */
   lastAcknowledgedAt: number;
   lastHeartbeatAt: number | null;
-  /** Whether the machine's lease has certainly expired and no report has arrived since. */
+  /** Whether the machine's lease has certainly expired and no heartbeat has arrived since. */
   leaseExpired: boolean;
   rentedAt: number;
   /** When the cloud reclaims the machine; null without a notice. */
@@ -75,11 +75,11 @@
   /** Since when the machine has held no attempts; null while it holds one. */
   idleSince: number | null;
   /**
-   * When the machine last failed to answer a request or command; null once it answers one or keeps reporting to this
-   * node.
+   * When the machine last failed to answer a request or command; null once it answers one or keeps sending heartbeats
+   * to this node.
    */
   unreachableAt: number | null;
-  /** Consecutive responses to reports that did not show the current token. */
+  /** Consecutive responses to heartbeats that did not show the current token. */
   unconfirmedResponses: number;
   /** Consecutive task failures counted against the machine since a task last succeeded on it. */
   consecutiveErrors: number;
@@ -88,21 +88,21 @@
 }
 
 /**
- * Returns the time in ms within which a machine that receives the responses sends its next report to the same node.
+ * Returns the time in ms within which a machine that receives the responses sends its next heartbeat to the same node.
  */
 export function nextHeartbeatWithinMs(reportS: number): number {
   return reportS * 1250 + 500;
 }
 
 /**
- * The evidence that a report gives: `late` and `foreign` reports give none, an `untokened` one shows only that the
+ * The evidence that a heartbeat gives: `late` and `foreign` ones give none, an `untokened` one shows only that the
  * machine is running, an `ok` one also shows which tasks it holds.
  */
 export type HeartbeatValidity = 'late' | 'foreign' | 'untokened' | 'ok';
 
 /**
- * Classifies a report against the recorded state of its machine. Duplicates may arrive at any later time, so only a
- * report that is newer than the recorded state and carries the current token shows what the machine holds now.
+ * Classifies a heartbeat against the recorded state of its machine. Duplicates may arrive at any later time, so only
+ * a heartbeat that is newer than the recorded state and carries the current token shows what the machine holds now.
  */
 export function classifyHeartbeat(
   known: Pick<Machine, 'incarnation' | 'heartbeatSequence' | 'minIncarnation' | 'fencingToken'>,
--- a/src/workers/machineleases.ts
+++ b/src/workers/machineleases.ts
@@ -5,14 +5,17 @@
 
 const LEASE_MARGIN_MS = 500;
 
-/** The leases of machines: decides when a machine that no longer reports must have dropped its tasks. */
+/** The leases of machines: decides when a machine that sends no more heartbeats must have dropped its tasks. */
 export class MachineLeases {
   constructor(
     private readonly context: Pick<RegistryContext, 'clock' | 'times' | 'log' | 'hooks'>,
     private readonly attempts: AttemptReconciliation,
   ) {}
 
-  /** Returns the monotonic time in ms by which the machine has dropped all its tasks unless it reports before. */
+  /**
+   * Returns the monotonic time in ms by which the machine has dropped all its tasks unless it sends a heartbeat
+   * before.
+   */
   leaseEnd(machine: Machine): number {
     return this.leaseFrom(machine.leaseRenewedAt);
   }
@@ -53,7 +56,7 @@
     machine.leaseExpired = true;
     machine.reconciled = false;
     machine.mayHoldUnreportedTasks = false;
-    // Later reports of the current incarnation were sent before the lease expired, so they are rejected.
+    // Later heartbeats of the current incarnation were sent before the lease expired, so they are rejected.
     if (machine.incarnation > 0) machine.minIncarnation = machine.incarnation + 1;
     this.attempts.dropAll(machine, 'lease expired');
     this.context.hooks.requestPlan();
--- a/src/workers/machinereconciliation.ts
+++ b/src/workers/machinereconciliation.ts
@@ -60,8 +60,8 @@
       if (this.context.isActive())
         await this.commands.send(machine, { commands: [], incarnation: targetIncarnation });
     } catch {
-      // The request is retried later, and the machine also reports by itself. Nothing is planned on it until it
-      // answers.
+      // The request is retried later, and the machine also sends heartbeats by itself. Nothing is planned on it
+      // until it answers.
       if (machine.lastHeartbeatAt !== null) machine.unreachableAt = clock.now();
     } finally {
       this.inFlight.delete(machine.id);
--- a/src/workers/machineregistry.ts
+++ b/src/workers/machineregistry.ts
@@ -13,7 +13,7 @@
 import { WorkerCommands } from './workercommands.js';
 
 /**
- * How many consecutive responses go to a machine whose reports do not show the current token. A machine that still
+ * How many consecutive responses go to a machine whose heartbeats do not show the current token. A machine that still
  * does not show it receives no responses: if it were acknowledged further, its lease would count as renewed forever,
  * and the owner would wait indefinitely for the tasks that may be on it.
  */
@@ -94,8 +94,8 @@
 
   /**
    * Handles a heartbeat that a machine of this shard sent to another node, which redirected it here. Until the
-   * machine reports here or answers a request it is given no new tasks: it may not be receiving responses, which is a
-   * fault in its own right.
+   * machine sends a heartbeat here or answers a request it is given no new tasks: it may not be receiving
+   * responses, which is a fault in its own right.
    */
   onRedirectedHeartbeat(id: string): void {
     const machine = this.machines.get(id);
@@ -109,7 +109,7 @@
     void this.reconciliation.reconcile(machine, null);
   }
 
-  /** Starts tasks on a machine that has reported under the current token. */
+  /** Starts tasks on a machine that has sent a heartbeat under the current token. */
   startTasks(machine: Machine, starts: readonly TaskStart[]): TaskAttempt[] {
     return this.starts.start(machine, starts);
   }
@@ -133,7 +133,7 @@
       const leaseStarted = hasLeaseStarted(machine);
       this.leases.expire(machine, now);
       // A machine that was taken over and could not be reached at first (no socket free, no answer) is asked again. A
-      // machine that failed to answer is also asked until it does, because its reports alone do not show that it
+      // machine that failed to answer is also asked until it does, because its heartbeats alone do not show that it
       // receives responses.
       const isDue = !machine.reconciled || machine.unreachableAt !== null;
       if (
@@ -147,7 +147,10 @@
     }
   }
 
-  /** Returns the monotonic time in ms by which the machine has dropped all its tasks unless it reports before. */
+  /**
+   * Returns the monotonic time in ms by which the machine has dropped all its tasks unless it sends a heartbeat
+   * before.
+   */
   leaseEnd(machine: Machine): number {
     return this.leases.leaseEnd(machine);
   }
--- a/tests/condor/check.ts
+++ b/tests/condor/check.ts
@@ -26,7 +26,7 @@
 const SPEED = 20;
 const DIR = 'examples/condor';
 const JOB_TIMEOUT_S = 400;
-/** Starts closer than this count as simultaneous: orders travel in answers to heartbeats, which come every 3 s. */
+/** Starts closer than this count as simultaneous: commands travel in answers to heartbeats, which come every 3 s. */
 const SIMULTANEOUS_MS = 4000;
 const MAX_CONCURRENT_CHECKS = 3;
 
--- a/tests/controller/cluster.test.ts
+++ b/tests/controller/cluster.test.ts
@@ -76,7 +76,7 @@
   cluster.startNode('n0');
   cluster.startNode('n1');
   await cluster.clock.advance(4000);
-  // The network delays the start order and cuts the machine off.
+  // The network delays the start command and cuts the machine off.
   cluster.net.outcomeOf = (_f, addr, _m, path, body) =>
     addr === first.identity.addr
       ? path === '/do' && JSON.stringify(body).includes('wk-1')
@@ -104,11 +104,11 @@
   assert.ok(await cluster.clock.until(() => second.isActive('wk-1/0'), 15_000));
 });
 
-// Guards against a lease that is counted only from the last answered heartbeat. An overloaded controller answered so
-// late that the machine had started its next session. The controller learned of that session from the answer to a
-// start order, and considered the machine lost while the started task was still running (recorded day inc-05ed: tasks
-// ran twice).
-test('counts the lease of a session from the command answer that first showed the session', async () => {
+// Guards against a lease that is counted only from the last answered heartbeat. An overloaded controller answered
+// so late that the machine had started its next incarnation. The controller learned of that incarnation from the
+// answer to a start command, and considered the machine lost while the started task was still running (recorded
+// day inc-05ed: tasks ran twice).
+test('counts the lease of an incarnation from the command answer that first showed it', async () => {
   const cluster = new FakeCluster(['n0']);
   const worker = cluster.addWorker('c8', 'a');
   cluster.startNode('n0');
@@ -122,11 +122,11 @@
   assert.equal(lateReply.status, 200);
   await cluster.clock.advance(lastHeartbeatAt + LEASE_S * 1000 + 1000 - cluster.clock.now());
   assert.ok(await cluster.submit('n0', job('wk-1', { cpus: 8 })));
-  assert.ok(await started(cluster, 'wk-1/0', 2000), 'started in the next session');
+  assert.ok(await started(cluster, 'wk-1/0', 2000), 'started in the next incarnation');
   assert.equal(worker.incarnation, 2);
   const other = cluster.addWorker('c8', 'a');
-  // Half a second after a lease counted from the last answered heartbeat would have expired, and before the session's
-  // own lease expires.
+  // Half a second after a lease counted from the last answered heartbeat would have expired, and before the
+  // incarnation's own lease expires.
   await cluster.clock.advance(lastHeartbeatAt + (15 + LEASE_S + 2) * 1000 - cluster.clock.now());
   assert.ok(worker.isActive('wk-1/0'), 'its lease is still valid');
   assert.equal(other.executedStarts.length, 0, 'not started elsewhere while the lease is valid');
@@ -221,7 +221,7 @@
   cluster.net.outcomeOf = () => 'deliver';
   assert.ok(
     await cluster.clock.until(() => owner() === cutNode, 60_000),
-    'returned to its home node afterwards',
+    'returned to its preferred node afterwards',
   );
   await cluster.clock.advance(5000);
   assert.ok(
@@ -391,7 +391,7 @@
   assert.ok(await started(cluster, 'wk-1/0'));
   const second = cluster.addWorker('c8', 'a');
   await cluster.clock.advance(4000);
-  // The second machine runs the task as well, and no stop order reaches it.
+  // The second machine runs the task as well, and no stop command reaches it.
   const answer = second.handleHeartbeatResponse.bind(second);
   second.handleHeartbeatResponse = (body, sent) => answer({ ...(body as object), orders: [] }, sent);
   cluster.net.outcomeOf = (_f, addr, _m, path) =>
@@ -558,7 +558,7 @@
   assert.ok(worker.fencingToken > 0);
 });
 
-test('a machine is marked as leaving before its release, which is retried after a lost answer', async () => {
+test('a machine is marked as leaving before its return, which is retried after a lost answer', async () => {
   const cluster = new FakeCluster(['n0']);
   const worker = cluster.addWorker('c8', 'a');
   cluster.startNode('n0');
@@ -625,9 +625,9 @@
   cluster.net.outcomeOf = () => 'deliver';
   await cluster.clock.advance(60_000);
   assert.equal(cluster.nodes.get('n1')!.node.membership.owner(0)?.node, 'n0');
-  const bookings = cluster.rented.map((r) => r.request);
-  assert.ok(bookings.filter((b) => b.startsWith('n0')).length > 4);
-  assert.equal(new Set(bookings).size, bookings.length);
+  const rentalRequests = cluster.rented.map((r) => r.request);
+  assert.ok(rentalRequests.filter((b) => b.startsWith('n0')).length > 4);
+  assert.equal(new Set(rentalRequests).size, rentalRequests.length);
 });
 
 test('a job’s status is answered, and never goes back, during a partition between controllers', async () => {
@@ -792,7 +792,7 @@
   assert.equal((await cluster.call('n1', 'POST', '/api/jobs', job('wk-2', { dueS: 900 }))).status, 201);
 });
 
-test('a rented machine stays in the plan while it boots, and is released when it fails to boot', async () => {
+test('a rented machine stays in the plan while it boots, and is returned when it fails to boot', async () => {
   const cluster = new FakeCluster(['n0']);
   cluster.cloudHasCapacity = true;
   cluster.startNode('n0');
@@ -822,7 +822,7 @@
   assert.ok(await started(cluster, 'wk-1/0'));
 });
 
-test('idle time starts after booting, and a released machine still listed is not registered again', async () => {
+test('idle time starts after booting, and a returned machine still listed is not registered again', async () => {
   const cluster = new FakeCluster(['n0']);
   cluster.objectives = [];
   cluster.cloudHasCapacity = true;
--- a/tests/controller/shardownership.test.ts
+++ b/tests/controller/shardownership.test.ts
@@ -7,10 +7,10 @@
   claimDelayMs,
   decideShard,
   HAND_BACK_AFTER_MS,
-  HOME_SYNC_TIMEOUT_MS,
-  homeNode,
   isCutOffFromStateStore,
   type OwnShardState,
+  PREFERRED_NODE_SYNC_TIMEOUT_MS,
+  preferredNode,
   type ShardAction,
   type ShardTimers,
   type StandbyView,
@@ -26,15 +26,19 @@
   readonly handedOver?: boolean;
   readonly absent?: readonly string[];
   readonly cordonedNodes?: readonly string[];
-  readonly standbys?: Partial<{ capable: boolean; returnHome: boolean; successor: string | null }> | null;
+  readonly standbys?: Partial<{
+    capable: boolean;
+    returnToPreferredNode: boolean;
+    successor: string | null;
+  }> | null;
 }
 
-/** Returns the view of a cluster of three nodes, by default from n0; the home node of shard 1 is n1. */
+/** Returns the view of a cluster of three nodes, by default from n0; the preferred node of shard 1 is n1. */
 function view(cluster: Cluster): ClusterView {
   const standbys: StandbyView | null = cluster.standbys
     ? {
         isStandbyCapable: () => cluster.standbys?.capable ?? true,
-        shouldReturnHome: () => cluster.standbys?.returnHome ?? true,
+        shouldReturnToPreferredNode: () => cluster.standbys?.returnToPreferredNode ?? true,
         successorOf: () => cluster.standbys?.successor ?? null,
       }
     : null;
@@ -56,7 +60,7 @@
   keyInFlight: false,
   retiredTerms: new Set(),
   unownedSince: null,
-  homeAvailableSince: null,
+  preferredNodeAvailableSince: null,
 };
 
 interface Case {
@@ -72,7 +76,7 @@
     const decision = decideShard(view(testCase.cluster), { ...STATE, ...testCase.state }, NOW);
     assert.deepEqual(decision.actions, testCase.actions, testCase.name);
     if (testCase.timers) {
-      const expected = { unownedSince: null, homeAvailableSince: null, ...testCase.timers };
+      const expected = { unownedSince: null, preferredNodeAvailableSince: null, ...testCase.timers };
       assert.deepEqual(decision.timers, expected, `${testCase.name}: timers`);
     }
   }
@@ -110,10 +114,10 @@
       timers: {},
     },
     {
-      name: 'a claim considered failed was applied, with the home node present: its timer starts',
+      name: 'a claim considered failed was applied, with the preferred node present: its timer starts',
       cluster: { key: heldHere },
       actions: [{ kind: 'startOwning', term: 7 }],
-      timers: { homeAvailableSince: NOW },
+      timers: { preferredNodeAvailableSince: NOW },
     },
     {
       name: 'a newer term of this node itself',
@@ -178,7 +182,11 @@
       state: { ...unownedFor(turnDelayMs), keyInFlight: true },
       actions: [],
     },
-    { name: 'the home node claims without delay', cluster: { thisNode: 'n1' }, actions: [{ kind: 'claim' }] },
+    {
+      name: 'the preferred node claims without delay',
+      cluster: { thisNode: 'n1' },
+      actions: [{ kind: 'claim' }],
+    },
     {
       name: 'does not wait for a cordoned node',
       cluster: { cordonedNodes: ['n1'] },
@@ -200,107 +208,110 @@
   ]);
 });
 
-// Guards against shards that are never returned to their home node, and against shards that move back and forth.
-test('returns a shard to its home node once that node has been available long enough', () => {
-  const homeAvailableFor = (ms: number) => ({ owned: ownedState, homeAvailableSince: NOW - ms });
+// Guards against shards that are never returned to their preferred node, and against shards that move back and forth.
+test('returns a shard to its preferred node once that node has been available long enough', () => {
+  const preferredNodeAvailableFor = (ms: number) => ({
+    owned: ownedState,
+    preferredNodeAvailableSince: NOW - ms,
+  });
   const handBack = { kind: 'handBack', to: 'n1', term: 7 } as const;
-  const handBackTimeoutMs = HAND_BACK_AFTER_MS + HOME_SYNC_TIMEOUT_MS;
+  const handBackTimeoutMs = HAND_BACK_AFTER_MS + PREFERRED_NODE_SYNC_TIMEOUT_MS;
   check([
     {
-      name: 'owned by its home node',
+      name: 'owned by its preferred node',
       cluster: { thisNode: 'n1', key: heldHere },
-      state: homeAvailableFor(handBackTimeoutMs),
+      state: preferredNodeAvailableFor(handBackTimeoutMs),
       actions: [],
       timers: {},
     },
     {
-      name: 'home node absent',
+      name: 'preferred node absent',
       cluster: { key: heldHere, absent: ['n1'] },
-      state: homeAvailableFor(handBackTimeoutMs),
+      state: preferredNodeAvailableFor(handBackTimeoutMs),
       actions: [],
       timers: {},
     },
     {
-      name: 'home node cordoned',
+      name: 'preferred node cordoned',
       cluster: { key: heldHere, cordonedNodes: ['n1'] },
-      state: homeAvailableFor(handBackTimeoutMs),
+      state: preferredNodeAvailableFor(handBackTimeoutMs),
       actions: [],
       timers: {},
     },
     {
-      name: 'home node first seen available now',
+      name: 'preferred node first seen available now',
       cluster: { key: heldHere },
       state: { owned: ownedState },
       actions: [],
-      timers: { homeAvailableSince: NOW },
+      timers: { preferredNodeAvailableSince: NOW },
     },
     {
-      name: 'home node not available long enough',
+      name: 'preferred node not available long enough',
       cluster: { key: heldHere },
-      state: homeAvailableFor(HAND_BACK_AFTER_MS - 1),
+      state: preferredNodeAvailableFor(HAND_BACK_AFTER_MS - 1),
       actions: [],
     },
     {
-      name: 'home node available long enough',
+      name: 'preferred node available long enough',
       cluster: { key: heldHere },
-      state: homeAvailableFor(HAND_BACK_AFTER_MS),
+      state: preferredNodeAvailableFor(HAND_BACK_AFTER_MS),
       actions: [handBack],
       timers: {},
     },
     {
       name: 'shard not ready',
       cluster: { key: heldHere },
-      state: { ...homeAvailableFor(handBackTimeoutMs), owned: { term: 7, ready: false } },
+      state: { ...preferredNodeAvailableFor(handBackTimeoutMs), owned: { term: 7, ready: false } },
       actions: [],
-      timers: { homeAvailableSince: NOW - handBackTimeoutMs },
+      timers: { preferredNodeAvailableSince: NOW - handBackTimeoutMs },
     },
     {
-      name: 'the home node cannot be a standby',
-      cluster: { key: heldHere, standbys: { capable: false, returnHome: false } },
-      state: homeAvailableFor(HAND_BACK_AFTER_MS),
+      name: 'the preferred node cannot be a standby',
+      cluster: { key: heldHere, standbys: { capable: false, returnToPreferredNode: false } },
+      state: preferredNodeAvailableFor(HAND_BACK_AFTER_MS),
       actions: [handBack],
     },
     {
       name: 'a move would not improve the placement',
-      cluster: { key: heldHere, standbys: { returnHome: false } },
-      state: homeAvailableFor(handBackTimeoutMs),
+      cluster: { key: heldHere, standbys: { returnToPreferredNode: false } },
+      state: preferredNodeAvailableFor(handBackTimeoutMs),
       actions: [],
     },
     {
-      name: 'the home node is in sync',
+      name: 'the preferred node is in sync',
       cluster: { key: heldHere, standbys: { successor: 'n1' } },
-      state: homeAvailableFor(HAND_BACK_AFTER_MS),
-      actions: [{ kind: 'handOverToHome' }],
+      state: preferredNodeAvailableFor(HAND_BACK_AFTER_MS),
+      actions: [{ kind: 'handOverToPreferredNode' }],
       timers: {},
     },
     {
-      name: 'the home node is not in sync yet',
+      name: 'the preferred node is not in sync yet',
       cluster: { key: heldHere, standbys: { successor: 'n2' } },
-      state: homeAvailableFor(handBackTimeoutMs - 1),
+      state: preferredNodeAvailableFor(handBackTimeoutMs - 1),
       actions: [],
-      timers: { homeAvailableSince: NOW - handBackTimeoutMs + 1 },
+      timers: { preferredNodeAvailableSince: NOW - handBackTimeoutMs + 1 },
     },
     {
-      name: 'the home node does not get in sync',
+      name: 'the preferred node does not get in sync',
       cluster: { key: heldHere, standbys: {} },
-      state: homeAvailableFor(handBackTimeoutMs),
+      state: preferredNodeAvailableFor(handBackTimeoutMs),
       actions: [handBack],
     },
   ]);
 });
 
-test('the claim order starts with the home node and continues cyclically', () => {
+test('the claim order starts with the preferred node and continues cyclically', () => {
   const nodes = ['n0', 'n1', 'n2'];
   for (const [shard, order] of [
     ['n0', 'n1', 'n2'],
     ['n1', 'n2', 'n0'],
     ['n2', 'n0', 'n1'],
   ].entries()) {
-    assert.equal(homeNode(nodes, shard), order[0]);
+    assert.equal(preferredNode(nodes, shard), order[0]);
     for (const [turn, thisNode] of order.entries())
       assert.equal(claimDelayMs(view({ thisNode }), shard), turn * CLAIM_DELAY_PER_NODE_MS);
   }
-  assert.equal(homeNode(nodes, 4), 'n1');
+  assert.equal(preferredNode(nodes, 4), 'n1');
 });
 
 test('an owner counts as cut off from the key-value store only while its standby is not', () => {
--- a/tests/controller/workerconnectivity.test.ts
+++ b/tests/controller/workerconnectivity.test.ts
@@ -35,7 +35,7 @@
 });
 
 // Guards against resuming a shard under a retired term: fencing tokens and attempt numbers would equal those of the
-// former ownership, whose orders may still be in flight.
+// former ownership, whose commands may still be in flight.
 test('a shard whose release gets no answer is not resumed under its old term', async () => {
   const cluster = new FakeCluster(['n0', 'n1']);
   cluster.teams = ['red', 'blue'].map((name) => ({ name, cpus: 16, cpusMax: 32, gpus: 0, gpusMax: 0 }));
--- a/tests/emulator/emulator.test.ts
+++ b/tests/emulator/emulator.test.ts
@@ -160,7 +160,7 @@
   assert.ok(Math.abs(market.charge() - (2 * 162.1 + 0.5 * 150.1) / 3600) < 0.01);
 });
 
-test('the emulated state service answers 410 for discarded changes, and can refuse a single caller', async () => {
+test('the emulated key-value store answers 410 for discarded changes, and can refuse a single caller', async () => {
   const clock = new FakeClock();
   const state = new StateService(clock);
   const put = (n: number) => state.serve('POST', '/txn', { when: [], writes: [{ set: `k/${n}`, value: n }] });
@@ -338,7 +338,7 @@
 
 // Guards against an emulated worker that keeps tasks for up to a second after its lease has expired: tasks on machines
 // behind a partition then seemed to run twice.
-test('a disconnected emulated worker ends its tasks when its lease expires, not at its next report', async () => {
+test('a disconnected emulated worker ends its tasks when its lease expires, not at its next heartbeat', async () => {
   const clock = new FakeClock();
   const place = { id: 'm-1', addr: 'a:1', type: 'c8', zone: 'a', spot: false };
   const worker: Worker = new Worker(clock, place, 16);
--- a/tests/faults/combinedfaults.test.ts
+++ b/tests/faults/combinedfaults.test.ts
@@ -100,7 +100,7 @@
     let startedAt: number | null = null;
     for (let ms = 0; ms < CANCEL_MS + 5000; ms += 250) {
       await cluster.clock.advance(250);
-      // Idle machines of other shards are released during this time; machines that are rented boot at once.
+      // Idle machines of other shards are returned during this time; machines that are rented boot at once.
       for (const w of cluster.workers) if (!all.includes(w)) cluster.notReporting.delete(w);
       for (const team of ['red', 'blue'] as const)
         assert.ok(used(team) <= limit[team], `${team} uses ${used(team)} after ${ms} ms`);
@@ -236,7 +236,7 @@
   });
 }
 
-// Guards against stale heartbeats that give a new owner outdated state: of an earlier worker session, of a machine
+// Guards against stale heartbeats that give a new owner outdated state: of an earlier worker incarnation, of a machine
 // that has been released or has crashed, or of tasks that have ended since.
 test('stale heartbeats that reach every controller during a failover change nothing', async () => {
   const { cluster, shard } = await startBusyCluster(3);
@@ -251,7 +251,7 @@
   const task = ended.attempts[0]!.task;
   ended.endTask(task, 'done');
   await cluster.clock.advance(3000);
-  // Ends the session of one machine by expiry of its lease, and removes another machine.
+  // Ends the incarnation of one machine by expiry of its lease, and removes another machine.
   cluster.notReporting.add(silent);
   await cluster.clock.advance(LEASE_MS + 3000);
   cluster.notReporting.delete(silent);
--- a/tests/faults/controllerrestarts.test.ts
+++ b/tests/faults/controllerrestarts.test.ts
@@ -18,7 +18,7 @@
   return cluster;
 }
 
-const sessions = (cluster: FakeCluster) => new Set(cluster.workers.map((w) => w.incarnation));
+const incarnations = (cluster: FakeCluster) => new Set(cluster.workers.map((w) => w.incarnation));
 
 // Guards against an owner that keeps scheduling, or keeps its machines, when it can reach only the workers.
 test('an owner that reaches only its workers is replaced without lost machines, and starts nothing twice after it is back', async () => {
@@ -47,12 +47,12 @@
   };
   await cluster.clock.advance(LEASE_S * 1000 + 8000);
   assert.deepEqual(orders, [], 'the old owner sends no commands');
-  assert.deepEqual(sessions(cluster), new Set([1]), 'no machine has lost its lease');
+  assert.deepEqual(incarnations(cluster), new Set([1]), 'no machine has lost its lease');
   assert.ok(await cluster.submit(NODES.find((n) => n !== oldOwner)!, job('wk-2', { cpus: 8, dueS: 900 })));
   assert.ok(await cluster.clock.until(() => cluster.workers.some((w) => w.isActive('wk-2/0')), 10_000));
   setPartitioned(false);
   await cluster.clock.advance(40_000);
-  assert.deepEqual(sessions(cluster), new Set([1]));
+  assert.deepEqual(incarnations(cluster), new Set([1]));
   assert.equal(cluster.starts, 7, 'nothing was started twice');
   assert.equal(cluster.attempts, 7);
 });
@@ -102,7 +102,7 @@
     }
   await cluster.clock.advance(30_000);
   assert.deepEqual(new Set([0, 1, 2].map((k) => cluster.owner(k))), new Set(NODES), 'one shard each again');
-  assert.deepEqual(sessions(cluster), new Set([1]), 'no machine has lost its lease');
+  assert.deepEqual(incarnations(cluster), new Set([1]), 'no machine has lost its lease');
   for (const id of accepted) {
     const reply = await cluster.call('n0', 'GET', `/api/jobs/${id}`);
     assert.equal((reply.body as { status: string }).status, 'running', id);
@@ -140,7 +140,7 @@
   for (const n of NODES) cluster.startNode(n);
   await cluster.clock.advance(5000);
   // A job description is split over several records, all controllers crash right after it is accepted, and the
-  // state service is down when they restart.
+  // key-value store is down when they restart.
   const needed = Array.from({ length: 500 }, (_, i) => `wk-${1000 + i}`);
   await submit('n0', 'wk-3', { waitsOn: ['wk-1'], bundle: `img-${needed.join('').slice(0, 150)}` });
   await submit('n1', 'wk-4', { pieces: 40 });
--- a/tests/faults/latemessages.test.ts
+++ b/tests/faults/latemessages.test.ts
@@ -12,7 +12,7 @@
 
 // Guards against plans on machines that no longer exist: a duplicate of an old heartbeat made the leader assign the
 // machine to a shard again, and deadlines were accepted on it until it counted as failed to boot.
-test('a duplicate of an old heartbeat does not bring back a released machine, also after a change of leader', async () => {
+test('a duplicate of an old heartbeat does not bring back a returned machine, also after a change of leader', async () => {
   const cluster = new FakeCluster(NODES);
   cluster.objectives = [];
   for (const n of NODES) cluster.startNode(n);
@@ -55,7 +55,7 @@
 
 // Guards against a heartbeat from before a task started or ended, by which the task would count as ended or as
 // still running.
-test('a duplicate heartbeat from before a start does not end the task, and one from an ended session does not restore it', async () => {
+test('a duplicate heartbeat from before a start does not end the task, and one from an ended incarnation does not restore it', async () => {
   const cluster = new FakeCluster(['n0']);
   const [first, second] = [cluster.addWorker('c8', 'a'), cluster.addWorker('c8', 'a')];
   cluster.startNode('n0');
@@ -97,7 +97,7 @@
 
 // Guards against heartbeats that are applied after they became stale: duplicates that arrive between seconds and
 // three lease durations late, during restarts within a fraction of a second, handovers to standbys, elections, and
-// new worker sessions.
+// new worker incarnations.
 test('duplicates of heartbeats that arrive late restore no task, end none, and cause no wrong status', async () => {
   for (const seed of [1, 2, 3, 4, 5, 6]) {
     const random = new Random(seed);
--- a/tests/faults/takeover.test.ts
+++ b/tests/faults/takeover.test.ts
@@ -2,11 +2,11 @@
 import { test } from 'node:test';
 import { FakeCluster, job } from '../support/cluster.js';
 
-// Guards against machines that never find their new owner: two of three controllers were cut off from the state
-// service. The owner among them answered 503, and the other, with its cached keys from before the partition,
+// Guards against machines that never find their new owner: two of three controllers were cut off from the
+// key-value store. The owner among them answered 503, and the other, with its cached keys from before the partition,
 // redirected the machines back to it. All machines of the shard lost their leases although they, the new owner and
-// the state service reached each other throughout.
-test('machines find the new owner when the old owner and the next node are cut off from the state service', async () => {
+// the key-value store reached each other throughout.
+test('machines find the new owner when the old owner and the next node are cut off from the key-value store', async () => {
   const cluster = new FakeCluster(['n0', 'n1', 'n2']);
   const machines = Array.from({ length: 9 }, () => cluster.addWorker('c8', 'a'));
   for (const n of ['n0', 'n1', 'n2']) cluster.startNode(n);
--- a/tests/faults/undecidedwrites.test.ts
+++ b/tests/faults/undecidedwrites.test.ts
@@ -66,7 +66,7 @@
   }
 });
 
-// Guards against an owner that reports a job running after another node has read its end from the state service and
+// Guards against an owner that reports a job running after another node has read its end from the key-value store and
 // reported it.
 test('a completion whose write has an unknown outcome is never reported as unfinished again', async () => {
   const { cluster, shard } = await startBusyCluster(1);
@@ -106,8 +106,8 @@
   return confirmation;
 }
 
-// Guards against tasks that outlive a confirmed cancellation: the state service refuses the owner alone, another
-// node confirms cancellations, and then the state service is down for all for longer than a cancellation may take,
+// Guards against tasks that outlive a confirmed cancellation: the key-value store refuses the owner alone, another
+// node confirms cancellations, and then the key-value store is down for all for longer than a cancellation may take,
 // while machines still send heartbeats to the old owner. The time is bounded because the old owner gives up its
 // shard before any other node can take it, and accepts no heartbeat with status 200 from then on.
 test('tasks cancelled through another node are gone in time when an outage longer than the time limit follows', async () => {
@@ -247,7 +247,7 @@
   }
 });
 
-// Guards against an owner that is cut off from the state service and the other nodes, and gives users who still
+// Guards against an owner that is cut off from the key-value store and the other nodes, and gives users who still
 // reach it an outdated status: the new owner has accepted, ended and cancelled jobs since.
 test('an owner that reaches only workers and users reports no status older than what the new owner has reported', async () => {
   const { cluster, shard } = await startBusyCluster(2);
--- a/tests/faults/zonecut.test.ts
+++ b/tests/faults/zonecut.test.ts
@@ -52,13 +52,13 @@
     'burst@30+1*0.6',
   ],
   [
-    'no rule is broken when the state service refuses the owner alone as jobs are cancelled, a second before an outage longer than a cancellation may take',
+    'no rule is broken when the key-value store refuses the owner alone as jobs are cancelled, a second before an outage longer than a cancellation may take',
     'called off at once@25+1*1',
     'state refuses owner@25+20*1',
     'state out@26+57*1',
   ],
   [
-    'no rule is broken when jobs are cancelled while the state service is slow and loses answers',
+    'no rule is broken when jobs are cancelled while the key-value store is slow and loses answers',
     'slow state@12+20*1',
     'lost answers@14+20*0.5',
     'called off at once@20+1*0.8',
--- a/tests/load/half-open.ts
+++ b/tests/load/half-open.ts
@@ -1,6 +1,6 @@
 /**
  * Measures a real controller process on loopback while one address holds 2,000 half-open connections, each reopened
- * as soon as it is closed, and 400 workers report. Not part of the tests: it takes half a minute of real time.
+ * as soon as it is closed, and 400 workers send heartbeats. Not part of the tests: it takes half a minute of real time.
  *
  *     node target/check/tests/load/half-open.js [PATH-TO-main.js] [SECONDS]
  */
--- a/tests/plan/plan.test.ts
+++ b/tests/plan/plan.test.ts
@@ -173,7 +173,7 @@
 
 // Guards against a shard whose machines are in another zone than its owner: in a network partition between the
 // zones all of them lost their leases, and half of the work had to be restarted.
-test('assigns machines to shards with the same home zone, up to the fair share of each shard', () => {
+test('assigns machines to shards with the same preferred zone, up to the fair share of each shard', () => {
   const zones = ['a', 'b', 'a'];
   const weights = [3, 5, 2];
   const machinesByShard = [0, 0, 0].map(() => ({ a: 0, b: 0 }));
@@ -183,7 +183,7 @@
       weight,
       machines: machinesByShard[i]!.a + machinesByShard[i]!.b,
       machinesInZone: machinesByShard[i]![zone],
-      isHomeZone: zones[i] === zone,
+      isPreferredZone: zones[i] === zone,
     }));
     machinesByShard[shardFor(candidates, machines.length - n)]![zone]++;
   });
--- a/tests/plan/size.test.ts
+++ b/tests/plan/size.test.ts
@@ -118,7 +118,7 @@
   assert.ok(servedAfterRejection <= 42, `${servedAfterRejection} in 4 s`);
 });
 
-test('assigns and releases a thousand machines in batched transactions and requests', async () => {
+test('assigns and returns a thousand machines in batched transactions and requests', async () => {
   const cluster = new FakeCluster(['n0']);
   cluster.objectives = [{ kind: 'wait', class: 'train', withinS: 10, share: 0.99 }];
   const requests = new Map<string, number>();
--- a/tests/scheduler/dependencytracker.test.ts
+++ b/tests/scheduler/dependencytracker.test.ts
@@ -172,7 +172,7 @@
   for (const id of ['wk-2', 'wk-3', 'wk-4'])
     assert.ok(
       await reachesState(cluster, id, 'cancelled', 20_000),
-      `${id} is cancelled through the state service`,
+      `${id} is cancelled through the key-value store`,
     );
   assert.ok(cluster.clock.now() - cancelledAt < 45_000);
   for (const r of cluster.nodes.values()) r.disconnected = false;
@@ -243,7 +243,7 @@
   assert.ok(await waitForStart(cluster, 'wk-2/0'));
 });
 
-// Guards against a hot loop of reads: with many dependencies and a failing state service, reads are retried only at
+// Guards against a hot loop of reads: with many dependencies and a failing key-value store, reads are retried only at
 // the polling rate.
 test('retries failed reads of dependencies at a bounded rate during an outage', async () => {
   const cluster = await twoShards();
--- a/tests/scheduler/shortjobs.test.ts
+++ b/tests/scheduler/shortjobs.test.ts
@@ -11,7 +11,7 @@
 const JOBS_PER_SECOND = 4;
 
 // Guards against a backlog of short jobs: one-task jobs arrive at four per second for two minutes, and a quarter of
-// them is cancelled soon after. Jobs must not pile up within the state service rates of either operator, counted as
+// them is cancelled soon after. Jobs must not pile up within the key-value store rates of either operator, counted as
 // its protocol does.
 for (const { rps, writeRps } of [
   { rps: 150, writeRps: 50 },
--- a/tests/standby/replicationstream.test.ts
+++ b/tests/standby/replicationstream.test.ts
@@ -160,14 +160,14 @@
     assert.equal(readReplicationMessage(invalid), null);
 });
 
-test('chooses the home node first, then by zone and load, and avoids the next node of a rolling restart', () => {
+test('chooses the preferred node first, then by zone and load, and avoids the next node of a rolling restart', () => {
   const order = ['n0', 'n1', 'n2', 'n3', 'n4'];
   const zones: Record<string, string> = { n0: 'a', n1: 'b', n2: 'a', n3: 'b', n4: 'a' };
   const loads: Record<string, number> = { n0: 200, n1: 180, n2: 190, n3: 1, n4: 1 };
-  const choose = (owner: string, home: string, ineligible: string[] = []) =>
+  const choose = (owner: string, preferredNode: string, ineligible: string[] = []) =>
     chooseStandby({
       owner,
-      home,
+      preferredNode,
       order,
       isEligible: (n) => !ineligible.includes(n),
       load: (n) => loads[n]!,
--- a/tests/standby/standby.test.ts
+++ b/tests/standby/standby.test.ts
@@ -206,14 +206,14 @@
 
 // Guards against a gap at each handover: requests were refused between the end of one owner and the start of
 // the next.
-test('refuses no request and loses no machine when a shard returns home or a node leaves', async () => {
+test('refuses no request and loses no machine when a shard returns to its preferred node or a node leaves', async () => {
   const cluster = await startInSyncCluster(6);
   const shard = cluster.shardOf('wk-1');
-  const home = cluster.owner(shard)!;
-  cluster.killNode(home);
-  assert.ok(await cluster.clock.until(() => cluster.owner(shard) !== home, 4000));
+  const preferredNode = cluster.owner(shard)!;
+  cluster.killNode(preferredNode);
+  assert.ok(await cluster.clock.until(() => cluster.owner(shard) !== preferredNode, 4000));
   await cluster.clock.advance(2000);
-  cluster.startNode(home);
+  cluster.startNode(preferredNode);
   await cluster.clock.advance(2000);
   const replies: number[] = [];
   let i = 10;
@@ -226,24 +226,24 @@
     );
     replies.push((await cluster.nodes.get(n)!.api.handle(cluster.request('GET', '/api/jobs/wk-1'))).status);
   };
-  for (let t = 0; t < 300 && cluster.owner(shard) !== home; t++) {
+  for (let t = 0; t < 300 && cluster.owner(shard) !== preferredNode; t++) {
     for (const n of NODES) void sendRequests(n);
     await cluster.clock.advance(50);
   }
-  assert.equal(cluster.owner(shard), home, 'the shard has returned home');
+  assert.equal(cluster.owner(shard), preferredNode, 'the shard has returned to its preferred node');
   for (let t = 0; t < 20; t++) {
     for (const n of NODES) void sendRequests(n);
     await cluster.clock.advance(50);
   }
   await cluster.clock.advance(4000);
-  const leaving = cluster.nodes.get(home)!.node.leave();
+  const leaving = cluster.nodes.get(preferredNode)!.node.leave();
   for (let t = 0; t < 10; t++) {
     for (const n of NODES) void sendRequests(n);
     await cluster.clock.advance(20);
   }
   await leaving;
-  cluster.killNode(home);
-  assert.notEqual(cluster.owner(shard), home);
+  cluster.killNode(preferredNode);
+  assert.notEqual(cluster.owner(shard), preferredNode);
   await cluster.clock.advance(5000);
   assert.ok(replies.length > 200);
   assert.deepEqual(
@@ -353,7 +353,7 @@
   );
   cluster.startNode('n1');
   await cluster.clock.advance(20_000);
-  assert.equal(cluster.owner(1), 'n1', 'handed back to its home node');
+  assert.equal(cluster.owner(1), 'n1', 'handed back to its preferred node');
   await cluster.clock.advance(10_000);
   assert.equal(cluster.starts, 4);
   assert.ok(cluster.workers.every((worker) => worker.incarnation === 1));
@@ -364,7 +364,7 @@
   cluster.standby = true;
   cluster.teams = [{ name: 'red', cpus: 0, cpusMax: 0, gpus: 0, gpusMax: 0 }];
   let storeRequests = 0;
-  let sessionRequests = 0;
+  let incarnationRequests = 0;
   let machineRequests = 0;
   const readFrom: number[] = [];
   cluster.net.outcomeOf = (_f, addr, _m, path) => {
@@ -372,7 +372,7 @@
     if (since) readFrom.push(Number(since[1]));
     if (addr.startsWith('10.2.0.1') && !path.startsWith('/leases')) storeRequests++;
     if (addr.startsWith('10.1.')) machineRequests++;
-    if (addr.startsWith('10.1.') && path === '/show') sessionRequests++;
+    if (addr.startsWith('10.1.') && path === '/show') incarnationRequests++;
     return 'deliver';
   };
   for (const n of NODES) cluster.startNode(n);
@@ -402,7 +402,7 @@
   const ownedMachines = shardMachines().length;
   const latestVersion = cluster.state.items.get('act/wk-14')!.version;
   readFrom.length = 0;
-  [sessionRequests, machineRequests, storeRequests] = [0, 0, 0];
+  [incarnationRequests, machineRequests, storeRequests] = [0, 0, 0];
   cluster.killNode(initialOwner);
   const killedAt = cluster.clock.now();
   assert.ok(await cluster.clock.until(() => cluster.owner(shard) === standbyNode, 4000));
@@ -417,7 +417,10 @@
   );
   assert.ok(storeRequests < 60, `${storeRequests} requests to the key-value store`);
   await cluster.clock.advance(1500);
-  assert.ok(sessionRequests < ownedMachines / 10, `${sessionRequests} machines were asked for their session`);
+  assert.ok(
+    incarnationRequests < ownedMachines / 10,
+    `${incarnationRequests} machines were asked for their incarnation`,
+  );
   assert.ok(machineRequests >= ownedMachines, `${machineRequests} of ${ownedMachines} machines contacted`);
   await cluster.clock.advance(23_000);
   assert.ok(cluster.attempts >= before);
@@ -425,9 +428,9 @@
   assert.ok(cluster.workers.every((worker) => worker.incarnation === 1));
 });
 
-// Guards against obsolete start orders: while a start waits for the standby's acknowledgement, its job may be
-// cancelled, or its machine may begin a new session while the task is started elsewhere.
-test('drops a start that waits for the standby when its job is cancelled or its machine begins a new session', async () => {
+// Guards against obsolete start commands: while a start waits for the standby's acknowledgement, its job may be
+// cancelled, or its machine may begin a new incarnation while the task is started elsewhere.
+test('drops a start that waits for the standby when its job is cancelled or its machine begins a new incarnation', async () => {
   const cluster = await startInSyncCluster(6);
   const shard = cluster.shardOf('wk-1');
   const owner = cluster.owner(shard)!;
@@ -454,7 +457,7 @@
     'the start order is never sent',
   );
   assert.equal(cluster.starts, 5);
-  // The machines begin new sessions while a start waits.
+  // The machines begin new incarnations while a start waits.
   cluster.lostAnswers.add('stand');
   assert.ok(await cluster.submit(owner, job('wk-7', { cpus: 4 })));
   await cluster.clock.advance(100);
--- a/tests/support/capture.ts
+++ b/tests/support/capture.ts
@@ -5,7 +5,7 @@
 import type { Peer } from './net.js';
 import { Shapes } from './shapes.js';
 
-/** Patterns that map the keys in the state service to their kinds; the first match applies. */
+/** Patterns that map the keys in the key-value store to their kinds; the first match applies. */
 const STORED_KINDS: readonly [kind: string, key: RegExp][] = [
   ['c/lead', /^c\/lead$/],
   ['c/node/NAME', /^c\/node\/[^/]+$/],
--- a/tests/support/captured.ts
+++ b/tests/support/captured.ts
@@ -151,7 +151,7 @@
 }
 
 /**
- * Sends submissions and cancellations through the state service while the owner refuses connections from its peers.
+ * Sends submissions and cancellations through the key-value store while the owner refuses connections from its peers.
  */
 async function playStoredRequests(capture: Capture): Promise<void> {
   const cluster = new FakeCluster(['n0', 'n1']);
@@ -168,7 +168,7 @@
   await cluster.call(other, 'GET', '/api/jobs/wk-away');
 }
 
-/** Stores values that exceed the size limit of one record, and rents and releases machines. */
+/** Stores values that exceed the size limit of one record, and rents and returns machines. */
 async function playSmallValues(capture: Capture): Promise<void> {
   const cluster = new FakeCluster(['n0']);
   cluster.stateLimits = { rps: 600, writeRps: 300, valueKb: 1, txnOps: 4 };
@@ -194,7 +194,7 @@
     await cluster.call('n0', 'POST', `/api/jobs/${id}/abort`);
   for (let round = 0; round < 40 && cluster.released.length === 0; round++)
     await cluster.clock.advance(10_000);
-  assert.ok(cluster.released.length > 0, 'machines are released');
+  assert.ok(cluster.released.length > 0, 'machines are returned');
 }
 
 /** Transfers machines between shards at the leader's request. */
--- a/tests/support/cluster.ts
+++ b/tests/support/cluster.ts
@@ -69,7 +69,7 @@
   RATES_OP,
 ]);
 
-/** Real controllers with an emulated state service, cloud and workers, all on one fake clock. */
+/** Real controllers with an emulated key-value store, cloud and workers, all on one fake clock. */
 export class FakeCluster {
   readonly clock = new FakeClock();
   readonly net = new FakeNet(this.clock);
@@ -114,7 +114,7 @@
   stateRates = { rps: 600, writeRps: 300 };
   /** The zones of each region; empty when all zones are in one region. */
   regions: Record<string, string[]> = {};
-  /** The number of nodes by which each node divides the rate limits of the state service. */
+  /** The number of nodes by which each node divides the rate limits of the key-value store. */
   rateDivisor = 1;
   /** Machine types in addition to `c8` and `g8`: name, CPUs, GPUs. */
   readonly additionalTypes: [string, number, number][] = [];
--- a/tests/support/feeds.ts
+++ b/tests/support/feeds.ts
@@ -16,11 +16,11 @@
   stateCache: ClusterStateCache;
   /** Whether the node is killed or paused, and therefore answers no request and runs no callback. */
   down: boolean;
-  /** Whether the node's lease renewals show that the state service is reachable. */
+  /** Whether the node's lease renewals show that the key-value store is reachable. */
   stateStoreReachable: boolean;
 }
 
-/** Change feeds and cluster state caches of several controllers, with one emulated state service, on a fake clock. */
+/** Change feeds and cluster state caches of several controllers, with one emulated key-value store, on a fake clock. */
 export class FeedCluster {
   readonly clock = new FakeClock();
   readonly state = new StateService(this.clock);
@@ -35,7 +35,7 @@
   answerMs: (from: string, to: string, op: string) => number = () => 0;
   /** Alters an answer in transit. */
   alterAnswer: (answer: unknown, from: string, to: string) => unknown = (answer) => answer;
-  /** The number of requests to the state service, by node and kind. */
+  /** The number of requests to the key-value store, by node and kind. */
   readonly requests = new Map<string, number>();
   readonly sentRequests: { from: string; to: string; op: string }[] = [];
   private valueCount = 0;
--- a/tests/support/produced.ts
+++ b/tests/support/produced.ts
@@ -99,7 +99,7 @@
   sent: string[];
 }
 
-/** Creates clients of the state service and the cloud whose requests are recorded and answered by `answer`. */
+/** Creates clients of the key-value store and the cloud whose requests are recorded and answered by `answer`. */
 function recordingClients(
   answer: (method: string, path: string, body: unknown) => unknown,
 ): RecordingClients {
@@ -120,7 +120,7 @@
   return Object.fromEntries(sent.map((text, i) => [`${name} ${i + 1}`, text]));
 }
 
-/** Returns every kind of request to the state service. */
+/** Returns every kind of request to the key-value store. */
 export async function stateRequests(): Promise<EncodedTexts> {
   const service = new StateService(new FakeClock());
   const { store, sent } = recordingClients((method, path, body) => {
--- a/tests/support/troubles.ts
+++ b/tests/support/troubles.ts
@@ -48,7 +48,7 @@
 export type FaultKind = keyof typeof MAX_DURATION_S;
 export const FAULT_KINDS = Object.keys(MAX_DURATION_S) as FaultKind[];
 
-/** Faults of the state service and of writes to it, which most safety rules depend on. */
+/** Faults of the key-value store and of writes to it, which most safety rules depend on. */
 const STATE_FAULT_KINDS: FaultKind[] = [
   'late writes',
   'lost answers',
--- a/tests/upgrade/jobs.ts
+++ b/tests/upgrade/jobs.ts
@@ -25,7 +25,7 @@
 const CANCEL_AFTER_S = 12;
 /** Time before the end of a step at which long tasks are submitted, so that they run when the cluster stops. */
 const LONG_BEFORE_END_S = 40;
-/** An image name so long that the job description does not fit into a single value of the state service. */
+/** An image name so long that the job description does not fit into a single value of the key-value store. */
 const LONG_IMAGE = 'solver-'.padEnd(199, 'x');
 
 type JobFields = Record<string, unknown>;
--- a/tests/upgrade/owners.ts
+++ b/tests/upgrade/owners.ts
@@ -8,7 +8,7 @@
 const WATCH_MS = 500;
 
 /**
- * Observes in the state service which controllers own the shards of a cluster and which are standbys, and counts
+ * Observes in the key-value store which controllers own the shards of a cluster and which are standbys, and counts
  * terms.
  */
 export class OwnerWatch {
