--- a/src/autoscaler/machinerecords.ts
+++ b/src/autoscaler/machinerecords.ts
@@ -210,7 +210,7 @@
     const { context, registry } = this.options;
     const stored = await context.store.get(KEYS.machine(machine.id)).catch(() => undefined);
     if (stored === null) return;
-    // The record still exists, so the machine is returned to the cloud once more, which does no harm.
+    // The record still exists, so the machine is returned to the cloud again, which does no harm.
     registry.machines.set(machine.id, {
       ...machine,
       version: stored?.version ?? machine.version,
--- a/src/autoscaler/scalein.ts
+++ b/src/autoscaler/scalein.ts
@@ -42,12 +42,12 @@
  */
 const MIN_UNLISTED_MS = 15_000;
 const UNLISTED_LAGS = 4;
-/** Time after its rental for which a machine that has never reported may be missing from the list. */
+/** Time after its rental for which a machine that has never sent a heartbeat may be missing from the list. */
 const UNLISTED_AFTER_RENTAL_MS = 60_000;
 
 /** Returns a shard's machines to the cloud. */
 export class ScaleIn {
-  /** Since when machines have been missing from the cloud's list, in monotonic milliseconds. */
+  /** Times since which machines have been missing from the cloud's list, in monotonic milliseconds. */
   private readonly unlistedSince = new Map<string, number>();
   private readonly claimedAt: number;
 
--- a/src/changefeed/changefeed.ts
+++ b/src/changefeed/changefeed.ts
@@ -95,9 +95,9 @@
   private readonly sourceHealth: SourceHealth;
   /** The node that this node follows; null while it watches the key-value store itself. */
   private following: string | null = null;
-  /** Since when there has been no source to follow; null while there is one. */
+  /** Time since which there has been no source to follow; null while there is one. */
   private noSourceSince: number | null = null;
-  /** Until when this node watches the key-value store itself for lack of a source. */
+  /** Time until which this node watches the key-value store itself because it has no source. */
   private directUntil = Number.NEGATIVE_INFINITY;
   /** When this node's own watch last returned changes. */
   private lastChangesAt = Number.NEGATIVE_INFINITY;
--- a/src/condor/expander.ts
+++ b/src/condor/expander.ts
@@ -64,7 +64,7 @@
         await this.tick();
       } catch (error) {
         if (!(error instanceof StateStoreError || error instanceof UnavailableError))
-          this.log.error({ err: error }, 'expanding clusters failed; retrying in 1 s');
+          this.log.error({ err: error }, 'expanding clusters failed: retrying in 1 s');
         this.backoffUntil = this.clock.now() + 1000;
       }
     }
--- a/src/controller/clusterstatecache.ts
+++ b/src/controller/clusterstatecache.ts
@@ -47,7 +47,7 @@
         if (result.changes.length === 0) continue;
         this.revision = Math.max(this.revision, result.revision);
       } catch (error) {
-        this.log.debug({ err: error }, 'cluster state watch failed; retrying');
+        this.log.debug({ err: error }, 'cluster state watch failed: retrying');
         await pause(this.clock, RETRY_MS);
       }
     }
--- a/src/federation/lending.ts
+++ b/src/federation/lending.ts
@@ -40,8 +40,8 @@
   /** Expiry of the lease, by the wall clock of the home cluster. */
   until: number;
   /**
-   * `returned`: given back unstarted, or stopped by home; no task starts any more. `done`: all tasks are done,
-   * and home is notified until it acknowledges that.
+   * `returned`: returned unstarted, or stopped by the home cluster; no task starts any more. `done`: all tasks
+   * are done, and the home cluster is notified until it acknowledges that.
    */
   state: 'held' | 'started' | 'returned' | 'done';
 }
@@ -168,7 +168,7 @@
   return now + limits.skewMs + limits.stopMs < until;
 }
 
-/** Handles an extension of the lease by home. */
+/** Handles an extension of the lease by the home cluster. */
 export function extend(record: PartnerRecord, epoch: number, until: number): Step<PartnerRecord> {
   if (record.epoch !== epoch || until <= record.until || record.state === 'returned') return UNCHANGED;
   return { record: { ...record, until }, say: null };
@@ -185,7 +185,7 @@
   return { record: { ...record, state: 'started' }, say: null };
 }
 
-/** Returns whether all tasks must be stopped now, regardless of messages from home. */
+/** Returns whether all tasks must be stopped now, regardless of messages from the home cluster. */
 export function mustStop(record: PartnerRecord, now: number, limits: LendingLimits): boolean {
   return !mayRunBorrowed(record, now, limits);
 }
@@ -196,7 +196,7 @@
   return { record: { ...record, state: 'done' }, say: { kind: 'done', epoch: record.epoch } };
 }
 
-/** Handles a recall by home, which prefers to run the job itself; refused once the job has started here. */
+/** Handles a recall by the home cluster, which prefers to run the job itself; refused once the job has started here. */
 export function handleRecall(record: PartnerRecord, epoch: number): Step<PartnerRecord> {
   if (record.epoch !== epoch) return UNCHANGED;
   if (record.state === 'returned') return { record: null, say: { kind: 'returned', epoch } };
@@ -204,7 +204,10 @@
   return { record: { ...record, state: 'returned' }, say: { kind: 'returned', epoch } };
 }
 
-/** Handles a stop by home, which no longer wants the job. A completed job is kept until home has acknowledged it. */
+/**
+ * Handles a stop by the home cluster, which no longer wants the job. A completed job is kept until that cluster
+ * has acknowledged it.
+ */
 export function handleStop(record: PartnerRecord, epoch: number): Step<PartnerRecord> {
   if (record.epoch !== epoch || record.state === 'done') return UNCHANGED;
   return { record: { ...record, state: 'returned' }, say: null };
--- a/src/program/controllerprogram.ts
+++ b/src/program/controllerprogram.ts
@@ -43,10 +43,10 @@
 async function run(settings: Settings, options: ControllerOptions): Promise<void> {
   const log = makeLog(options.logLevel, settings.node);
   process.on('uncaughtException', (error) =>
-    log.error({ err: error }, 'uncaught exception; the process continues'),
+    log.error({ err: error }, 'uncaught exception: the process continues'),
   );
   process.on('unhandledRejection', (error) =>
-    log.error({ err: error }, 'unhandled promise rejection; the process continues'),
+    log.error({ err: error }, 'unhandled promise rejection: the process continues'),
   );
   const { leaseMs, missingMs } = nodeLease(settings.workers);
   if (missingMs > 0) log.warn({ leaseMs, missingMs }, cancelTimeWarning(missingMs));
@@ -77,7 +77,7 @@
     clock.after(LEAVE_TIMEOUT_MS, () => process.exit(0));
     void node
       .leave()
-      .catch((error) => log.info({ err: error }, 'handover of the shards failed; exiting without it'))
+      .catch((error) => log.info({ err: error }, 'handover of the shards failed: exiting without it'))
       .finally(() => process.exit(0));
   };
   for (const signal of ['SIGTERM', 'SIGINT'] as const) process.once(signal, () => leave(signal));
--- a/src/scheduler/completionstore.ts
+++ b/src/scheduler/completionstore.ts
@@ -57,7 +57,7 @@
       await jobTable.exclusive(job.spec.id, () => this.storeOnce(job));
     } catch (error) {
       if (!(error instanceof NotOwnerError))
-        log.error({ err: error }, 'storing task completions failed unexpectedly; will be retried');
+        log.error({ err: error }, 'storing task completions failed unexpectedly: will be retried');
     } finally {
       job.storeAfter = clock.now() + STORE_INTERVAL_MS;
       job.storing = false;
--- a/src/scheduler/machinetransfers.ts
+++ b/src/scheduler/machinetransfers.ts
@@ -38,7 +38,7 @@
   readonly to: number;
   /** When the transfer expires and the machine stays in this shard; monotonic clock, in milliseconds. */
   readonly until: number;
-  /** `evicting`: its tasks were told to stop. `reserved`: its tasks run to their end. */
+  /** `evicting`: its tasks are being stopped. `reserved`: its tasks run to their end. */
   readonly kind: 'evicting' | 'reserved';
 }
 
--- a/src/scheduler/planinput.ts
+++ b/src/scheduler/planinput.ts
@@ -17,11 +17,11 @@
  */
 const BOOT_MARGIN = 1.1;
 const LATE_BOOT_SHARE = 0.3;
-/** A machine that has not reported after this multiple of its boot time is considered failed. */
+/** A machine that has not sent a heartbeat after this multiple of its boot time is considered failed. */
 const FAILED_BOOT_FACTOR = 2.5;
-/** Expected time until a machine that has not reported to this owner does so. */
+/** Expected time until a machine that has not sent a heartbeat to this owner does so. */
 const RECONCILE_EXPECTED_MS = 1500;
-/** A machine that has been silent for more than this number of heartbeat intervals gets no new tasks. */
+/** A machine that has sent no heartbeat for more than this number of heartbeat intervals gets no new tasks. */
 const MAX_MISSED_HEARTBEATS = 2.5;
 /** Time for which a machine gets no new tasks after it left a request unanswered. */
 export const UNREACHABLE_MS = 6000;
@@ -50,7 +50,7 @@
   /** Returns whether a machine is being transferred to another shard or returned to the cloud. */
   isReservedForTransfer(id: string): boolean;
   rentals(): Iterable<PendingRental>;
-  /** Returns the resources that machines which have not reported to this owner may hold. */
+  /** Returns the resources that machines which have not sent a heartbeat to this owner may hold. */
   unreconciledCapacity(): Amounts;
   /**
    * Returns until when a job cannot start because an unresponsive machine may run tasks of it; null when it
--- a/src/scheduler/priorityaging.ts
+++ b/src/scheduler/priorityaging.ts
@@ -94,7 +94,7 @@
    * null for a job that has not aged.
    */
   private agingDeadlineS(job: Job, ageS: number): number | null {
-    // Applies however many objectives the job has missed: the largest jobs wait longest for capacity, and
+    // Applies regardless of how many objectives the job has missed: the largest jobs wait longest for capacity, and
     // nothing else raises their priority.
     if (ageS > MAX_START_DELAY_S * AGED_SHARE && !this.hasStarted(job)) return MAX_START_DELAY_S;
     const objective =
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -112,7 +112,7 @@
         this.onLoaded(jobs, machines.entries);
         return;
       } catch (error) {
-        this.log.debug({ err: error }, 'shard could not be loaded; retrying');
+        this.log.debug({ err: error }, 'shard could not be loaded: retrying');
         await pause(this.context.clock, LOAD_RETRY_MS);
       }
     }
@@ -213,7 +213,7 @@
   }
 
   /**
-   * Restarts the replication stream once all machines have reported: the owner then knows the placements of
+   * Restarts the replication stream once all machines have sent a heartbeat: the owner then knows the placements of
    * every job, and the standby should know them too.
    */
   private restartStreamOnceReconciled(): void {
--- a/src/scheduler/taskdispatcher.ts
+++ b/src/scheduler/taskdispatcher.ts
@@ -27,7 +27,7 @@
 export interface TaskDispatcherHooks {
   /** Returns the team of a task and its resources; null when its job is unknown. */
   usageOf(attempt: TaskAttempt): { team: number; need: Amounts } | null;
-  /** Returns the resources that machines which have not reported to this owner may hold. */
+  /** Returns the resources that machines which have not sent a heartbeat to this owner may hold. */
   unreconciledCapacity(): Amounts;
   /** Returns whether tasks of a job without a known placement are certain to run on no machine. */
   isConfirmedNotRunning(job: Job): boolean;
@@ -64,7 +64,7 @@
   private readonly startedZones = new Map<string, number[]>();
   private attemptsByZone: Map<string, Map<number, number>> | null = null;
   /**
-   * Whether a job is known not to run on any machine that has not reported, cached for one round of starts.
+   * Whether a job is known not to run on any machine that has not sent a heartbeat, cached for one round of starts.
    */
   private readonly notRunningCache = new Map<Job, boolean>();
 
--- a/src/scheduler/unreconciledmachines.ts
+++ b/src/scheduler/unreconciledmachines.ts
@@ -8,12 +8,12 @@
 
 /** Reachable machines answer the first request of a new owner within this time. */
 const RECONCILE_GRACE_MS = 2500;
-/** A log line is written once this share of the machines taken over has reported. */
+/** A log line is written once this share of the machines taken over has sent a heartbeat. */
 const RECONCILED_SHARE = 0.9;
 
 /**
  * Tracks what a new owner does not know yet: which tasks of former owners run on machines that have not
- * reported to it.
+ * sent it a heartbeat.
  */
 export class UnreconciledMachines {
   private loadedAt: number | null = null;
@@ -37,7 +37,7 @@
     this.adoptedCount = this.registry.machines.size;
   }
 
-  /** Returns the resources that machines which have not reported to this owner may hold. */
+  /** Returns the resources that machines which have not sent a heartbeat to this owner may hold. */
   capacity(): Amounts {
     const sum = { cpus: 0, gpus: 0, memoryGb: 0 };
     for (const machine of this.registry.machines.values()) {
@@ -88,7 +88,7 @@
     return this.allReconciledOnce;
   }
 
-  /** Logs once that most of the machines have reported; `now` in milliseconds on the monotonic clock. */
+  /** Logs once that most of the machines have sent a heartbeat; `now` in milliseconds on the monotonic clock. */
   logOnceReconciled(now: number): void {
     if (this.hasLogged || this.loadedAt === null) return;
     let unreconciled = 0;
--- a/src/schema/machinerecord.ts
+++ b/src/schema/machinerecord.ts
@@ -2,7 +2,7 @@
 
 const machineRecord = v.object({
   shard: v.number(),
-  /** `host:port`; empty while the machine has not reported yet. */
+  /** `host:port`; empty while the machine has not sent a heartbeat yet. */
   addr: v.string(),
   /** The name of the machine type. */
   type: v.string(),
--- a/src/standby/jobrecordreplica.ts
+++ b/src/standby/jobrecordreplica.ts
@@ -62,7 +62,7 @@
       .catch((error) =>
         this.log.debug(
           { err: error },
-          'failed to read job records; retried when their owner reports a change',
+          'failed to read job records: retried when their owner reports a change',
         ),
       );
   }
@@ -81,7 +81,7 @@
       .catch((error) =>
         this.log.debug(
           { err: error },
-          'failed to read job record changes; retried when their owner reports a change',
+          'failed to read job record changes: retried when their owner reports a change',
         ),
       );
   }
--- a/src/standby/standbyreplicator.ts
+++ b/src/standby/standbyreplicator.ts
@@ -208,7 +208,7 @@
     } catch (error) {
       this.options.log.info(
         { standby: slot.node, err: error },
-        'handover request failed; the standby may or may not own the shard',
+        'handover request failed: the standby may or may not own the shard',
       );
       return false;
     }
@@ -257,7 +257,7 @@
     try {
       await change();
     } catch (error) {
-      this.options.log.debug({ err: error }, 'naming or evicting the standby failed; will be retried');
+      this.options.log.debug({ err: error }, 'naming or evicting the standby failed: will be retried');
       await pause(this.options.context.clock, CHECK_INTERVAL_MS);
     } finally {
       this.changeInProgress = false;
--- a/src/standby/takeoverchecks.ts
+++ b/src/standby/takeoverchecks.ts
@@ -43,13 +43,13 @@
 
 /** Conditions for starting tasks on a machine. */
 export interface MachineStartConditions {
-  /** The machine has reported under the new token. */
+  /** The machine has sent a heartbeat under the new token. */
   readonly reconciled: boolean;
   /** The machine is being returned and is never used again. */
   readonly decommissioning: boolean;
   readonly leaseExpired: boolean;
   readonly mayHoldUnreportedTasks: boolean;
-  /** Address of the machine; empty until it has reported. */
+  /** Address of the machine; empty until it has sent a heartbeat. */
   readonly addr: string;
   /** Time at which the cloud reclaims the machine according to its notice; null without a notice. */
   readonly reclaimAt: number | null;
@@ -85,7 +85,7 @@
 /**
  * Whether a task without a known placement is certain not to run anywhere. A job accepted under this term was
  * never started by another owner. For any other job, every machine on which the former owner announced a start
- * must have reported under the new token or must have certainly lost its lease; without announcements, this
+ * must have sent a heartbeat under the new token or must have certainly lost its lease; without announcements, this
  * applies to every machine of the shard.
  */
 export function isConfirmedNotRunning(
--- a/src/workers/machine.ts
+++ b/src/workers/machine.ts
@@ -72,7 +72,7 @@
   attempts: Map<string, TaskAttempt>;
   /** Images in the machine's cache, by index, with their sizes in GB; least recently used first. */
   images: Map<number, number>;
-  /** Since when the machine has held no attempts; null while it holds one. */
+  /** Time since which the machine has held no attempts; null while it holds one. */
   idleSince: number | null;
   /**
    * When the machine last failed to answer a request or command; null once it answers one or keeps sending heartbeats
--- a/src/workers/machineleases.ts
+++ b/src/workers/machineleases.ts
@@ -46,8 +46,8 @@
 
   private expireLease(machine: Machine): void {
     if (machine.lastHeartbeatAt === null) {
-      // The machine was taken over and has never reported to this owner: any tasks it held are gone, and it may still
-      // be booting.
+      // The machine was taken over and has never sent a heartbeat to this owner: any tasks it held are gone, and
+      // it may still be booting.
       machine.mayHoldUnreportedTasks = false;
       this.context.hooks.requestPlan();
       return;
--- a/src/workers/taskstarts.ts
+++ b/src/workers/taskstarts.ts
@@ -26,7 +26,7 @@
   ) {}
 
   /**
-   * Starts tasks on a machine that has reported under the current token. From now on the machine may hold the
+   * Starts tasks on a machine that has sent a heartbeat under the current token. From now on the machine may hold the
    * returned attempts.
    */
   start(machine: Machine, starts: readonly TaskStart[]): TaskAttempt[] {
--- a/tests/controller/cluster.test.ts
+++ b/tests/controller/cluster.test.ts
@@ -85,7 +85,7 @@
       : 'deliver';
   assert.ok(await cluster.submit('n0', job('wk-1')));
   assert.ok(await cluster.clock.until(() => cluster.net.held.length === 1, 5000));
-  cluster.notReporting.add(first);
+  cluster.notSendingHeartbeats.add(first);
   const second = cluster.addWorker('c8', 'a');
   const owner = [...cluster.nodes].find(([, r]) => r.node.membership.owner(0)?.node === 'n0') ? 'n0' : 'n1';
   cluster.killNode(owner);
@@ -114,7 +114,7 @@
   cluster.startNode('n0');
   await cluster.clock.advance(6000);
   assert.ok(worker.fencingToken > 0);
-  cluster.notReporting.add(worker);
+  cluster.notSendingHeartbeats.add(worker);
   const lastHeartbeatAt = worker.lastHeartbeatSentAt;
   await cluster.clock.advance(15_000);
   // The controller answers this heartbeat, but too late for the machine.
@@ -239,7 +239,7 @@
   cluster.startNode('n1');
   await cluster.clock.advance(8000);
   const before = [0, 1].map((k) => JSON.stringify(cluster.state.value(`c/own/${k}`)));
-  for (const worker of machines.slice(1)) cluster.notReporting.add(worker);
+  for (const worker of machines.slice(1)) cluster.notSendingHeartbeats.add(worker);
   cluster.net.outcomeOf = (_f, addr) =>
     machines.slice(1).some((w) => w.identity.addr === addr) ? 'silent' : 'deliver';
   await cluster.clock.advance(30_000);
@@ -522,7 +522,7 @@
   assert.ok(await cluster.clock.until(() => machines.every((w) => w.attempts.length === 1), 15_000));
   // All 32 CPUs that the team may use are taken; then one machine is cut off and the controller restarts.
   const cutMachine = machines[0]!;
-  cluster.notReporting.add(cutMachine);
+  cluster.notSendingHeartbeats.add(cutMachine);
   cluster.net.outcomeOf = (_f, addr) => (addr === cutMachine.identity.addr ? 'silent' : 'deliver');
   cluster.killNode('n0');
   const newWorker = cluster.addWorker('c8', 'a');
@@ -802,7 +802,7 @@
   const first = cluster.workers[0]!;
   assert.ok(await cluster.clock.until(() => cluster.released.includes(first.id), 40_000));
   assert.ok(await cluster.clock.until(() => cluster.rented.length === 2, 5000));
-  cluster.notReporting.clear();
+  cluster.notSendingHeartbeats.clear();
   assert.ok(await started(cluster, 'wk-1/0'));
 });
 
@@ -818,7 +818,7 @@
   await cluster.clock.advance(30_000);
   assert.equal(cluster.rented.length, 1);
   cluster.net.outcomeOf = () => 'deliver';
-  cluster.notReporting.clear();
+  cluster.notSendingHeartbeats.clear();
   assert.ok(await started(cluster, 'wk-1/0'));
 });
 
@@ -832,7 +832,7 @@
   const worker = cluster.workers[0]!;
   await cluster.call('n0', 'POST', '/api/jobs/wk-1/abort');
   await cluster.clock.advance(65_000);
-  cluster.notReporting.clear();
+  cluster.notSendingHeartbeats.clear();
   cluster.listedRemovedMachines.push(worker);
   await cluster.clock.advance(12_000);
   assert.deepEqual(cluster.released, [], 'running for only 12 s');
--- a/tests/faults/combinedfaults.test.ts
+++ b/tests/faults/combinedfaults.test.ts
@@ -74,7 +74,7 @@
     );
     const unreachable = cluster.workers.filter((w) => w.attempts.length > 0);
     const addrs = new Set(unreachable.map((w) => w.identity.addr));
-    for (const w of unreachable) cluster.notReporting.add(w);
+    for (const w of unreachable) cluster.notSendingHeartbeats.add(w);
     const hungAt = cluster.clock.now();
     // A hung machine handles the requests sent to it when it resumes.
     const hungMs = 15_000;
@@ -101,7 +101,7 @@
     for (let ms = 0; ms < CANCEL_MS + 5000; ms += 250) {
       await cluster.clock.advance(250);
       // Idle machines of other shards are returned during this time; machines that are rented boot at once.
-      for (const w of cluster.workers) if (!all.includes(w)) cluster.notReporting.delete(w);
+      for (const w of cluster.workers) if (!all.includes(w)) cluster.notSendingHeartbeats.delete(w);
       for (const team of ['red', 'blue'] as const)
         assert.ok(used(team) <= limit[team], `${team} uses ${used(team)} after ${ms} ms`);
       if (
@@ -112,7 +112,7 @@
         startedAt = cluster.clock.now();
       if (failure === 'hung' && !resumed && cluster.clock.now() > hungAt + hungMs) {
         resumed = true;
-        for (const w of unreachable) cluster.notReporting.delete(w);
+        for (const w of unreachable) cluster.notSendingHeartbeats.delete(w);
         cluster.net.outcomeOf = () => 'deliver';
       }
     }
@@ -211,7 +211,7 @@
     const shard = cluster.shardOf('wk-1');
     // All rented machines boot within two seconds.
     const bootAll = () => {
-      for (const w of cluster.workers) cluster.notReporting.delete(w);
+      for (const w of cluster.workers) cluster.notSendingHeartbeats.delete(w);
       cluster.clock.after(1500, bootAll);
     };
     cluster.clock.after(1500, bootAll);
@@ -252,9 +252,9 @@
   ended.endTask(task, 'done');
   await cluster.clock.advance(3000);
   // Ends the incarnation of one machine by expiry of its lease, and removes another machine.
-  cluster.notReporting.add(silent);
+  cluster.notSendingHeartbeats.add(silent);
   await cluster.clock.advance(LEASE_MS + 3000);
-  cluster.notReporting.delete(silent);
+  cluster.notSendingHeartbeats.delete(silent);
   cluster.remove(removed);
   await cluster.clock.advance(LEASE_MS + 4000);
   const before = new Map(
--- a/tests/faults/latemessages.test.ts
+++ b/tests/faults/latemessages.test.ts
@@ -5,7 +5,7 @@
 
 const NODES = ['n0', 'n1', 'n2'];
 
-/** Delivers an old heartbeat to a node; nobody waits for the response. */
+/** Delivers an old heartbeat to a node; the response is not awaited. */
 function deliverHeartbeat(cluster: FakeCluster, node: string, report: object): void {
   void cluster.nodes.get(node)?.api.handle(cluster.request('POST', '/v1/report', report));
 }
@@ -83,7 +83,7 @@
   // The machine's lease expires, and its task waits for free capacity.
   assert.ok(await cluster.submit('n0', job('wk-2', { cpus: 8, urgency: 'production' })));
   assert.ok(await cluster.clock.until(() => spare.isActive('wk-2/0'), 10_000));
-  cluster.notReporting.add(target);
+  cluster.notSendingHeartbeats.add(target);
   cluster.net.outcomeOf = (_from, addr) => (addr === target.identity.addr ? 'refuse' : 'deliver');
   target.lastHeartbeatSentAt = Number.NEGATIVE_INFINITY;
   target.checkLease();
--- a/tests/faults/undecidedwrites.test.ts
+++ b/tests/faults/undecidedwrites.test.ts
@@ -35,7 +35,7 @@
   return abortedAt;
 }
 
-// Guards against a cancellation whose write got no answer and was executed all the same, at once or seconds later.
+// Guards against a cancellation whose write got no answer but was executed, at once or seconds later.
 // Any other node found the record and reported the job cancelled, while the owner kept renewing the leases of its
 // tasks and reported it running.
 test('a cancellation whose write has an unknown outcome ends the job without a second request', async () => {
--- a/tests/plan/size.test.ts
+++ b/tests/plan/size.test.ts
@@ -165,7 +165,7 @@
     assert.ok(await cluster.submit('n1', job('wk-1', { cpus: 8, expectedS: 600, ...overrides })));
     const maxRunning = overrides.oneZone && overrides.spread ? 2 : overrides.pieces;
     const keepWorkersReporting = () => {
-      for (const w of cluster.workers) cluster.notReporting.delete(w);
+      for (const w of cluster.workers) cluster.notSendingHeartbeats.delete(w);
       cluster.clock.after(500, keepWorkersReporting);
     };
     keepWorkersReporting();
--- a/tests/schema/versions.test.ts
+++ b/tests/schema/versions.test.ts
@@ -146,7 +146,7 @@
     await fixture.settle(owner.storeDone(next));
   assert.equal(fixture.state.refused[400], 0);
   assert.equal(previousDone(fixture.state, 100_000, 8).count, 0);
-  // The stated layout applies whatever the limit in the settings is by then.
+  // The stated layout applies regardless of the limit in the settings at that time.
   const later = fixture.owner({ valueKb: 1, txnOps: 4, layoutKb: 1 });
   const [last] = await fixture.settle(later.load());
   const read = jobFrom(last!.record.spec, last!.version);
--- a/tests/standby/standby.test.ts
+++ b/tests/standby/standby.test.ts
@@ -270,7 +270,7 @@
   await cluster.clock.advance(2000);
   const shard = cluster.shardOf('wk-1');
   const silentWorker = workers[0]!;
-  cluster.notReporting.add(silentWorker);
+  cluster.notSendingHeartbeats.add(silentWorker);
   cluster.net.outcomeOf = (_f, addr) => (addr === silentWorker.identity.addr ? 'silent' : 'deliver');
   const otherTask = ['wk-1/0', 'wk-1/1', 'wk-1/2'].find((p) => !silentWorker.isActive(p))!;
   cluster.killNode(cluster.owner(shard)!);
@@ -488,12 +488,12 @@
   second!.endTask('wk-1/1', 'done');
   await cluster.clock.advance(1000);
   cluster.killNode(initialOwner);
-  cluster.notReporting.add(second!);
+  cluster.notSendingHeartbeats.add(second!);
   cluster.net.outcomeOf = (_f, addr) => (addr === second!.identity.addr ? 'silent' : 'deliver');
   await cluster.clock.advance(9000);
   assert.notEqual(cluster.owner(shard), initialOwner);
   assert.equal(cluster.starts, 4, 'the machine of the completed task does not answer yet');
-  cluster.notReporting.delete(second!);
+  cluster.notSendingHeartbeats.delete(second!);
   cluster.net.outcomeOf = () => 'deliver';
   await cluster.clock.advance(8000);
   assert.equal(
--- a/tests/support/captured.ts
+++ b/tests/support/captured.ts
@@ -184,7 +184,7 @@
   assert.ok(await cluster.submit('n0', job('wk-many', { pieces: 12_000, cpus: 1, memoryGb: 1 })));
   const rented = () => cluster.rented.length > 0 && cluster.workers.length > 0;
   assert.ok(await cluster.clock.until(rented, 20_000));
-  for (const w of cluster.workers) cluster.notReporting.delete(w);
+  for (const w of cluster.workers) cluster.notSendingHeartbeats.delete(w);
   await cluster.clock.advance(20_000);
   for (let round = 0; round < 4; round++) {
     for (const w of cluster.workers) for (const a of w.attempts) w.endTask(a.task, 'done');
--- a/tests/support/cluster.ts
+++ b/tests/support/cluster.ts
@@ -91,7 +91,7 @@
   readonly released: string[] = [];
   /** The node that each worker sends its heartbeats to. */
   private readonly reportsTo = new Map<Worker, string>();
-  readonly notReporting = new Set<Worker>();
+  readonly notSendingHeartbeats = new Set<Worker>();
   /** Called with every heartbeat that a worker sends. */
   onHeartbeat: ((report: object) => void) | null = null;
   /** Workers whose heartbeats arrive while no response and no command reaches them. */
@@ -405,7 +405,7 @@
   }
 
   private reportLoop(): void {
-    for (const w of this.workers) if (!this.notReporting.has(w)) this.reportOnce(w);
+    for (const w of this.workers) if (!this.notSendingHeartbeats.has(w)) this.reportOnce(w);
     this.clock.after(1000, () => this.reportLoop());
   }
 
@@ -469,7 +469,7 @@
     if (!this.cloudHasCapacity) return [];
     return Array.from({ length: r.count }, () => {
       const w = this.addWorker(r.type, r.zone, r.spot);
-      this.notReporting.add(w);
+      this.notSendingHeartbeats.add(w);
       return w.id;
     });
   }
--- a/tests/support/meeting.ts
+++ b/tests/support/meeting.ts
@@ -70,7 +70,7 @@
       knownWorkers.add(w);
       cluster.clock.after(injector.bootMs, () => {
         w.lastHeartbeatSentAt = cluster.clock.now();
-        cluster.notReporting.delete(w);
+        cluster.notSendingHeartbeats.delete(w);
       });
     }
   };
@@ -81,7 +81,7 @@
     bootNewWorkers();
     // A lease expires by the machine's own clock, also while the machine hangs.
     for (const w of cluster.workers)
-      if (knownWorkers.has(w) && !(cluster.notReporting.has(w) && w.executedStarts.length === 0))
+      if (knownWorkers.has(w) && !(cluster.notSendingHeartbeats.has(w) && w.executedStarts.length === 0))
         w.checkLease();
     await cluster.clock.advance(CHECK_INTERVAL_MS);
     const now = cluster.clock.now();
@@ -141,7 +141,7 @@
 function freeCapacity(cluster: FakeCluster, users: Users): FreeCapacity[] {
   const types = new Map(cluster.types.map((t) => [t.name, t]));
   return cluster.workers
-    .filter((w) => !cluster.notReporting.has(w) && w.noticeS === null)
+    .filter((w) => !cluster.notSendingHeartbeats.has(w) && w.noticeS === null)
     .map((worker) => {
       const { type, zone, spot } = worker.identity;
       const free = { ...types.get(type)! };
--- a/tests/support/troubles.ts
+++ b/tests/support/troubles.ts
@@ -266,11 +266,11 @@
     };
     const hang = (affected: readonly Worker[]) => {
       for (const w of affected) {
-        cluster.notReporting.add(w);
+        cluster.notSendingHeartbeats.add(w);
         this.hangUntil.set(w.identity.addr, cluster.clock.now() + ms);
       }
       return () => {
-        for (const w of affected) cluster.notReporting.delete(w);
+        for (const w of affected) cluster.notSendingHeartbeats.delete(w);
       };
     };
     switch (fault.kind) {
--- a/tests/upgrade/jobs.ts
+++ b/tests/upgrade/jobs.ts
@@ -20,7 +20,7 @@
 const SMALL_EVERY_S = 5;
 const GANG_EVERY_S = 20;
 const CHAIN_EVERY_S = 30;
-/** One of this many small arrays, and one of this many chains, is cancelled. */
+/** One in every `CANCELLED_EVERY` small arrays and one in every `CANCELLED_EVERY` chains is cancelled. */
 const CANCELLED_EVERY = 6;
 const CANCEL_AFTER_S = 12;
 /** Time before the end of a step at which long tasks are submitted, so that they run when the cluster stops. */
