--- a/src/autoscaler/scalein.ts
+++ b/src/autoscaler/scalein.ts
@@ -31,7 +31,7 @@
  */
 const OVERDUE_BOOTS = 2.5;
 const OVERDUE_MARGIN_MS = 5000;
-/** Time that a new owner gives its machines to report before it treats them as overdue. */
+/** Time that a new owner gives its machines to send a heartbeat before it treats them as overdue. */
 const NEW_OWNER_GRACE_MS = 10_000;
 /** Time after the expiry of its lease at which a machine is returned. */
 const SILENT_RETURN_MS = 120_000;
@@ -42,12 +42,12 @@
  */
 const MIN_UNLISTED_MS = 15_000;
 const UNLISTED_LAGS = 4;
-/** Time after its rental for which a machine that has never reported may be missing from the list. */
+/** Time after its rental for which a machine that has never sent a heartbeat may be missing from the list. */
 const UNLISTED_AFTER_RENTAL_MS = 60_000;
 
 /** Returns a shard's machines to the cloud. */
 export class ScaleIn {
-  /** Since when machines have been missing from the cloud's list, in monotonic milliseconds. */
+  /** Times since which machines have been missing from the cloud's list, in monotonic milliseconds. */
   private readonly unlistedSince = new Map<string, number>();
   private readonly claimedAt: number;
 
@@ -61,7 +61,7 @@
   }
 
   /** Returns machines to the cloud that are not needed, never came up, stopped reporting or fail all tasks. */
-  returnIdle(now: number): void {
+  returnUnneeded(now: number): void {
     const toReturn: Machine[] = [];
     for (const machine of this.options.registry.machines.values())
       if (!this.moving.has(machine.id) && this.shouldReturn(machine, now)) toReturn.push(machine);
@@ -150,7 +150,7 @@
   private isKeptFor(machine: Machine, jobClass: string): boolean {
     const { context, hooks } = this.options;
     const taskSize = hooks.taskSizeOf(jobClass);
-    if (!taskSize) return hooks.hasSeenNoJob();
+    if (!taskSize) return hooks.hasHadNoJob();
     const size = context.catalog.size(machine.type);
     if (
       fitCount(size, taskSize, 1) > 0 &&
@@ -158,7 +158,7 @@
     )
       return true;
     const costs = context.catalog
-      .all()
+      .offeredTypes()
       .map(([type, t]) => ({ type, cost: t.price / fitCount(t, taskSize, MAX_RESERVED_TASKS) }));
     const least = Math.min(...costs.map((c) => c.cost));
     return costs.some((c) => c.type === machine.type && c.cost <= least * MAX_KEPT_COST_FACTOR);
--- a/src/controller/leader.ts
+++ b/src/controller/leader.ts
@@ -14,7 +14,7 @@
   /** Whether this node's lease is guaranteed to be valid. */
   holdsLease(): boolean;
   /** Whether every node supports `PROTOCOL_VERSION`, and so the features that the first version lacks. */
-  allSupportLatest(): boolean;
+  allSupportProtocolVersion(): boolean;
 }
 
 /** Dependencies of a `Leader`, which acts under one term. */
@@ -24,7 +24,7 @@
   readonly term: number;
   readonly stateCache: ClusterStateCache;
   readonly hooks: LeaderHooks;
-  /** Returns the zone of a shard's home node. */
+  /** Returns the zone of a shard's preferred node. */
   zoneOf(shard: number): string;
 }
 
@@ -45,7 +45,7 @@
       context,
       term,
       stateCache,
-      allSupportLatest: () => hooks.allSupportLatest(),
+      allSupportProtocolVersion: () => hooks.allSupportProtocolVersion(),
     });
     this.machines = new MachineAssigner({
       context,
--- a/src/emulator/reporter.ts
+++ b/src/emulator/reporter.ts
@@ -1,6 +1,6 @@
 import { type Clock, pause, type Timer } from '../clock/clock.js';
 import { UnreachableError } from '../errors/errors.js';
-import type { HttpAnswer, Requester } from '../http/client.js';
+import type { HttpResponse, Requester } from '../http/client.js';
 import { readRedirect, WORKER_PATHS } from '../wire/workers.js';
 import type { Random } from './random.js';
 import type { Worker } from './worker.js';
@@ -15,7 +15,7 @@
   delayMs(node: string): number;
   /** Returns whether a partition separates the worker from a controller. */
   isSeparated(node: string): boolean;
-  /** Called when a report was answered. */
+  /** Called when a heartbeat was answered. */
   reportAnswered(report: object, answer: unknown): void;
 }
 
@@ -25,9 +25,9 @@
   reportAnswered: () => undefined,
 };
 
-/** Sends a worker's reports to the controllers: one report at a time, to one node at a time. */
+/** Sends a worker's heartbeats to the controllers: one at a time, to one node at a time. */
 export class Reporter {
-  /** While set, the worker has no network: reports get no answer and commands do not arrive. */
+  /** While set, the worker has no network: heartbeats get no answer and commands do not arrive. */
   disconnected = false;
   private nodeIndex = 0;
   private sentAt = Number.NEGATIVE_INFINITY;
@@ -57,14 +57,14 @@
     this.leaseTimer?.cancel();
   }
 
-  /** Expires the lease at its end rather than at the worker's next report. */
+  /** Expires the lease at its end rather than at the worker's next heartbeat. */
   private watchLease(): void {
     if (this.stopped) return;
     this.worker.checkLease();
     this.leaseTimer = this.clock.after(Math.max(0, this.worker.leaseLeftMs) + 1, () => this.watchLease());
   }
 
-  /** Reports a change early, but not sooner than `MIN_REPORT_GAP_MS` after the last report. */
+  /** Sends a heartbeat early after a change, but not sooner than `MIN_REPORT_GAP_MS` after the last one. */
   reportSoon(): void {
     this.changePending = true;
     if (!this.inFlight) this.schedule(Math.max(0, this.sentAt + MIN_REPORT_GAP_MS - this.clock.now()));
@@ -82,12 +82,12 @@
     this.inFlight = true;
     this.changePending = false;
     this.sentAt = this.clock.now();
-    const { session } = this.worker;
+    const { incarnation } = this.worker;
     const sentAt = this.sentAt;
     let delayMs = this.reportS * 1000 * this.random.between(0.75, 1.25);
     try {
       const response = await this.sendReport();
-      if (response.status === 200) this.worker.answer(response.body, sentAt, session);
+      if (response.status === 200) this.worker.handleHeartbeatResponse(response.body, sentAt, incarnation);
       else delayMs = this.switchNode(response.status === 421 ? readRedirect(response.body) : null);
     } catch {
       delayMs = this.switchNode(null);
@@ -96,8 +96,8 @@
     this.schedule(this.changePending ? Math.min(delayMs, MIN_REPORT_GAP_MS) : delayMs);
   }
 
-  /** Sends a report to the current node; fails when no answer arrives in time. */
-  private async sendReport(): Promise<HttpAnswer> {
+  /** Sends a heartbeat to the current node; fails when no answer arrives in time. */
+  private async sendReport(): Promise<HttpResponse> {
     const { node, addr } = this.nodes[this.nodeIndex]!;
     const isUnreachable = () => this.disconnected || this.links.isSeparated(node);
     const delayMs = this.links.delayMs(node);
@@ -117,7 +117,7 @@
     return response;
   }
 
-  /** Switches to the given node, else to the next one; returns the delay of the next report, in milliseconds. */
+  /** Switches to the given node, else to the next one; returns the delay of the next heartbeat, in milliseconds. */
   private switchNode(redirectedTo: string | null): number {
     const redirectIndex = this.nodes.findIndex((n) => n.node === redirectedTo);
     if (redirectIndex >= 0 && redirectIndex !== this.nodeIndex) {
--- a/src/plan/plan.ts
+++ b/src/plan/plan.ts
@@ -19,7 +19,7 @@
 /**
  * Plan of one shard: the reservations on each machine over time. It is rebuilt from the tasks that the
  * machines run and the accepted jobs in their order, so that each plan corrects the previous one by the
- * latest reports. Times are seconds on the monotonic clock.
+ * latest heartbeats. Times are seconds on the monotonic clock.
  */
 export class Plan {
   private readonly table: ReservationTable;
@@ -57,7 +57,7 @@
   reserve(job: PlanJob): number | null {
     if (job.kind === 'gang') return this.gangs.reserve(job);
     if (!job.oneZone) return this.arrays.reserve(job, job.zone);
-    const occupied = [...job.present.keys()];
+    const occupied = [...job.placedByZone.keys()];
     if (occupied.length > 0) return this.arrays.reserve(job, occupied[0]!);
     let best: { zone: number; finish: number } | null = null;
     for (const zone of this.table.zonesOf(job)) {
--- a/src/scheduler/unreconciledmachines.ts
+++ b/src/scheduler/unreconciledmachines.ts
@@ -3,17 +3,17 @@
 import type { Job } from '../jobs/job.js';
 import type { Amounts } from '../plan/capacityprofile.js';
 import type { ReplicaSnapshot } from '../standby/shardreplica.js';
-import { surelyNotRunning } from '../standby/takeoverchecks.js';
+import { isConfirmedNotRunning } from '../standby/takeoverchecks.js';
 import type { MachineRegistry } from '../workers/machineregistry.js';
 
 /** Reachable machines answer the first request of a new owner within this time. */
 const RECONCILE_GRACE_MS = 2500;
-/** A log line is written once this share of the machines taken over has reported. */
+/** A log line is written once this share of the machines taken over has sent a heartbeat. */
 const RECONCILED_SHARE = 0.9;
 
 /**
  * Tracks what a new owner does not know yet: which tasks of former owners run on machines that have not
- * reported to it.
+ * sent it a heartbeat.
  */
 export class UnreconciledMachines {
   private loadedAt: number | null = null;
@@ -37,7 +37,7 @@
     this.adoptedCount = this.registry.machines.size;
   }
 
-  /** Returns the resources that machines which have not reported to this owner may hold. */
+  /** Returns the resources that machines which have not sent a heartbeat to this owner may hold. */
   capacity(): Amounts {
     const sum = { cpus: 0, gpus: 0, memoryGb: 0 };
     for (const machine of this.registry.machines.values()) {
@@ -51,9 +51,9 @@
   }
 
   /** Returns whether tasks of a job without a known placement are certain to run on no machine. */
-  isKnownNotRunning(job: Job): boolean {
+  isConfirmedNotRunning(job: Job): boolean {
     const jobInfo = { fresh: job.acceptedUnderThisTerm, id: job.spec.id };
-    return surelyNotRunning(jobInfo, this.snapshot, this.allReconciled, (id) => this.isUnreconciled(id));
+    return isConfirmedNotRunning(jobInfo, this.snapshot, this.allReconciled, (id) => this.isUnreconciled(id));
   }
 
   private isUnreconciled(machine: string): boolean {
@@ -66,7 +66,7 @@
    * takeover may not do so before their leases expire.
    */
   blockedUntil(job: Job, now: number): number | null {
-    if (this.isKnownNotRunning(job) || this.loadedAt === null || now - this.loadedAt < RECONCILE_GRACE_MS)
+    if (this.isConfirmedNotRunning(job) || this.loadedAt === null || now - this.loadedAt < RECONCILE_GRACE_MS)
       return null;
     let until = now;
     const machineIds = this.snapshot?.machinesOf(job.spec.id) ?? null;
@@ -88,7 +88,7 @@
     return this.allReconciledOnce;
   }
 
-  /** Logs once that most of the machines have reported; `now` in milliseconds on the monotonic clock. */
+  /** Logs once that most of the machines have sent a heartbeat; `now` in milliseconds on the monotonic clock. */
   logOnceReconciled(now: number): void {
     if (this.hasLogged || this.loadedAt === null) return;
     let unreconciled = 0;
--- a/tests/faults/latemessages.test.ts
+++ b/tests/faults/latemessages.test.ts
@@ -5,14 +5,14 @@
 
 const NODES = ['n0', 'n1', 'n2'];
 
-/** Delivers an old heartbeat to a node; nobody waits for the response. */
+/** Delivers an old heartbeat to a node; the response is not awaited. */
 function deliverHeartbeat(cluster: FakeCluster, node: string, report: object): void {
   void cluster.nodes.get(node)?.api.handle(cluster.request('POST', '/v1/report', report));
 }
 
 // Guards against plans on machines that no longer exist: a duplicate of an old heartbeat made the leader assign the
 // machine to a shard again, and deadlines were accepted on it until it counted as failed to boot.
-test('a duplicate of an old heartbeat does not bring back a released machine, also after a change of leader', async () => {
+test('a duplicate of an old heartbeat does not bring back a returned machine, also after a change of leader', async () => {
   const cluster = new FakeCluster(NODES);
   cluster.objectives = [];
   for (const n of NODES) cluster.startNode(n);
@@ -22,7 +22,7 @@
   const report = worker.report();
   assert.ok(await cluster.clock.until(() => cluster.released.includes(worker.id), 120_000));
   await cluster.clock.advance(3000);
-  cluster.net.peers.delete(worker.place.addr);
+  cluster.net.peers.delete(worker.identity.addr);
   for (const restart of [false, true]) {
     if (restart) {
       for (const n of NODES) cluster.killNode(n);
@@ -41,32 +41,32 @@
   }
   // Another machine may have that address now, and gets at most one status request per duplicate.
   let asked = 0;
-  cluster.net.peers.set(worker.place.addr, () => ({
+  cluster.net.peers.set(worker.identity.addr, () => ({
     status: 200,
     body: { ...report, worker: `m-${++asked}` },
   }));
   deliverHeartbeat(cluster, 'n0', report);
   await cluster.clock.advance(10_000);
   assert.equal(asked, 1);
-  cluster.net.peers.delete(worker.place.addr);
+  cluster.net.peers.delete(worker.identity.addr);
   const real = cluster.addWorker('c8', 'a');
   assert.ok(await cluster.clock.until(() => cluster.state.value(`c/m/${real.id}`) !== undefined, 15_000));
 });
 
 // Guards against a heartbeat from before a task started or ended, by which the task would count as ended or as
 // still running.
-test('a duplicate heartbeat from before a start does not end the task, and one from an ended session does not restore it', async () => {
+test('a duplicate heartbeat from before a start does not end the task, and one from an ended incarnation does not restore it', async () => {
   const cluster = new FakeCluster(['n0']);
   const [first, second] = [cluster.addWorker('c8', 'a'), cluster.addWorker('c8', 'a')];
   cluster.startNode('n0');
   await cluster.clock.advance(6000);
   assert.ok(await cluster.submit('n0', job('wk-0', { cpus: 8 })));
-  assert.ok(await cluster.clock.until(() => [first, second].some((m) => m.on('wk-0/0')), 10_000));
+  assert.ok(await cluster.clock.until(() => [first, second].some((m) => m.isActive('wk-0/0')), 10_000));
   await cluster.clock.advance(2000);
-  const target = first.on('wk-0/0') ? second : first;
+  const target = first.isActive('wk-0/0') ? second : first;
   const heartbeatBefore = target.report();
   assert.ok(await cluster.submit('n0', job('wk-1', { cpus: 8, saveEveryS: 0 })));
-  assert.ok(await cluster.clock.until(() => target.on('wk-1/0'), 10_000));
+  assert.ok(await cluster.clock.until(() => target.isActive('wk-1/0'), 10_000));
   await cluster.clock.advance(2000);
   const spare = cluster.addWorker('c8', 'b');
   await cluster.clock.advance(5000);
@@ -76,16 +76,16 @@
     await cluster.clock.advance(300);
   }
   assert.deepEqual(
-    [target, spare].map((x) => x.started.length),
+    [target, spare].map((x) => x.executedStarts.length),
     [1, 0],
     'the task still runs on its machine',
   );
   // The machine's lease expires, and its task waits for free capacity.
   assert.ok(await cluster.submit('n0', job('wk-2', { cpus: 8, urgency: 'production' })));
-  assert.ok(await cluster.clock.until(() => spare.on('wk-2/0'), 10_000));
-  cluster.silent.add(target);
-  cluster.net.fate = (_from, addr) => (addr === target.place.addr ? 'refuse' : 'deliver');
-  target.lastSent = Number.NEGATIVE_INFINITY;
+  assert.ok(await cluster.clock.until(() => spare.isActive('wk-2/0'), 10_000));
+  cluster.notSendingHeartbeats.add(target);
+  cluster.net.outcomeOf = (_from, addr) => (addr === target.identity.addr ? 'refuse' : 'deliver');
+  target.lastHeartbeatSentAt = Number.NEGATIVE_INFINITY;
   target.checkLease();
   deliverHeartbeat(cluster, 'n0', target.report());
   await cluster.clock.advance(10);
@@ -97,7 +97,7 @@
 
 // Guards against heartbeats that are applied after they became stale: duplicates that arrive between seconds and
 // three lease durations late, during restarts within a fraction of a second, handovers to standbys, elections, and
-// new worker sessions.
+// new worker incarnations.
 test('duplicates of heartbeats that arrive late restore no task, end none, and cause no wrong status', async () => {
   for (const seed of [1, 2, 3, 4, 5, 6]) {
     const random = new Random(seed);
@@ -147,7 +147,7 @@
         const a = worker.attempts.find((x) => x.state === 'running');
         if (a && random.next() < 0.08) {
           ended.add(a.task);
-          worker.end(a.task, 'done');
+          worker.endTask(a.task, 'done');
         }
       }
       if (round < 110 && random.next() < 0.06) {
@@ -158,7 +158,7 @@
       }
       if (round < 110 && random.next() < 0.04) {
         const reset = pick(cluster.workers);
-        reset.lastSent = Number.NEGATIVE_INFINITY;
+        reset.lastHeartbeatSentAt = Number.NEGATIVE_INFINITY;
         reset.checkLease();
       }
       await cluster.clock.advance(1000);
@@ -180,7 +180,7 @@
         for (const a of [...worker.attempts]) {
           if (a.state !== 'running') continue;
           ended.add(a.task);
-          worker.end(a.task, 'done');
+          worker.endTask(a.task, 'done');
         }
       await cluster.clock.advance(1000);
       for (const id of tasks.keys()) if (!reportedDone.has(id)) await checkJob(id);
--- a/tests/faults/zonecut.test.ts
+++ b/tests/faults/zonecut.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { checkMeetings } from '../support/process.js';
+import { runFaultScenarios } from '../support/process.js';
 
 // Combinations of faults that operators have reported, while users submit and cancel jobs and poll all nodes
 // closely. The lease of a worker is 20 s here, and a cancellation may take 45 s. docs/meetings.md lists the
@@ -52,13 +52,13 @@
     'burst@30+1*0.6',
   ],
   [
-    'no rule is broken when the state service refuses the owner alone as jobs are cancelled, a second before an outage longer than a cancellation may take',
+    'no rule is broken when the key-value store refuses the owner alone as jobs are cancelled, a second before an outage longer than a cancellation may take',
     'called off at once@25+1*1',
     'state refuses owner@25+20*1',
     'state out@26+57*1',
   ],
   [
-    'no rule is broken when jobs are cancelled while the state service is slow and loses answers',
+    'no rule is broken when jobs are cancelled while the key-value store is slow and loses answers',
     'slow state@12+20*1',
     'lost answers@14+20*0.5',
     'called off at once@20+1*0.8',
@@ -66,7 +66,7 @@
 ] as const) {
   test(scenario, async () => {
     const args = faults.flatMap((fault) => ['--trouble', fault]);
-    const { code, out } = await checkMeetings('--from', '500', '--seeds', '3', ...args);
+    const { code, out } = await runFaultScenarios('--from', '500', '--seeds', '3', ...args);
     assert.match(out, /3 meetings played, 0 with a broken rule/, out);
     assert.equal(code, 0);
   });
