--- a/src/classad/flatten.ts
+++ b/src/classad/flatten.ts
@@ -3,10 +3,7 @@
 
 const IMPURE = new Set(['time', 'formattime', 'random']);
 
-/**
- * Returns the lower-case names of the attributes that an expression reads from the target ad; `my` is its own
- * ad.
- */
+/** Returns the lower-case names of the attributes that an expression reads from the target ad; `my` is its own ad. */
 export function targetAttributeNames(expr: Expr, my: Ad): Set<string> {
   const names = new Set<string>();
   const visit = (x: Expr): void => {
--- a/src/classad/print.ts
+++ b/src/classad/print.ts
@@ -2,13 +2,13 @@
 
 const NAME = /^[A-Za-z_][A-Za-z0-9_]*$/;
 const RESERVED = new Set(['true', 'false', 'undefined', 'error', 'is', 'isnt', 'my', 'target']);
-const CONDITIONAL = 0;
+const TERNARY = 0;
 const UNARY = 11;
 const POSTFIX = 12;
 
 /** Prints an expression as text that parses to the same expression. */
 export function printExpr(e: Expr): string {
-  return printWithin(e, CONDITIONAL);
+  return print(e, TERNARY);
 }
 
 /** Prints an ad as text that can be parsed again. */
@@ -60,7 +60,7 @@
   return /[.e]/.test(text) ? text : `${text}.0`;
 }
 
-function printWithin(expr: Expr, minPrecedence: number): string {
+function print(expr: Expr, minPrecedence: number): string {
   const [text, precedence] = format(expr);
   return precedence < minPrecedence ? `(${text})` : text;
 }
@@ -80,40 +80,30 @@
     case 'select': {
       // `(my).x` differs from `MY.x`, and `1.x` is not a selection.
       const of =
-        expr.operand.node === 'literal'
-          ? `(${printWithin(expr.operand, CONDITIONAL)})`
-          : printWithin(expr.operand, POSTFIX);
+        expr.operand.node === 'literal' ? `(${print(expr.operand, TERNARY)})` : print(expr.operand, POSTFIX);
       return [`${of}.${printName(expr.name)}`, POSTFIX];
     }
     case 'index':
-      return [`${printWithin(expr.operand, POSTFIX)}[${printWithin(expr.at, CONDITIONAL)}]`, POSTFIX];
+      return [`${print(expr.operand, POSTFIX)}[${print(expr.at, TERNARY)}]`, POSTFIX];
     case 'unary':
-      return [`${expr.op}${printWithin(expr.operand, UNARY)}`, UNARY];
+      return [`${expr.op}${print(expr.operand, UNARY)}`, UNARY];
     case 'binary': {
       const precedence = PRECEDENCE[expr.op];
-      return [
-        `${printWithin(expr.left, precedence)} ${expr.op} ${printWithin(expr.right, precedence + 1)}`,
-        precedence,
-      ];
+      return [`${print(expr.left, precedence)} ${expr.op} ${print(expr.right, precedence + 1)}`, precedence];
     }
     case 'if':
       return [
-        `${printWithin(expr.test, 1)} ?${expr.consequent ? ` ${printWithin(expr.consequent, CONDITIONAL)} ` : ''}: ${printWithin(expr.alternate, CONDITIONAL)}`,
-        CONDITIONAL,
+        `${print(expr.test, 1)} ?${expr.consequent ? ` ${print(expr.consequent, TERNARY)} ` : ''}: ${print(expr.alternate, TERNARY)}`,
+        TERNARY,
       ];
     case 'list':
       return [
-        expr.items.length === 0
-          ? '{ }'
-          : `{ ${expr.items.map((i) => printWithin(i, CONDITIONAL)).join(', ')} }`,
+        expr.items.length === 0 ? '{ }' : `{ ${expr.items.map((i) => print(i, TERNARY)).join(', ')} }`,
         POSTFIX,
       ];
     case 'ad':
       return [printAd(expr.ad), POSTFIX];
     case 'call':
-      return [
-        `${printName(expr.name)}(${expr.args.map((a) => printWithin(a, CONDITIONAL)).join(', ')})`,
-        POSTFIX,
-      ];
+      return [`${printName(expr.name)}(${expr.args.map((a) => print(a, TERNARY)).join(', ')})`, POSTFIX];
   }
 }
--- a/src/cli/certs.ts
+++ b/src/cli/certs.ts
@@ -19,14 +19,8 @@
 export function addCertsCommand(command: Command): void {
   command
     .command('certs <cluster...>')
-    .description(
-      'create a certificate authority and a certificate for each cluster, for testing links between clusters',
-    )
-    .option(
-      '--dir <dir>',
-      'output directory; a certificate authority that it already contains is reused',
-      'certs',
-    )
+    .description('create a certificate authority and cluster certificates for testing links between clusters')
+    .option('--dir <dir>', 'output directory; an existing certificate authority in it is reused', 'certs')
     .option('--days <n>', 'validity of the certificates in days', parseDays, 90)
     .action(async (clusters: string[], options: { dir: string; days: number }) => {
       for (const cluster of clusters) {
@@ -41,26 +35,23 @@
       }
       const { issueCertificate, makeIssuer, restoreIssuer } = await import('../tls/certs.js');
       mkdirSync(options.dir, { recursive: true });
-      const pathIn = (file: string) => join(options.dir, file);
+      const path = (file: string) => join(options.dir, file);
       const validFrom = new Date(Date.now() - 60_000);
       const validUntil = new Date(Date.now() + options.days * 86_400_000);
-      let issuer: Awaited<ReturnType<typeof makeIssuer>>;
-      if (existsSync(pathIn('ca.key')))
-        issuer = await restoreIssuer(
-          readFileSync(pathIn('ca.key'), 'utf8'),
-          readFileSync(pathIn('ca.pem'), 'utf8'),
-        );
+      let ca: Awaited<ReturnType<typeof makeIssuer>>;
+      if (existsSync(path('ca.key')))
+        ca = await restoreIssuer(readFileSync(path('ca.key'), 'utf8'), readFileSync(path('ca.pem'), 'utf8'));
       else {
-        issuer = await makeIssuer('spartray trials', validFrom, validUntil);
-        writeFileSync(pathIn('ca.key'), issuer.key, { mode: 0o600 });
-        writeFileSync(pathIn('ca.pem'), issuer.cert);
+        ca = await makeIssuer('spartray trials', validFrom, validUntil);
+        writeFileSync(path('ca.key'), ca.key, { mode: 0o600 });
+        writeFileSync(path('ca.pem'), ca.cert);
       }
       for (const cluster of clusters) {
-        const issued = await issueCertificate(issuer, cluster, null, validFrom, validUntil);
-        writeFileSync(pathIn(`${cluster}.key`), issued.key, { mode: 0o600 });
-        writeFileSync(pathIn(`${cluster}.pem`), issued.cert);
+        const issued = await issueCertificate(ca, cluster, null, validFrom, validUntil);
+        writeFileSync(path(`${cluster}.key`), issued.key, { mode: 0o600 });
+        writeFileSync(path(`${cluster}.pem`), issued.cert);
         printLine(
-          `${pathIn(`${cluster}.pem`)}  serial ${issued.serial}, until ${validUntil.toISOString().slice(0, 10)}`,
+          `${path(`${cluster}.pem`)}  serial ${issued.serial}, until ${validUntil.toISOString().slice(0, 10)}`,
         );
       }
     });
--- a/src/condor/language.ts
+++ b/src/condor/language.ts
@@ -230,25 +230,20 @@
     const head = match[1]!.trim();
     const countMatch = /^(\$?\(.*\)|\d+|\$\([^)]*\)|[\d\s+*/()-]+)?\s*(.*)$/s.exec(head)!;
     const variables = countMatch[2]! === '' ? [] : countMatch[2]!.split(/[\s,]+/);
-    const invalidName = variables.find((v) => !/^[A-Za-z_]\w*$/.test(v));
-    if (invalidName !== undefined)
-      fail(
-        `a number or a name was expected after "queue", not "${invalidName}"`,
-        text.indexOf(invalidName) + 1,
-      );
+    const invalid = variables.find((v) => !/^[A-Za-z_]\w*$/.test(v));
+    if (invalid !== undefined)
+      fail(`a number or a name was expected after "queue", not "${invalid}"`, text.indexOf(invalid) + 1);
     const keyword = match[2]?.toLowerCase();
     if (!keyword && variables.length > 0)
       fail(`"in", "from" or "matching" was expected after ${variables.join(', ')}`);
     let rest = (match[3] ?? '').trim();
-    const sliceMatch = keyword
-      ? /^\[\s*(-?\d*)\s*(?::\s*(-?\d*)\s*(?::\s*(\d*)\s*)?)?\]\s*/.exec(rest)
-      : null;
-    if (sliceMatch) rest = rest.slice(sliceMatch[0].length);
+    const range = keyword ? /^\[\s*(-?\d*)\s*(?::\s*(-?\d*)\s*(?::\s*(\d*)\s*)?)?\]\s*/.exec(rest) : null;
+    if (range) rest = rest.slice(range[0].length);
     const parseIndex = (s: string | undefined) => (s === undefined || s === '' ? null : Number(s));
-    const slice = sliceMatch && {
-      from: parseIndex(sliceMatch[1]),
-      to: parseIndex(sliceMatch[2]),
-      step: Math.max(1, parseIndex(sliceMatch[3]) ?? 1),
+    const slice = range && {
+      from: parseIndex(range[1]),
+      to: parseIndex(range[2]),
+      step: Math.max(1, parseIndex(range[3]) ?? 1),
     };
     const items = keyword
       ? this.parseItems(keyword, macros.expand(rest, line, column), fail)
@@ -266,16 +261,13 @@
     });
   }
 
-  private parseItems(keyword: string, rest: string, fail: (message: string) => never): Items {
+  private parseItems(kind: string, rest: string, fail: (message: string) => never): Items {
     let text = rest;
     // A list in parentheses may span several lines.
     const lines: string[] = [];
     if (text.startsWith('(')) {
       text = text.slice(1);
-      while (
-        !text.includes(')') ||
-        (keyword === 'from' && !/^\s*\)\s*$/.test(text) && !/\)\s*$/.test(text))
-      ) {
+      while (!text.includes(')') || (kind === 'from' && !/^\s*\)\s*$/.test(text) && !/\)\s*$/.test(text))) {
         lines.push(text);
         const next = this.lines[this.lineIndex++];
         if (next === undefined) return fail('")" was expected to end the items');
@@ -284,16 +276,16 @@
       lines.push(text.slice(0, text.lastIndexOf(')')));
       const nonEmpty = lines.map((l) => l.trim()).filter((l) => l !== '' && !l.startsWith('#'));
       const rows =
-        keyword === 'from' ? nonEmpty : nonEmpty.flatMap((l) => l.split(/[\s,]+/)).filter((l) => l !== '');
+        kind === 'from' ? nonEmpty : nonEmpty.flatMap((l) => l.split(/[\s,]+/)).filter((l) => l !== '');
       if (rows.length > LIMITS.items) return fail(`more than ${LIMITS.items} items`);
-      if (keyword === 'from') return { kind: 'from', file: null, rows };
-      return keyword === 'in'
+      if (kind === 'from') return { kind: 'from', file: null, rows };
+      return kind === 'in'
         ? { kind: 'in', rows }
         : { kind: 'matching', what: 'any', globs: rows, rows: null };
     }
-    if (text === '') return fail(`items were expected after "${keyword}"`);
-    if (keyword === 'in') return { kind: 'in', rows: text.split(/[\s,]+/).filter((l) => l !== '') };
-    if (keyword === 'from') {
+    if (text === '') return fail(`items were expected after "${kind}"`);
+    if (kind === 'in') return { kind: 'in', rows: text.split(/[\s,]+/).filter((l) => l !== '') };
+    if (kind === 'from') {
       if (text.endsWith('|')) return fail('items from a program are not read here: put them into a file');
       return { kind: 'from', file: text, rows: null };
     }
--- a/src/condor/procs.ts
+++ b/src/condor/procs.ts
@@ -69,10 +69,7 @@
     this.warnings = warningsOf(queues);
   }
 
-  /**
-   * Expands the first and last process of every queue statement, so that errors common to all are reported at
-   * once.
-   */
+  /** Expands the first and last process of every queue statement, to report errors common to all at once. */
   check(): void {
     for (const range of this.queues) {
       const n = range.count * range.rows.length;
@@ -201,7 +198,7 @@
     const spec = this.buildSpec(ad, options);
     const reason = options.neverRunsReason(spec);
     if (reason !== null) throw new SubmitError(reason, this.queue.line, this.queue.column);
-    const held = this.booleanAttribute(ad, 'SubmitOnHold');
+    const held = this.boolean(ad, 'SubmitOnHold');
     return { ad, spec, held };
   }
 
@@ -265,7 +262,7 @@
     return this.queue;
   }
 
-  private numberAttribute(ad: Ad, attribute: string, minimum: number): number {
+  private number(ad: Ad, attribute: string, minimum: number): number {
     const value = asNumber(evaluate({ node: 'name', scope: 'my', name: attribute }, { my: ad }));
     const n = value === null ? Number.NaN : Number(value);
     if (!(n >= minimum && n <= 1e9)) {
@@ -276,16 +273,16 @@
   }
 
   private optionalNumber(ad: Ad, attribute: string, fallback: number): number {
-    return ad.has(attribute) ? this.numberAttribute(ad, attribute, 0) : fallback;
+    return ad.has(attribute) ? this.number(ad, attribute, 0) : fallback;
   }
 
-  private booleanAttribute(ad: Ad, attribute: string): boolean {
+  private boolean(ad: Ad, attribute: string): boolean {
     const e = ad.get(attribute);
     if (e?.node === 'literal' && typeof e.value === 'string') return /^(true|yes|1)$/i.test(e.value);
     return e !== undefined && evaluate(e, { my: ad }) === true;
   }
 
-  private stringAttribute(ad: Ad, attribute: string): string | null {
+  private text(ad: Ad, attribute: string): string | null {
     const value = ad.has(attribute)
       ? evaluate({ node: 'name', scope: 'my', name: attribute }, { my: ad })
       : UNDEFINED;
@@ -295,13 +292,10 @@
   private buildSpec(ad: Ad, options: ProcOptions): JobSpec {
     this.checkExitPolicies(ad);
     const priority = this.parsePriority(ad);
-    const machines = Math.max(1, Math.round(this.numberAttribute(ad, 'MachineCount', 1)));
+    const machines = Math.max(1, Math.round(this.number(ad, 'MachineCount', 1)));
     const gang = evaluate({ node: 'name', scope: 'my', name: 'JobUniverse' }, { my: ad }) === 11n;
     const image =
-      this.stringAttribute(ad, 'ContainerImage') ??
-      this.stringAttribute(ad, 'DockerImage') ??
-      this.stringAttribute(ad, 'Cmd') ??
-      'none';
+      this.text(ad, 'ContainerImage') ?? this.text(ad, 'DockerImage') ?? this.text(ad, 'Cmd') ?? 'none';
     const checkpointS = this.optionalNumber(ad, 'CheckpointSeconds', 0);
     const requirements = flatten(ad.get('Requirements')!, ad);
     const rank = ad.has('Rank') ? flatten(ad.get('Rank')!, ad) : null;
@@ -309,25 +303,25 @@
     const hasRank = rank !== null && rank.node !== 'literal';
     return {
       id: '',
-      class: this.stringAttribute(ad, 'JobClass') ?? 'condor',
+      class: this.text(ad, 'JobClass') ?? 'condor',
       team: this.team(ad, options),
       kind: gang ? 'gang' : 'array',
       priority,
       tasks: gang ? machines : 1,
-      cpus: this.numberAttribute(ad, 'RequestCpus', 0),
-      gpus: this.numberAttribute(ad, 'RequestGPUs', 0),
-      memoryGb: this.numberAttribute(ad, 'RequestMemory', 0) / 1024,
+      cpus: this.number(ad, 'RequestCpus', 0),
+      gpus: this.number(ad, 'RequestGPUs', 0),
+      memoryGb: this.number(ad, 'RequestMemory', 0) / 1024,
       types: null,
       zone: null,
       oneZone: gang,
       spread: false,
-      spot: !ad.has('SpotAllowed') || this.booleanAttribute(ad, 'SpotAllowed'),
+      spot: !ad.has('SpotAllowed') || this.boolean(ad, 'SpotAllowed'),
       image: image.slice(0, MAX_IMAGE_LENGTH),
       imageGb: this.optionalNumber(ad, 'ImageGb', 0),
       estimateS: this.optionalNumber(ad, 'ExpectedRunSeconds', 60),
       checkpointS,
       saveS: this.optionalNumber(ad, 'SaveSeconds', checkpointS > 0 ? 1 : 0),
-      deadlineS: ad.has('DeadlineSeconds') ? this.numberAttribute(ad, 'DeadlineSeconds', 1) : null,
+      deadlineS: ad.has('DeadlineSeconds') ? this.number(ad, 'DeadlineSeconds', 1) : null,
       after: [],
       ...((!acceptsAny || hasRank) && {
         match: { requirements: printExpr(requirements), rank: hasRank ? printExpr(rank) : null },
@@ -336,7 +330,7 @@
   }
 
   private parsePriority(ad: Ad): number {
-    const priorityName = this.stringAttribute(ad, 'SpartrayPriority');
+    const priorityName = this.text(ad, 'SpartrayPriority');
     if (priorityName !== null) {
       const priority =
         PRIORITIES_BY_URGENCY[priorityName.toLowerCase() as keyof typeof PRIORITIES_BY_URGENCY];
@@ -348,15 +342,12 @@
         column,
       );
     }
-    return this.booleanAttribute(ad, 'NiceUser') ? PRIORITY.low : PRIORITY.normal;
+    return this.boolean(ad, 'NiceUser') ? PRIORITY.low : PRIORITY.normal;
   }
 
-  /**
-   * Returns the team that an accounting group names: the group itself or its longest prefix before a dot that
-   * is a team.
-   */
+  /** Returns the team of an accounting group: the group itself or its longest prefix before a dot that is a team. */
   private team(ad: Ad, { teams, team }: ProcOptions): string {
-    const group = this.stringAttribute(ad, 'AcctGroup');
+    const group = this.text(ad, 'AcctGroup');
     for (let name = group ?? ''; name !== ''; name = name.slice(0, Math.max(0, name.lastIndexOf('.'))))
       if (teams.includes(name)) return name;
     if (team !== null) return team;
--- a/src/program/commandline.ts
+++ b/src/program/commandline.ts
@@ -82,9 +82,7 @@
         'SPARTRAY_STANDBY',
       ),
     )
-    .addOption(
-      new Option('--end-with-stdin', 'shut down at the end of standard input (tests on one machine)'),
-    )
+    .addOption(new Option('--end-with-stdin', 'shut down when standard input ends (tests on one machine)'))
     .addHelpText('after', '\nCommands beside the controller: spartray help')
     .action(action)
     .exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : EXIT_SETTINGS));
--- a/src/tls/partnerlink.ts
+++ b/src/tls/partnerlink.ts
@@ -108,8 +108,7 @@
         host: this.addr.host,
         port: this.addr.port,
         ...secureContextOptions(credentials),
-        // `rejectionReason` verifies the certificate after the handshake, including the name, which is that of the
-        // partner cluster and not of a host.
+        // After the handshake, `rejectionReason` verifies the certificate and its name (a cluster's, not a host's).
         rejectUnauthorized: false,
         checkServerIdentity: () => undefined,
       });
