--- a/src/http/server.ts
+++ b/src/http/server.ts
@@ -1,6 +1,4 @@
-/**
- * An HTTP/1.1 server on Node's `net`: connections, time limits and replies, independent of the content of requests.
- */
+/** An HTTP/1.1 server on Node's `net`: connections, time limits and replies, independent of request content. */
 
 import net from 'node:net';
 import type { Clock } from '../clock/clock.js';
@@ -49,10 +47,7 @@
   /** Guesses the kind of client from the path of a request. */
   classify?: (path: string) => ClientKind;
   onError: (error: unknown) => void;
-  /**
-   * Called at intervals if connections were refused or evicted or requests deferred, with the counts since the last
-   * call.
-   */
+  /** Called at intervals with the counts since the last call, unless nothing was refused, evicted or deferred. */
   onOverload?: (counts: AdmissionCounts, open: number) => void;
 }
 
@@ -226,14 +221,8 @@
   private async serve(connection: Connection): Promise<void> {
     connection.answering = true;
     let kind: ClientKind = 'user';
-    for (
-      let message = connection.queue.shift();
-      message && !connection.closing;
-      message = connection.queue.shift()
-    ) {
-      if (
-        !this.admission.tryServe(connection.slot, this.options.classify?.(message.startLine[1]) ?? 'user')
-      ) {
+    for (let next = connection.queue.shift(); next && !connection.closing; next = connection.queue.shift()) {
+      if (!this.admission.tryServe(connection.slot, this.options.classify?.(next.startLine[1]) ?? 'user')) {
         this.send(
           connection,
           { status: 503, body: { error: 'too many requests at once' }, headers: { 'Retry-After': '1' } },
@@ -241,9 +230,9 @@
         );
         break;
       }
-      const reply = await this.callHandler(message);
+      const reply = await this.callHandler(next);
       kind = reply.clientKind ?? 'user';
-      this.send(connection, reply, message.keepAlive);
+      this.send(connection, reply, next.keepAlive);
     }
     // All complete requests before the invalid one have been answered, so its error reply is sent in order.
     const { failure } = connection.parser;
@@ -318,7 +307,7 @@
     this.reportCounts(now);
   }
 
-  /** Returns whether a connection has exceeded one of its limits; also updates its `unsentBytes` and `unsentSince`. */
+  /** Returns whether a connection has exceeded one of its limits; also updates `unsentBytes` and `unsentSince`. */
   private isOverdue(connection: Connection, now: number): boolean {
     const unsentBytes = connection.socket.writableLength;
     if (unsentBytes === 0 || unsentBytes < connection.unsentBytes) connection.unsentSince = now;
--- a/src/load/loadrun.ts
+++ b/src/load/loadrun.ts
@@ -94,12 +94,11 @@
     for (let i = 0; i < jobClass.at_start; i++) this.startUser(jobClass);
     if (jobClass.a_minute === 0) return;
     const random = new Random(this.scenario.seed * 31 + this.scenario.classes.indexOf(jobClass));
-    const arrivalsEndAt =
-      this.startedAt + Math.min(jobClass.until_s ?? Infinity, this.scenario.duration_s) * 1000;
+    const endsAt = this.startedAt + Math.min(jobClass.until_s ?? Infinity, this.scenario.duration_s) * 1000;
     let arrivalAt = this.startedAt + jobClass.from_s * 1000;
     for (;;) {
       arrivalAt += random.exponential(60_000 / jobClass.a_minute);
-      if (arrivalAt > arrivalsEndAt) return;
+      if (arrivalAt > endsAt) return;
       if (arrivalAt > this.clock.now()) await pause(this.clock, arrivalAt - this.clock.now());
       this.startUser(jobClass);
     }
@@ -211,24 +210,18 @@
     const { state, cloud, machines, market, tasks, controllers } = this.cluster;
     const scheduleEnd = (undo: () => void) => this.clock.after(fault.for_s * 1000, undo);
     const affectedMachines = [...machines.keys()].sort().slice(0, fault.count);
-    const controllerIndex = fault.what.endsWith('_oldest')
-      ? this.cluster.oldestController()
-      : fault.controller;
-    const targetsController = ['kill', 'kill_oldest', 'state_refuses', 'refuse_oldest'].includes(fault.what);
-    this.faults.push({
-      at: fault.at_s,
-      what: targetsController ? `${fault.what} ${controllerIndex}` : fault.what,
-    });
-    if (fault.what === 'kill' || fault.what === 'kill_oldest')
-      this.killedAt.set(controllerIndex, this.clock.now());
-    if (fault.what === 'kill' || fault.what === 'kill_oldest') this.cluster.kill(controllerIndex);
+    const target = fault.what.endsWith('_oldest') ? this.cluster.oldestController() : fault.controller;
+    const hasTarget = ['kill', 'kill_oldest', 'state_refuses', 'refuse_oldest'].includes(fault.what);
+    this.faults.push({ at: fault.at_s, what: hasTarget ? `${fault.what} ${target}` : fault.what });
+    if (fault.what === 'kill' || fault.what === 'kill_oldest') this.killedAt.set(target, this.clock.now());
+    if (fault.what === 'kill' || fault.what === 'kill_oldest') this.cluster.kill(target);
     if (fault.what === 'kill_all') for (const i of controllers.keys()) this.cluster.kill(i);
     if (fault.what === 'state_down') {
       state.down = true;
       scheduleEnd(() => state.endOutage());
     }
     if (fault.what === 'state_refuses' || fault.what === 'refuse_oldest') {
-      const node = controllers[controllerIndex]?.node ?? '';
+      const node = controllers[target]?.node ?? '';
       state.refusedCallers.add(node);
       scheduleEnd(() => state.refusedCallers.delete(node));
     }
@@ -265,10 +258,9 @@
         for (const a of m.worker.attempts) if (a.state !== 'exited' && a.state !== 'fetching') tasks++;
       const machines = this.cluster.machines.size;
       this.series.push({ at, machines, tasks, open: this.activeUsers.size });
-      const total = (f: (t: ClassTally) => number) =>
-        [...this.tallies.values()].reduce((n, t) => n + f(t), 0);
+      const sum = (f: (t: ClassTally) => number) => [...this.tallies.values()].reduce((n, t) => n + f(t), 0);
       progress(
-        `${at} s: ${total((t) => t.accepted)} accepted, ${total((t) => t.done)} done, ${this.activeUsers.size} open, ${tasks} tasks on ${machines} machines`,
+        `${at} s: ${sum((t) => t.accepted)} accepted, ${sum((t) => t.done)} done, ${this.activeUsers.size} open, ${tasks} tasks on ${machines} machines`,
       );
       await pause(this.clock, SERIES_INTERVAL_MS);
     }
@@ -312,10 +304,7 @@
       classes,
       served: sharesOf(classes),
       twice: this.cluster.tasks.duplicateCompletions,
-      violations: violations.map((violation) => ({
-        ...violation,
-        at: Math.round((violation.at - this.startedAt) / 100) / 10,
-      })),
+      violations: violations.map((v) => ({ ...v, at: Math.round((v.at - this.startedAt) / 100) / 10 })),
       spent: this.cluster.market.charge(),
       startsPeak: startsPeak(history, this.startedAt),
       lostTasks: lostTasks(history, this.startedAt),
--- a/src/load/taskrules.ts
+++ b/src/load/taskrules.ts
@@ -24,9 +24,9 @@
   const attemptsByTask = new Map<string, Map<number, RunningAttempt[]>>();
   const usageByTeam = new Map<string, { cpus: number; gpus: number }>();
   for (const event of tasks) {
-    const spec = jobs.get(event.job);
+    const job = jobs.get(event.job);
     const task = `${event.job}/${event.index}`;
-    if (!spec) {
+    if (!job) {
       if (event.kind === 'on') report('invented', event.at, `${task} runs, and nobody submitted it`);
       continue;
     }
@@ -37,11 +37,11 @@
     }
     const attempts = attemptsOfJob.get(event.index) ?? [];
     attemptsOfJob.set(event.index, attempts);
-    const teamUsage = usageByTeam.get(spec.team) ?? { cpus: 0, gpus: 0 };
-    usageByTeam.set(spec.team, teamUsage);
+    const used = usageByTeam.get(job.team) ?? { cpus: 0, gpus: 0 };
+    usageByTeam.set(job.team, used);
     const sign = event.kind === 'on' ? 1 : -1;
-    teamUsage.cpus += sign * spec.cpus;
-    teamUsage.gpus += sign * spec.gpus;
+    used.cpus += sign * job.cpus;
+    used.gpus += sign * job.gpus;
     if (event.kind === 'off') {
       const i = attempts.findIndex((p) => p.machine === event.machine && p.attempt === event.attempt);
       if (i >= 0) attempts.splice(i, 1);
@@ -66,20 +66,16 @@
     if (other)
       report('ran_twice', event.at, `${task} starts on ${event.machine} while it is on ${other.machine}`);
     attempts.push({ machine: event.machine, zone: event.zone, attempt: event.attempt });
-    const team = limits.teams.find((t) => t.name === spec.team);
+    const team = limits.teams.find((t) => t.name === job.team);
     if (
       team &&
-      ((team.cpusMax > 0 && teamUsage.cpus > team.cpusMax + ROUNDING_TOLERANCE) ||
-        (team.gpusMax > 0 && teamUsage.gpus > team.gpusMax + ROUNDING_TOLERANCE))
+      ((team.cpusMax > 0 && used.cpus > team.cpusMax + ROUNDING_TOLERANCE) ||
+        (team.gpusMax > 0 && used.gpus > team.gpusMax + ROUNDING_TOLERANCE))
     )
-      report(
-        'quota',
-        event.at,
-        `team ${spec.team} uses ${teamUsage.cpus} CPUs and ${teamUsage.gpus} GPUs with ${task}`,
-      );
-    const problem = placementError(event, spec, attemptsOfJob);
+      report('quota', event.at, `team ${job.team} uses ${used.cpus} CPUs and ${used.gpus} GPUs with ${task}`);
+    const problem = placementError(event, job, attemptsOfJob);
     if (problem) report('wrong_place', event.at, `${task} on ${event.machine}: ${problem}`);
-    for (const id of spec.after)
+    for (const id of job.after)
       if (!((doneAt.get(id) ?? Number.POSITIVE_INFINITY) <= event.at))
         report('too_early', event.at, `${task} starts before ${id} is done`);
   }
@@ -87,17 +83,17 @@
 
 function placementError(
   event: TaskEvent,
-  spec: JobSpec,
+  job: JobSpec,
   attemptsOfJob: ReadonlyMap<number, RunningAttempt[]>,
 ): string | null {
-  if (spec.types && !spec.types.includes(event.type)) return `type ${event.type}`;
-  if (spec.zone !== null && spec.zone !== event.zone) return `zone ${event.zone}`;
-  if (event.spot && !spec.spot) return 'a spot machine';
-  if (!spec.oneZone && !spec.spread) return null;
+  if (job.types && !job.types.includes(event.type)) return `type ${event.type}`;
+  if (job.zone !== null && job.zone !== event.zone) return `zone ${event.zone}`;
+  if (event.spot && !job.spot) return 'a spot machine';
+  if (!job.oneZone && !job.spread) return null;
   const zones = new Map<string, number>();
   for (const attempts of attemptsOfJob.values())
     for (const p of attempts) zones.set(p.zone, (zones.get(p.zone) ?? 0) + 1);
-  if (spec.oneZone && zones.size > 1) return 'two zones at once';
-  const maxPerZone = Math.ceil(spec.tasks / 2);
-  return spec.spread && zones.get(event.zone)! > maxPerZone ? 'more than half in one zone' : null;
+  if (job.oneZone && zones.size > 1) return 'two zones at once';
+  const maxPerZone = Math.ceil(job.tasks / 2);
+  return job.spread && zones.get(event.zone)! > maxPerZone ? 'more than half in one zone' : null;
 }
--- a/src/scheduler/shard.ts
+++ b/src/scheduler/shard.ts
@@ -26,10 +26,7 @@
 const PLAN_DELAY_MS = 30;
 const LOAD_RETRY_MS = 300;
 
-/**
- * A shard while this node owns it: its lifecycle, and the operations that other components request of its
- * owner.
- */
+/** A shard while this node owns it: its lifecycle, and the operations that other components request of its owner. */
 export class Shard {
   /** Index among the shards of the cluster. */
   readonly index: number;
@@ -118,18 +115,12 @@
     }
   }
 
-  /**
-   * Loads the jobs with all changes up to the claim: from the records that the standby has followed, else
-   * from the store.
-   */
+  /** Loads the jobs with all changes up to the claim: from the records that the standby followed, else the store. */
   private async loadJobs(): Promise<LoadedJob[]> {
-    const replicated = (await this.options.takeover?.jobs(this.term)) ?? null;
-    if (!replicated) return this.components.records.load();
-    this.log.info(
-      { jobs: replicated.jobs.length, changes: replicated.changes },
-      'job records restored from the standby replica',
-    );
-    return replicated.jobs;
+    const replica = (await this.options.takeover?.jobs(this.term)) ?? null;
+    if (!replica) return this.components.records.load();
+    this.log.info({ jobs: replica.jobs.length, changes: replica.changes }, 'jobs restored from the replica');
+    return replica.jobs;
   }
 
   private onLoaded(loaded: readonly LoadedJob[], machines: readonly Entry[]): void {
@@ -156,8 +147,7 @@
     const { taskProgress, jobTable, dependencies } = this.components;
     const adopted = loaded.map((job) => taskProgress.adopt(job));
     for (const job of adopted) {
-      // A dependency of this job is not done yet under this term, so no former owner can have started the
-      // job.
+      // A dependency is not done yet under this term, so no former owner can have started this job.
       if (job.spec.after.some((id) => jobTable.jobs.has(id))) job.acceptedUnderThisTerm = true;
     }
     dependencies.add(adopted);
@@ -274,10 +264,7 @@
     this.components.autoscaler.onMachinesListed();
   }
 
-  /**
-   * Handles the heartbeat of a machine. Returns the response body, or null when the heartbeat must not be
-   * answered with 200.
-   */
+  /** Handles the heartbeat of a machine. Returns the response body, or null when it must not be answered with 200. */
   onHeartbeat(machine: Machine, heartbeat: Heartbeat): object | null {
     return this.loaded ? this.registry.onHeartbeat(machine, heartbeat) : null;
   }
@@ -333,18 +320,12 @@
     return this.components.jobRequests.status(id);
   }
 
-  /**
-   * Cancels a job; returns how it ended, or null when the shard has no job of that id. Throws as `status`
-   * does.
-   */
+  /** Cancels a job; returns how it ended, or null if the shard has no job of that id. Throws as `status` does. */
   cancel(id: string): Promise<'done' | 'cancelled' | null> {
     return this.components.jobRequests.cancel(id);
   }
 
-  /**
-   * Returns up to `limit` unfinished jobs whose ids begin with `prefix` and follow `after`, in the order of
-   * ids.
-   */
+  /** Returns up to `limit` unfinished jobs whose ids begin with `prefix` and follow `after`, in the order of ids. */
   list(prefix: string, after: string, limit: number): ListedJob[] {
     return this.components.jobRequests.list(prefix, after, limit);
   }
--- a/src/scheduler/shardcomponents.ts
+++ b/src/scheduler/shardcomponents.ts
@@ -27,10 +27,9 @@
 import { WarmStart } from './warmstart.js';
 
 /**
- * Creates and connects the components of a shard. Several of them depend on each other in both directions
- * (the registry reports tasks to the task progress, which has the registry stop tasks). They call each other
- * through hooks, which look up the component when they are called: no hook may be called before all
- * components are created.
+ * Creates and connects the components of a shard. Several of them depend on each other in both directions (the
+ * registry reports tasks to the task progress, which has the registry stop tasks). They call each other through hooks,
+ * which look up the component when they are called: no hook may be called before all components are created.
  */
 export class ShardComponents {
   readonly jobTable: JobTable;
--- a/src/standby/standbyreplicator.ts
+++ b/src/standby/standbyreplicator.ts
@@ -29,18 +29,12 @@
 /** Interval of the owner's regular messages to its standby. */
 const HEARTBEAT_INTERVAL_MS = 800;
 const CHECK_INTERVAL_MS = 250;
-/**
- * A standby is evicted when messages to it have been unacknowledged for this long, well before the owner's
- * lease with it expires.
- */
+/** A standby is evicted if messages stay unacknowledged this long, well before the owner's lease with it expires. */
 const ACKNOWLEDGE_TIMEOUT_MS = 700;
 /** A standby that is not in sync after this time is too slow to be useful and is evicted. */
 const SYNC_TIMEOUT_MS = 20_000;
 const HANDOVER_TIMEOUT_MS = 2500;
-/**
- * Delay before the first standby is named: when all nodes start together, the first one visible is not always
- * the best choice.
- */
+/** Delay before naming the first standby: if all nodes start together, the first one seen is not always the best. */
 const INITIAL_DELAY_MS = 1500;
 const STATUS_LOG_INTERVAL_MS = 15_000;
 
@@ -89,18 +83,13 @@
   readonly revision: number;
   readonly stream: ReplicationStream;
   readonly namedAt: number;
-  /**
-   * Time at which the first message since the last acknowledgement was sent; null if none is unacknowledged.
-   */
+  /** Time at which the first message since the last acknowledgement was sent; null if none is unacknowledged. */
   unacknowledgedSince: number | null;
   lastSentAt: number;
   /** Whether a message is in flight; there is never more than one. */
   sending: boolean;
   inSync: boolean;
-  /**
-   * Age of the last renewal of the standby's lease by the key-value store, as of the standby's last response,
-   * in milliseconds.
-   */
+  /** Milliseconds since the key-value store last renewed the standby's lease, as of the standby's last response. */
   leaseRenewedAgoMs: number;
 }
 
@@ -186,10 +175,7 @@
     return cleared;
   }
 
-  /**
-   * Restarts the stream with a new snapshot, for use after the owner's certain knowledge has grown
-   * considerably.
-   */
+  /** Restarts the stream with a new snapshot, for use after the owner's certain knowledge has grown considerably. */
   restartStream(): void {
     this.standby?.stream.begin();
   }
@@ -206,10 +192,7 @@
       const { mesh } = this.options;
       return (await mesh.request(slot.node, STANDBY_OPS.handOver, message, HANDOVER_TIMEOUT_MS)) === true;
     } catch (error) {
-      this.options.log.info(
-        { standby: slot.node, err: error },
-        'handover request failed: the standby may or may not own the shard',
-      );
+      this.options.log.info({ standby: slot.node, err: error }, 'handover failed: standby may own the shard');
       return false;
     }
   }
@@ -248,10 +231,7 @@
     return preferredNode !== null && preferredNode !== slot.node ? 'home is back' : null;
   }
 
-  /**
-   * Runs a change of the standby, during which no other change may begin. After a failure it pauses; the
-   * periodic checks retry.
-   */
+  /** Runs a change of the standby while no other may begin. After a failure it pauses; the periodic checks retry. */
   private async runExclusive(change: () => Promise<void>): Promise<void> {
     this.changeInProgress = true;
     try {
