--- a/src/modelcheck/explore.ts
+++ b/src/modelcheck/explore.ts
@@ -54,8 +54,8 @@
         deadEnds: null,
         truncated: true,
       };
-    for (const transition of model.next(state)) {
-      const key = model.key(transition.state);
+    for (const step of model.next(state)) {
+      const key = model.key(step.state);
       const knownIndex = indexByKey.get(key);
       if (knownIndex !== undefined) {
         visited[knownIndex]!.predecessors.push(current);
@@ -66,12 +66,7 @@
         continue;
       }
       indexByKey.set(key, visited.length);
-      visited.push({
-        state: transition.state,
-        parent: current,
-        action: transition.action,
-        predecessors: [current],
-      });
+      visited.push({ state: step.state, parent: current, action: step.action, predecessors: [current] });
     }
   }
   return {
@@ -82,9 +77,7 @@
   };
 }
 
-/**
- * Finds the visited states from which no acceptable end state can be reached; returns null if there are none.
- */
+/** Finds the visited states from which no acceptable end state can be reached; returns null if there are none. */
 function findDeadEnds<S>(
   model: Model<S>,
   visited: VisitedState<S>[],
--- a/src/modelcheck/lending.ts
+++ b/src/modelcheck/lending.ts
@@ -41,10 +41,7 @@
   writes: number;
   cancels: boolean;
   limits: LendingLimits;
-  /**
-   * Whether answers and messages are sent before the state is stored. Production stores first; this checks that
-   * the model detects the fault.
-   */
+  /** Whether answers and messages precede storing, a fault the model must detect; production stores first. */
   answersBeforeStoring?: boolean;
 }
 
@@ -74,10 +71,7 @@
   /** Times at which the partner's controllers began to stop its tasks, and at which they all failed. */
   stoppingAt: number | null;
   partnerDown: number | null;
-  /**
-   * The answer given to the user, and its time, from which the maximum running time after a cancellation is
-   * measured.
-   */
+  /** The answer given to the user, and its time, which limits how long tasks may run after a cancellation. */
   answered: lending.JobOutcome | null;
   answeredAt: number;
   /** Whether the user received an answer that differs from an earlier one. */
@@ -91,10 +85,9 @@
  * lost, duplicated, delayed and reordered; stores apply writes late; controllers fail at any time, and tasks
  * continue without them.
  */
-export function lendingModel(transitions: Transitions, bounds: Bounds): Model<State> {
+export function lendingModel(rules: Transitions, bounds: Bounds): Model<State> {
   const { limits } = bounds;
-  // A decision that depends on a clock is made with one of the two extreme readings, which cover all readings
-  // in between.
+  // Decisions by a clock are made with one of the two extreme readings, which cover all readings in between.
   const clockReadings = (t: number) => [t - limits.skewMs, t + limits.skewMs];
 
   const copy = (state: State): State => ({
@@ -113,10 +106,7 @@
     if (state.answered === null) state.answeredAt = state.t;
     state.answered ??= final;
   };
-  /**
-   * Queues the write of a step's record, to be applied at some later time, after which the step's message is
-   * sent.
-   */
+  /** Queues the write of a step's record, applied at any later time; the step's message is sent after that. */
   const write = (state: State, side: Side, step: Step<HomeRecord | PartnerRecord>): State | null => {
     if (step.record === null) {
       if (step.say === null) return null;
@@ -152,37 +142,29 @@
   };
 
   /** The steps of one side on a job are serialized by a lock. */
-  const hasPendingWrite = (state: State, side: Side) =>
-    state.pendingWrites.some((pending) => pending.side === side);
+  const hasPendingWrite = (state: State, side: Side) => state.pendingWrites.some((w) => w.side === side);
 
   function* atHome(state: State): Generator<{ action: string; state: State | null }> {
     if (hasPendingWrite(state, 'home')) {
-      // The new owner has a later term, so writes of the previous owner that are not stored yet are never
-      // applied.
+      // The new owner has a later term, so writes of the previous owner still pending are never applied.
       yield {
         action: 'home has a new owner',
-        state: {
-          ...copy(state),
-          pendingWrites: state.pendingWrites.filter((pending) => pending.side !== 'home'),
-        },
+        state: { ...copy(state), pendingWrites: state.pendingWrites.filter((w) => w.side !== 'home') },
       };
       return;
     }
-    if (transitions.mayRunHome(state.home) && !state.runsHome)
+    if (rules.mayRunHome(state.home) && !state.runsHome)
       yield { action: 'home starts', state: { ...copy(state), runsHome: true } };
     if (state.runsHome) {
       const done = copy(state);
       done.runsHome = false;
       done.finished.push(state.home.epoch);
-      yield {
-        action: 'home completes the job',
-        state: write(done, 'home', transitions.completeAtHome(state.home)),
-      };
-      if (!transitions.mayRunHome(state.home))
+      yield { action: 'home completes', state: write(done, 'home', rules.completeAtHome(state.home)) };
+      if (!rules.mayRunHome(state.home))
         yield { action: 'home stops', state: { ...copy(state), runsHome: false } };
     }
     if (bounds.cancels)
-      yield { action: 'user cancels', state: write(state, 'home', transitions.cancel(state.home)) };
+      yield { action: 'user cancels', state: write(state, 'home', rules.cancel(state.home)) };
     if (state.home.final !== null) {
       const queried = copy(state);
       answerUser(queried, state.home.final);
@@ -192,11 +174,11 @@
       if (!state.runsHome && state.home.epoch < bounds.epochs)
         yield {
           action: `home lends at ${now}`,
-          state: write(state, 'home', transitions.lend(state.home, 'p', now, limits)),
+          state: write(state, 'home', rules.lend(state.home, 'p', now, limits)),
         };
       yield {
         action: `home takes back at ${now}`,
-        state: write(state, 'home', transitions.reclaimExpired(state.home, now, limits)),
+        state: write(state, 'home', rules.reclaimExpired(state.home, now, limits)),
       };
     }
     if (state.home.lent && state.home.final === null) {
@@ -211,39 +193,33 @@
       yield { action: 'partner recovers', state: { ...copy(state), partnerDown: null } };
       return;
     }
-    const remainingWrites = state.pendingWrites.filter((pending) => pending.side !== 'partner');
-    yield {
-      action: 'partner fails',
-      state: { ...copy(state), partnerDown: state.t, pendingWrites: remainingWrites },
-    };
+    const kept = state.pendingWrites.filter((w) => w.side !== 'partner');
+    yield { action: 'partner fails', state: { ...copy(state), partnerDown: state.t, pendingWrites: kept } };
     if (hasPendingWrite(state, 'partner')) return;
-    const record = state.partner;
-    if (!record) return;
+    const loan = state.partner;
+    if (!loan) return;
     for (const now of clockReadings(state.t)) {
       yield {
         action: `partner stores a start at ${now}`,
-        state: write(state, 'partner', transitions.start(record, now, limits)),
+        state: write(state, 'partner', rules.start(loan, now, limits)),
       };
-      if (!state.runsPartner && state.stoppingAt === null && transitions.mayRunBorrowed(record, now, limits))
+      if (!state.runsPartner && state.stoppingAt === null && rules.mayRunBorrowed(loan, now, limits))
         yield { action: `partner starts at ${now}`, state: { ...copy(state), runsPartner: true } };
     }
     if (state.runsPartner && state.stoppingAt === null) {
       const done = copy(state);
       done.runsPartner = false;
-      done.finished.push(record.epoch);
-      yield {
-        action: 'partner completes the job',
-        state: write(done, 'partner', transitions.completeAtPartner(record)),
-      };
+      done.finished.push(loan.epoch);
+      yield { action: 'partner completes', state: write(done, 'partner', rules.completeAtPartner(loan)) };
     }
-    if (record.state === 'started' || record.state === 'held') {
+    if (loan.state === 'started' || loan.state === 'held') {
       const requested = copy(state);
-      send(requested, 'partner', { kind: 'renew', epoch: record.epoch });
+      send(requested, 'partner', { kind: 'renew', epoch: loan.epoch });
       yield { action: 'partner requests a renewal', state: requested };
     }
-    if (record.state === 'done') {
+    if (loan.state === 'done') {
       const completed = copy(state);
-      send(completed, 'partner', { kind: 'done', epoch: record.epoch });
+      send(completed, 'partner', { kind: 'done', epoch: loan.epoch });
       yield { action: 'partner reports completion', state: completed };
     }
   }
@@ -257,94 +233,71 @@
     if (hasPendingWrite(state, to)) return;
     if (to === 'partner') {
       if (state.partnerDown !== null) return;
-      const record = state.partner;
+      const loan = state.partner;
       if (message.kind === 'lend')
         for (const now of clockReadings(state.t))
           yield {
             action: `${label} at ${now}`,
-            state: write(
-              state,
-              'partner',
-              transitions.acceptLoan(record, message.epoch, message.until, now, limits),
-            ),
+            state: write(state, 'partner', rules.acceptLoan(loan, message.epoch, message.until, now, limits)),
           };
-      if (!record) return;
+      if (!loan) return;
       if (message.kind === 'granted')
         yield {
           action: label,
-          state: write(state, 'partner', transitions.extend(record, message.epoch, message.until)),
+          state: write(state, 'partner', rules.extend(loan, message.epoch, message.until)),
         };
       if (message.kind === 'recall')
-        yield {
-          action: label,
-          state: write(state, 'partner', transitions.handleRecall(record, message.epoch)),
-        };
+        yield { action: label, state: write(state, 'partner', rules.handleRecall(loan, message.epoch)) };
       if (message.kind === 'stop')
-        yield {
-          action: label,
-          state: write(state, 'partner', transitions.handleStop(record, message.epoch)),
-        };
+        yield { action: label, state: write(state, 'partner', rules.handleStop(loan, message.epoch)) };
       return;
     }
     if (message.kind === 'renew')
       for (const now of clockReadings(state.t))
         yield {
           action: `${label} at ${now}`,
-          state: write(state, 'home', transitions.renew(state.home, message.epoch, now, limits)),
+          state: write(state, 'home', rules.renew(state.home, message.epoch, now, limits)),
         };
     if (message.kind === 'returned')
-      yield {
-        action: label,
-        state: write(state, 'home', transitions.acceptReturn(state.home, message.epoch)),
-      };
+      yield { action: label, state: write(state, 'home', rules.acceptReturn(state.home, message.epoch)) };
     if (message.kind === 'done')
-      yield {
-        action: label,
-        state: write(state, 'home', transitions.acceptCompletion(state.home, message.epoch)),
-      };
+      yield { action: label, state: write(state, 'home', rules.acceptCompletion(state.home, message.epoch)) };
   }
 
-  /**
-   * Advances the time. Controllers that are up check their clocks, at the latest when the slowest possible
-   * clock reaches the limit.
-   */
+  /** Advances the time. Running controllers act at the latest when the slowest possible clock reaches the limit. */
   function tick(state: State): State {
-    const changed = copy(state);
-    changed.t++;
-    if (!changed.runsPartner) changed.stoppingAt = null;
-    else if (changed.partnerDown !== null) {
+    const after = copy(state);
+    after.t++;
+    if (!after.runsPartner) after.stoppingAt = null;
+    else if (after.partnerDown !== null) {
       // No controller answers the partner's machines any more, so their leases expire.
-      if (changed.t - changed.partnerDown >= limits.stopMs) changed.runsPartner = false;
+      if (after.t - after.partnerDown >= limits.stopMs) after.runsPartner = false;
     } else {
       if (
-        changed.stoppingAt === null &&
-        changed.partner &&
-        transitions.mustStop(changed.partner, changed.t - limits.skewMs, limits)
+        after.stoppingAt === null &&
+        after.partner &&
+        rules.mustStop(after.partner, after.t - limits.skewMs, limits)
       )
-        changed.stoppingAt = changed.t;
-      if (changed.stoppingAt !== null && changed.t - changed.stoppingAt >= limits.stopMs)
-        changed.runsPartner = false;
+        after.stoppingAt = after.t;
+      if (after.stoppingAt !== null && after.t - after.stoppingAt >= limits.stopMs) after.runsPartner = false;
     }
-    if (!changed.runsPartner) changed.stoppingAt = null;
-    return changed;
+    if (!after.runsPartner) after.stoppingAt = null;
+    return after;
   }
 
   function* next(state: State): Generator<{ action: string; state: State }> {
     yield { action: 'time passes', state: tick(state) };
     for (const pending of state.pendingWrites) {
       yield { action: `${pending.side} stores`, state: apply(state, pending, true) };
-      yield {
-        action: `${pending.side} stores, and the response is lost`,
-        state: apply(state, pending, false),
-      };
+      yield { action: `${pending.side} stores, response lost`, state: apply(state, pending, false) };
     }
     for (const step of [...atHome(state), ...atPartner(state)])
       if (step.state) yield { action: step.action, state: step.state };
     for (const [i, { to, message }] of state.messages.entries()) {
-      const withoutMessage = copy(state);
-      withoutMessage.messages.splice(i, 1);
-      yield { action: `${message.kind} is lost`, state: withoutMessage };
-      for (const step of deliver(withoutMessage, to, message))
+      const without = copy(state);
+      without.messages.splice(i, 1);
+      yield { action: `${message.kind} is lost`, state: without };
+      for (const step of deliver(without, to, message))
         if (step.state) yield { action: step.action, state: step.state };
       for (const step of deliver(state, to, message))
         if (step.state) yield { action: `${step.action}, and will arrive again`, state: step.state };
@@ -384,26 +337,18 @@
       if (state.runsPartner && state.t > latestEnd) return 'runs long after its cancellation was reported';
       return null;
     },
-    // The key contains only remaining times, and whether a pending write's version still matches. The number of
-    // distinct keys is therefore bounded, so the exploration covers unlimited time.
+    // The key holds only remaining times and whether a write's version matches, so finitely many keys cover all time.
     key: (state) => {
-      const remaining = (until: number) => Math.max(until - state.t, -2 * limits.skewMs - limits.stopMs - 1);
-      const since = (at: number | null, maximum: number) =>
-        at === null ? '-' : Math.min(state.t - at, maximum);
-      const home = (record: HomeRecord) =>
-        `${record.epoch}${record.lent ? `l${remaining(record.lent.until)}` : ''}${record.final ?? ''}`;
-      const partner = (record: PartnerRecord) => `${record.epoch}${record.state}${remaining(record.until)}`;
+      const left = (until: number) => Math.max(until - state.t, -2 * limits.skewMs - limits.stopMs - 1);
+      const since = (at: number | null, max: number) => (at === null ? '-' : Math.min(state.t - at, max));
+      const home = (r: HomeRecord) => `${r.epoch}${r.lent ? `l${left(r.lent.until)}` : ''}${r.final ?? ''}`;
+      const partner = (r: PartnerRecord) => `${r.epoch}${r.state}${left(r.until)}`;
       const messageKey = (message: LendingMessage | null) =>
-        message &&
-        `${message.kind}${message.epoch}${'until' in message ? `l${remaining(message.until)}` : ''}`;
-      const writes = state.pendingWrites.map((pending) => {
-        const versionMatches =
-          pending.version === (pending.side === 'home' ? state.homeVersion : state.partnerVersion);
-        const record =
-          pending.side === 'home'
-            ? home(pending.record as HomeRecord)
-            : partner(pending.record as PartnerRecord);
-        return `${pending.side}${versionMatches}${record}${messageKey(pending.say)}`;
+        message && `${message.kind}${message.epoch}${'until' in message ? `l${left(message.until)}` : ''}`;
+      const writes = state.pendingWrites.map((w) => {
+        const current = w.version === (w.side === 'home' ? state.homeVersion : state.partnerVersion);
+        const record = w.side === 'home' ? home(w.record as HomeRecord) : partner(w.record as PartnerRecord);
+        return `${w.side}${current}${record}${messageKey(w.say)}`;
       });
       const messages = state.messages.map(({ to, message }) => `${to}${messageKey(message)}`);
       const sinceAnswer =
--- a/src/modelcheck/standbylease.ts
+++ b/src/modelcheck/standbylease.ts
@@ -35,10 +35,7 @@
   /** Maximum number of times a standby is named, and maximum number of incarnations of the standby. */
   namings: number;
   incarnations: number;
-  /**
-   * Whether the owner may return at any time as a new incarnation, while writes and messages of the former
-   * incarnation are still in flight.
-   */
+  /** Whether the owner may return at any time as a new incarnation, with its old writes and messages in flight. */
   ownerRestarts: boolean;
   /** Number of heartbeats sent by the machine; each may arrive at any later time, and repeatedly. */
   reports: number;
@@ -56,10 +53,7 @@
     announcedStarts: boolean;
     /** An owner stops acting before it sends the handover message. */
     stopsBeforeHandover: boolean;
-    /**
-     * A new incarnation of the owner ends everything that depends on the previous incarnation's lease, and
-     * resumes none of its state.
-     */
+    /** A new incarnation of the owner ends everything based on the previous lease, and resumes none of its state. */
     freshIncarnation: boolean;
     /** A machine ignores commands under a token older than one it has seen. */
     token: boolean;
@@ -82,15 +76,14 @@
 
 /**
  * Models one shard, its owner, its standby, one machine with one task, and the key-value store. Messages are
- * lost, duplicated, delayed and reordered; writes are applied late and without a response; the standby
- * restarts; either side pauses at any point. The clocks drift apart by the maximum allowed: the owner's clock
- * is slow, the standby's is fast.
+ * lost, duplicated, delayed and reordered; writes are applied late and without a response; the standby restarts;
+ * either side pauses at any time. Clocks drift apart by the maximum allowed: the owner's is slow, the standby's fast.
  */
-export function standbyLeaseModel(transitions: Transitions, bounds: Bounds): Model<State> {
+export function standbyLeaseModel(rules: Transitions, bounds: Bounds): Model<State> {
   const ownerClock = (state: State) => state.t * TICK_MS * (1 - MAX_CLOCK_DRIFT);
   const standbyClock = (state: State) => state.t * TICK_MS * (1 + MAX_CLOCK_DRIFT);
   const mayOwnerAct = (state: State) =>
-    !state.stopped && transitions.leaseCovers(state.ownerLease, ownerClock(state));
+    !state.stopped && rules.leaseCovers(state.ownerLease, ownerClock(state));
   const copy = (state: State, change: Partial<State>): State => ({
     ...state,
     messages: [...state.messages],
@@ -107,7 +100,7 @@
     return state;
   };
   const applyEviction = (state: State, revision: number) => {
-    state.ownerLease = transitions.onEvicted(state.ownerLease, revision);
+    state.ownerLease = rules.onEvicted(state.ownerLease, revision);
     if (state.namedRevision === revision) state.namedRevision = 0;
   };
 
@@ -146,7 +139,7 @@
         incarnation: state.namedIncarnation,
         sentAt: now,
       };
-      const ownerLease = transitions.onSend(state.ownerLease, state.namedRevision, now);
+      const ownerLease = rules.onSend(state.ownerLease, state.namedRevision, now);
       const started = state.order !== 'none';
       if (bounds.task && !state.snapshotSent)
         yield {
@@ -201,24 +194,23 @@
     const { replicaState } = state;
     if (
       replicaState &&
-      (replicaState.claimed || transitions.mayClaim(replicaState, standbyClock(state))) &&
+      (replicaState.claimed || rules.mayClaim(replicaState, standbyClock(state))) &&
       state.writes.length < bounds.writes
     )
       yield {
         action: 'standby claims',
-        state: write(copy(state, { replicaState: transitions.onClaim(replicaState) }), {
+        state: write(copy(state, { replicaState: rules.onClaim(replicaState) }), {
           kind: 'claim',
           revision: replicaState.revision,
         }),
       };
     if (!bounds.task || state.shardOwner !== 'standby') return;
-    if (!state.tokenSeen)
-      yield { action: 'machine sees the new token', state: copy(state, { tokenSeen: true }) };
+    if (!state.tokenSeen) yield { action: 'machine sees the token', state: copy(state, { tokenSeen: true }) };
     const announcedMachines = new Set(state.knowsStart ? ['m'] : []);
     const snapshot = { machinesOf: () => (state.inSync ? announcedMachines : null) } as unknown as Parameters<
       Transitions['isConfirmedNotRunning']
     >[1];
-    const notRunning = transitions.isConfirmedNotRunning(
+    const notRunning = rules.isConfirmedNotRunning(
       { fresh: false, id: 'j' },
       snapshot,
       state.reportedUnderToken,
@@ -229,26 +221,17 @@
   }
 
   /** Delivers a heartbeat to the standby that has become the owner; the heartbeat may be delivered again later. */
-  function onReport(state: State, report: State['reports'][number]): State | null {
-    if (state.shardOwner !== 'standby') return null;
-    const knownMachine = {
-      incarnation: 1,
-      minIncarnation: 0,
-      heartbeatSequence: state.latestReport,
-      fencingToken: 2,
-    };
-    const classification = transitions.classifyHeartbeat(knownMachine, {
+  function onReport(old: State, report: State['reports'][number]): State | null {
+    if (old.shardOwner !== 'standby') return null;
+    const known = { incarnation: 1, minIncarnation: 0, heartbeatSequence: old.latestReport, fencingToken: 2 };
+    const classification = rules.classifyHeartbeat(known, {
       incarnation: 1,
       sequence: report.seq,
       fencingToken: report.underToken ? 2 : 1,
     });
     if (classification === 'late' || classification === 'foreign') return null;
-    if (classification === 'untokened') return copy(state, { latestReport: report.seq });
-    return copy(state, {
-      latestReport: report.seq,
-      reportedUnderToken: true,
-      taskReported: report.holdsTask,
-    });
+    if (classification === 'untokened') return copy(old, { latestReport: report.seq });
+    return copy(old, { latestReport: report.seq, reportedUnderToken: true, taskReported: report.holdsTask });
   }
 
   function* byMachine(state: State): Generator<{ action: string; state: State }> {
@@ -270,31 +253,21 @@
   function deliver(state: State, message: Message): State | null {
     if (message.kind === 'answer') {
       if (state.stopped || state.namedRevision !== message.revision) return null;
-      const ownerLease = transitions.onAcknowledged(state.ownerLease, message.revision, message.sentAt);
+      const ownerLease = rules.onAcknowledged(state.ownerLease, message.revision, message.sentAt);
       return copy(state, { ownerLease, startAcknowledged: state.startAcknowledged || message.started });
     }
     if (message.kind === 'release') {
-      const replicaState = transitions.onRelease(state.replicaState, TERM, message.revision);
+      const replicaState = rules.onRelease(state.replicaState, TERM, message.revision);
       return replicaState && copy(state, { replicaState });
     }
     if (bounds.guards.incarnation && message.incarnation !== state.incarnation) return null;
-    const replicaState = transitions.onMessage(
-      state.replicaState,
-      TERM,
-      message.revision,
-      standbyClock(state),
-    );
+    const replicaState = rules.onMessage(state.replicaState, TERM, message.revision, standbyClock(state));
     if (!replicaState) return null;
     const isNewRevision = state.replicaState?.revision !== replicaState.revision;
-    const startKnown = (isNewRevision ? false : state.knowsStart) || message.started;
+    const started = (isNewRevision ? false : state.knowsStart) || message.started;
     const inSync = (isNewRevision ? false : state.inSync) || message.complete;
-    const answer: Message = {
-      kind: 'answer',
-      revision: message.revision,
-      sentAt: message.sentAt,
-      started: startKnown,
-    };
-    return send(copy(state, { replicaState, inSync, knowsStart: startKnown }), answer);
+    const answer: Message = { kind: 'answer', revision: message.revision, sentAt: message.sentAt, started };
+    return send(copy(state, { replicaState, inSync, knowsStart: started }), answer);
   }
 
   function apply(state: State, pending: Write): State {
