--- a/tests/faults/deafworkers.test.ts
+++ b/tests/faults/deafworkers.test.ts
@@ -110,9 +110,8 @@
   stopCheck();
 });
 
-// Guards against an owner that hands over because of a fault of its machines: other nodes redirected each of them
-// to it, and at some moment none sent it a heartbeat, since all of them were waiting for responses at the same
-// time.
+// Guards against an owner that hands over because of a fault of its machines: other nodes redirected each machine to
+// the owner, and at some moment no machine sent it a heartbeat, since all were waiting for responses at the same time.
 test('an owner whose machines all receive nothing does not hand over, and honours a cancellation and a reclaim notice', async () => {
   const cluster = await startBusyCluster(3);
   const stopCheck = checkSinglePlacement(cluster);
--- a/tests/faults/latemessages.test.ts
+++ b/tests/faults/latemessages.test.ts
@@ -11,7 +11,8 @@
 }
 
 // Guards against plans on machines that no longer exist: a duplicate of an old heartbeat made the leader assign the
-// machine to a shard again, and deadlines were accepted on it until it counted as failed to boot.
+// machine to a shard again, and jobs with deadlines were accepted on the strength of its capacity until it counted as
+// failed to boot.
 test('a duplicate of an old heartbeat does not bring back a returned machine, also after a change of leader', async () => {
   const cluster = new FakeCluster(NODES);
   cluster.objectives = [];
--- a/tests/faults/undecidedwrites.test.ts
+++ b/tests/faults/undecidedwrites.test.ts
@@ -93,7 +93,8 @@
 });
 
 /**
- * Sends a cancellation to a node without waiting; the result's `toldAt` is set when the user gets the confirmation.
+ * Sends a cancellation to a node without waiting; the result's `confirmedAt` is set when the user gets the
+ * confirmation.
  */
 function cancel(cluster: FakeCluster, node: string, id: string): { confirmedAt: number | null } {
   const confirmation: { confirmedAt: number | null } = { confirmedAt: null };
--- a/tests/scheduler/dependencytracker.test.ts
+++ b/tests/scheduler/dependencytracker.test.ts
@@ -318,7 +318,7 @@
   assert.equal(jobOf('wk-2')!.priority, 0);
 });
 
-// Guards against a plan that reserves a waiting job before the expected end of its dependencies.
+// Guards against a plan that reserves capacity for a waiting job before the expected end of its dependencies.
 test('refuses a waiting job whose dependency is expected to end too late for its deadline', async () => {
   const cluster = new FakeCluster(['n0']);
   cluster.addWorker('c8', 'a');
--- a/tests/scheduler/shortjobs.test.ts
+++ b/tests/scheduler/shortjobs.test.ts
@@ -11,8 +11,8 @@
 const JOBS_PER_SECOND = 4;
 
 // Guards against a backlog of short jobs: one-task jobs arrive at four per second for two minutes, and a quarter of
-// them is cancelled soon after. Jobs must not pile up within the key-value store rates of either operator, counted as
-// its protocol does.
+// them is cancelled soon after. Jobs must not pile up at the key-value store rate limits of either operator, with
+// requests and writes counted as the protocol of the store counts them.
 for (const { rps, writeRps } of [
   { rps: 150, writeRps: 50 },
   { rps: 200, writeRps: 80 },
